--- a/internal/daemon/ask.go
+++ b/internal/daemon/ask.go
@@ -25,7 +25,7 @@
 func (d *daemon) ask(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
-	above := control.Above{Revision: d.revision(), Hosts: d.hostsSum(), Quarantines: d.keeper.Sum()}
+	above := control.Above{Revision: d.revision(), Hosts: d.hostsSum(), Quarantines: d.quarantines.Sum()}
 	var held control.Held
 	if err := d.peers.Call(ctx, address, control.MethodRevision, above, &held); err != nil {
 		return false
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -60,12 +60,12 @@
 	"github.com/tideliftd/tidelift/internal/fleet"
 	"github.com/tideliftd/tidelift/internal/gossip"
 	"github.com/tideliftd/tidelift/internal/ingress"
-	"github.com/tideliftd/tidelift/internal/keeper"
 	"github.com/tideliftd/tidelift/internal/keys"
 	"github.com/tideliftd/tidelift/internal/member"
 	"github.com/tideliftd/tidelift/internal/metric"
 	"github.com/tideliftd/tidelift/internal/operator"
 	"github.com/tideliftd/tidelift/internal/operatorapi"
+	"github.com/tideliftd/tidelift/internal/quarantinesync"
 	"github.com/tideliftd/tidelift/internal/registry"
 	"github.com/tideliftd/tidelift/internal/retry"
 	"github.com/tideliftd/tidelift/internal/revision"
@@ -139,7 +139,7 @@
 	limits           *limits
 	retries          *retry.Book
 	lending          lending
-	keeper           *keeper.Keeper
+	quarantines      *quarantinesync.Syncer
 	news             chan news
 	plan             atomic.Pointer[gossip.Plan]
 	watching         atomic.Bool
@@ -173,7 +173,7 @@
 	go d.follow(followCtx)
 	go d.followSettings(followCtx)
 	go d.limits.run(followCtx)
-	go d.keeper.Run(followCtx)
+	go d.quarantines.Run(followCtx)
 	go d.claimFirstStart(followCtx)
 	if d.registers() {
 		go d.join(followCtx)
@@ -203,10 +203,10 @@
 	known := runs.New()
 	d.retries = retry.NewBook(retry.Config{Began: d.started, Borrows: true})
 	d.lending = newLending(metrics.Scope)
-	d.keeper = d.newKeeper()
+	d.quarantines = d.newQuarantines()
 	d.sidecar, cleanUp = sidecar.New(sidecar.Config{
 		Host: s.Name, Off: s.Experiments.Off, Logger: d.config.Logger, Scope: metrics.Scope,
-		Answered: func(good bool) { d.ingress.ServerAnswered(good) }, Peer: d.sidecarPeer(), Runs: known, Retries: d.retries, BorrowRepeat: d.borrow, Quarantine: d.keeper,
+		Answered: func(good bool) { d.ingress.ServerAnswered(good) }, Peer: d.sidecarPeer(), Runs: known, Retries: d.retries, BorrowRepeat: d.borrow, Quarantine: d.quarantines,
 	})
 	d.atEnd(cleanUp)
 	d.limits = newLimits(d)
--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -17,8 +17,8 @@
 	above := asked.Revision
 	held := control.Held{SilentMs: time.Since(d.platformLastSeen()).Milliseconds()}
 	d.answerHosts(asked, &held)
-	if asked.Quarantines != d.keeper.Sum() {
-		held.Quarantines = d.keeper.Quarantines()
+	if asked.Quarantines != d.quarantines.Sum() {
+		held.Quarantines = d.quarantines.Quarantines()
 	}
 	current := d.inForce.Load()
 	if current == nil {
--- a/internal/daemon/listen.go
+++ b/internal/daemon/listen.go
@@ -160,8 +160,8 @@
 func (d *daemon) operatorHandler() (http.Handler, error) {
 	api, err := operator.New(operator.Config{
 		Customers:  d.limits.standings,
-		Quarantine: d.keeper.Records,
-		Lift:       d.keeper.Lift,
+		Quarantine: d.quarantines.Records,
+		Lift:       d.quarantines.Lift,
 		Host:       d.config.Settings.Name,
 		DataCentre: d.config.Settings.DataCentre,
 		Ingress:    d.ingress,
--- a/internal/daemon/quarantine.go
+++ b/internal/daemon/quarantine.go
@@ -4,13 +4,13 @@
 	"encoding/json"
 
 	"github.com/tideliftd/tidelift/internal/control"
-	"github.com/tideliftd/tidelift/internal/keeper"
 	"github.com/tideliftd/tidelift/internal/quarantine"
+	"github.com/tideliftd/tidelift/internal/quarantinesync"
 )
 
-// newKeeper returns what keeps the quarantine of requests.
-func (d *daemon) newKeeper() *keeper.Keeper {
-	return keeper.New(keeper.Config{
+// newQuarantines returns what keeps the quarantine of requests.
+func (d *daemon) newQuarantines() *quarantinesync.Syncer {
+	return quarantinesync.New(quarantinesync.Config{
 		Host:     d.config.Settings.Name,
 		Store:    d.config.Store,
 		Prefix:   d.config.Settings.Platform.Prefix + "/quarantine",
@@ -32,7 +32,7 @@
 func (d *daemon) hearQuarantines(held control.Held) {
 	d.heardQuarantines.Store(true)
 	if len(held.Quarantines) > 0 {
-		d.keeper.Take(held.Quarantines)
+		d.quarantines.Take(held.Quarantines)
 	}
 }
 
@@ -57,6 +57,6 @@
 	if err := decode(params, &told); err != nil {
 		return nil, err
 	}
-	d.keeper.Take(told.Records)
+	d.quarantines.Take(told.Records)
 	return done{}, nil
 }
--- a/internal/keeper/messages.go
+++ b/internal/quarantinesync/messages.go
@@ -1,4 +1,4 @@
-package keeper
+package quarantinesync
 
 import "github.com/tideliftd/tidelift/internal/quarantine"
 
--- a/internal/keeper/keeper.go
+++ b/internal/quarantinesync/quarantinesync.go
@@ -1,4 +1,4 @@
-// Package keeper keeps a daemon's quarantine of requests in step with the fleet's.
+// Package quarantinesync keeps a daemon's quarantine of requests in step with the fleet's.
 //
 // What a daemon's own backend servers show is told at once to the daemons that keep others of the
 // service, and written to the store, where records of daemons that cannot reach each other come
@@ -9,7 +9,7 @@
 //
 // # Usage
 //
-//	k := keeper.New(keeper.Config{Host: "csepel-1", Store: kv, Prefix: "tidelift/quarantine", Tell: tell, ...})
+//	k := quarantinesync.New(quarantinesync.Config{Host: "csepel-1", Store: kv, Prefix: "tidelift/quarantine", Tell: tell, ...})
 //	go k.Run(ctx)
 //	standing, id := k.Standing(request)
 //	if standing == quarantine.Quarantined && !k.Try(ctx, id) { ... } // refuse it
@@ -18,14 +18,14 @@
 //	k.Take(records)                 // what another daemon tells
 //
 // One task owns the table and takes messages (task.go, messages.go); what is written to the store is in
-// write.go, who may send a request in quarantine once more in trial.go. A Keeper is safe for concurrent use.
+// write.go, who may send a request in quarantine once more in trial.go. A Syncer is safe for concurrent use.
 //
 // # Cost
 //
 // An end of a backend server costs a call to each daemon of its service, and one write, or three
 // where the request is known in the store; a first one nothing, if the request is answered soon. A
 // quarantine costs six calls a daemon. In quiet times those that watch the store wait for it.
-package keeper
+package quarantinesync
 
 import (
 	"context"
@@ -81,8 +81,8 @@
 	OnAnswer func()
 }
 
-// Keeper keeps the quarantine.
-type Keeper struct {
+// Syncer keeps the quarantine.
+type Syncer struct {
 	config   Config
 	messages chan any
 	ended    chan struct{}
@@ -96,9 +96,9 @@
 	trials, failedWrites   tally.Counter
 }
 
-// New returns a keeper that knows nothing yet.
-func New(config Config) *Keeper {
-	k := &Keeper{
+// New returns a quarantinesync that knows nothing yet.
+func New(config Config) *Syncer {
+	k := &Syncer{
 		config:   config,
 		messages: make(chan any, messagesWaiting),
 		ended:    make(chan struct{}),
@@ -114,7 +114,7 @@
 }
 
 // Run keeps the quarantine until ctx ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Syncer) Run(ctx context.Context) {
 	defer close(k.ended)
 	go k.follow(ctx)
 	newTask(k).run(ctx)
@@ -122,7 +122,7 @@
 
 // follow takes from the store what is quarantined anywhere, while it is this daemon's part to watch it. The
 // others are told, and ask each other.
-func (k *Keeper) follow(ctx context.Context) {
+func (k *Syncer) follow(ctx context.Context) {
 	for wait.For(ctx, watchesEvery) {
 		if k.config.Watches() {
 			k.watch(ctx)
@@ -131,7 +131,7 @@
 }
 
 // watch follows the store while that is this daemon's part.
-func (k *Keeper) watch(ctx context.Context) {
+func (k *Syncer) watch(ctx context.Context) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	go store.Follow(ctx, store.FollowConfig{
@@ -149,7 +149,7 @@
 
 // takeItems takes records that the store tells of. One that cannot be read says nothing of any request, and one
 // that was removed says nothing new: a quarantine ends with a record that says so.
-func (k *Keeper) takeItems(ctx context.Context, items []store.Item) error {
+func (k *Syncer) takeItems(ctx context.Context, items []store.Item) error {
 	m := takeMessage{stored: true}
 	for _, item := range items {
 		if item.Deleted {
@@ -166,7 +166,7 @@
 }
 
 // decode reads a record of the store. One under another's key says nothing of either.
-func (k *Keeper) decode(item store.Item) (quarantine.Record, bool) {
+func (k *Syncer) decode(item store.Item) (quarantine.Record, bool) {
 	var record quarantine.Record
 	err := json.Unmarshal(item.Data, &record)
 	if err == nil && item.Key == k.keyOf(record) {
@@ -177,10 +177,10 @@
 }
 
 // Quiet says whether nothing is held against any request.
-func (k *Keeper) Quiet() bool { return k.view.Load().Empty() }
+func (k *Syncer) Quiet() bool { return k.view.Load().Empty() }
 
 // Standing returns what is believed of the request and, if that is something, its id.
-func (k *Keeper) Standing(r fingerprint.Request) (quarantine.Standing, string) {
+func (k *Syncer) Standing(r fingerprint.Request) (quarantine.Standing, string) {
 	view := k.view.Load()
 	if view.Empty() || !view.Mentions(r.Head()) {
 		return quarantine.Clear, ""
@@ -194,7 +194,7 @@
 
 // Ended takes it that a backend server of the service ended while it ran the request. What this daemon
 // believes of the request has changed when it returns.
-func (k *Keeper) Ended(r fingerprint.Request, service string, end quarantine.End) {
+func (k *Syncer) Ended(r fingerprint.Request, service string, end quarantine.End) {
 	id, err := r.Digest()
 	if err != nil {
 		return // its caller has gone away in the middle of the body
@@ -212,25 +212,25 @@
 }
 
 // Answered takes it that a backend server answered the request.
-func (k *Keeper) Answered(r fingerprint.Request) {
+func (k *Syncer) Answered(r fingerprint.Request) {
 	if standing, id := k.Standing(r); standing != quarantine.Clear {
 		k.send(context.Background(), answeredMessage{id: id})
 	}
 }
 
 // Take takes records that another daemon tells.
-func (k *Keeper) Take(records []quarantine.Record) {
+func (k *Syncer) Take(records []quarantine.Record) {
 	k.send(context.Background(), takeMessage{records: records})
 }
 
 // Sum returns a hash of what is known of quarantines, by which two daemons find whether they know the same.
-func (k *Keeper) Sum() uint64 { return k.view.Load().Sum() }
+func (k *Syncer) Sum() uint64 { return k.view.Load().Sum() }
 
 // Quarantines returns what is known of quarantines, also of those that have ended.
-func (k *Keeper) Quarantines() []quarantine.Record { return k.view.Load().Quarantines() }
+func (k *Syncer) Quarantines() []quarantine.Record { return k.view.Load().Quarantines() }
 
 // Records returns what is believed of requests.
-func (k *Keeper) Records() []quarantine.Record {
+func (k *Syncer) Records() []quarantine.Record {
 	reply := make(chan []quarantine.Record, 1)
 	k.send(context.Background(), recordsMessage{reply: reply})
 	select {
@@ -242,7 +242,7 @@
 }
 
 // send gives the task a message, unless it has ended.
-func (k *Keeper) send(ctx context.Context, message any) {
+func (k *Syncer) send(ctx context.Context, message any) {
 	select {
 	case k.messages <- message:
 	case <-ctx.Done():
--- a/internal/keeper/task.go
+++ b/internal/quarantinesync/task.go
@@ -1,4 +1,4 @@
-package keeper
+package quarantinesync
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 
 // task owns the table.
 type task struct {
-	keeper  *Keeper
+	syncer  *Syncer
 	table   *quarantine.Table
 	due     map[string]dueWrite // what is to be written
 	writing bool
@@ -24,9 +24,9 @@
 	spread  []quarantine.Record // what is to be told to all
 }
 
-func newTask(k *Keeper) *task {
+func newTask(k *Syncer) *task {
 	t := &task{
-		keeper: k,
+		syncer: k,
 		table:  quarantine.New(),
 		due:    make(map[string]dueWrite),
 		retry:  time.NewTimer(time.Hour),
@@ -43,7 +43,7 @@
 	defer t.retry.Stop()
 	for {
 		select {
-		case message := <-t.keeper.messages:
+		case message := <-t.syncer.messages:
 			t.handle(time.Now(), message)
 			t.handleWaiting()
 		case <-t.retry.C:
@@ -61,7 +61,7 @@
 func (t *task) handleWaiting() {
 	for range messagesWaiting {
 		select {
-		case message := <-t.keeper.messages:
+		case message := <-t.syncer.messages:
 			t.handle(time.Now(), message)
 		default:
 			return
@@ -81,7 +81,7 @@
 		record, ok := t.learn(now, m.id, func() (quarantine.Record, bool) { return t.table.Lift(now, m.id) })
 		m.reply <- answer{record: record, ok: ok}
 	case tryMessage:
-		record, ok := t.table.Try(now, m.id, t.keeper.config.Host)
+		record, ok := t.table.Try(now, m.id, t.syncer.config.Host)
 		m.reply <- answer{record: record, ok: ok}
 	case takeMessage:
 		t.take(m)
@@ -111,7 +111,7 @@
 	if after.Quarantined() != before.Quarantined() {
 		t.spread = append(t.spread, after)
 	}
-	log := t.keeper.config.Logger
+	log := t.syncer.config.Logger
 	switch {
 	case after.Quarantined() && !before.Quarantined():
 		event.Log(log, event.RequestQuarantined, "fingerprint", after.ID, "service", after.Service, "method", after.Method,
@@ -125,9 +125,9 @@
 // publish makes lookups see the table as it is.
 func (t *task) publish() {
 	view := t.table.View()
-	t.keeper.view.Store(view)
-	t.keeper.metrics.suspected.Update(float64(view.Count(quarantine.Suspected)))
-	t.keeper.metrics.quarantined.Update(float64(view.Count(quarantine.Quarantined)))
+	t.syncer.view.Store(view)
+	t.syncer.metrics.suspected.Update(float64(view.Count(quarantine.Suspected)))
+	t.syncer.metrics.quarantined.Update(float64(view.Count(quarantine.Quarantined)))
 }
 
 // take takes records of others.
@@ -158,7 +158,7 @@
 		return
 	}
 	t.publish()
-	go t.keeper.remove(ctx, forgotten)
+	go t.syncer.remove(ctx, forgotten)
 }
 
 // tell tells the daemons of the services what has changed here, and a few of all what is quarantined.
@@ -169,10 +169,10 @@
 	}
 	t.news = nil
 	if len(t.spread) > 0 {
-		t.keeper.config.Spread(t.spread)
+		t.syncer.config.Spread(t.spread)
 		t.spread = nil
 	}
 	for service, records := range byService {
-		t.keeper.config.Tell(service, records)
+		t.syncer.config.Tell(service, records)
 	}
 }
--- a/internal/keeper/trial.go
+++ b/internal/quarantinesync/trial.go
@@ -1,4 +1,4 @@
-package keeper
+package quarantinesync
 
 import (
 	"context"
@@ -15,11 +15,11 @@
 const tryWithin = 250 * time.Millisecond
 
 // MayTry says whether the request in quarantine may be tried once more, as far as is known here.
-func (k *Keeper) MayTry(id string) bool { return k.view.Load().MayTry(time.Now(), id) }
+func (k *Syncer) MayTry(id string) bool { return k.view.Load().MayTry(time.Now(), id) }
 
 // Try says whether this daemon may send the request in quarantine once more. Of all daemons one may, once:
 // whoever writes so into the store first. Without the store nobody may.
-func (k *Keeper) Try(ctx context.Context, id string) bool {
+func (k *Syncer) Try(ctx context.Context, id string) bool {
 	if !k.MayTry(id) {
 		return false
 	}
@@ -33,7 +33,7 @@
 }
 
 // candidate asks the task for the record by which this host may send the request.
-func (k *Keeper) candidate(ctx context.Context, id string) (quarantine.Record, bool) {
+func (k *Syncer) candidate(ctx context.Context, id string) (quarantine.Record, bool) {
 	reply := make(chan answer, 1)
 	k.send(ctx, tryMessage{id: id, reply: reply})
 	select {
@@ -46,7 +46,7 @@
 }
 
 // claim writes the record if the store has the request in quarantine and nobody has tried it.
-func (k *Keeper) claim(ctx context.Context, record quarantine.Record) bool {
+func (k *Syncer) claim(ctx context.Context, record quarantine.Record) bool {
 	item, err := k.config.Store.Get(ctx, k.keyOf(record))
 	if err != nil {
 		k.config.OnError(err)
@@ -76,7 +76,7 @@
 }
 
 // Lift ends a quarantine by an operator's word, and returns once the store has it.
-func (k *Keeper) Lift(ctx context.Context, id string) (quarantine.Record, error) {
+func (k *Syncer) Lift(ctx context.Context, id string) (quarantine.Record, error) {
 	reply := make(chan answer, 1)
 	k.send(ctx, liftMessage{id: id, reply: reply})
 	var lifted answer
--- a/internal/keeper/write.go
+++ b/internal/quarantinesync/write.go
@@ -1,4 +1,4 @@
-package keeper
+package quarantinesync
 
 import (
 	"context"
@@ -33,11 +33,11 @@
 )
 
 // heldPrefix begins the keys of what was ever quarantined.
-func (k *Keeper) heldPrefix() string { return k.config.Prefix + "/held/" }
+func (k *Syncer) heldPrefix() string { return k.config.Prefix + "/held/" }
 
 // keyOf returns the record's key. What is only suspected stands apart, where nobody follows it: whoever
 // sees the next end reads it.
-func (k *Keeper) keyOf(r quarantine.Record) string {
+func (k *Syncer) keyOf(r quarantine.Record) string {
 	if r.WasQuarantined() {
 		return k.heldPrefix() + r.ID
 	}
@@ -79,7 +79,7 @@
 		return
 	}
 	t.writing = true
-	go func() { t.keeper.send(ctx, t.keeper.writeBatch(ctx, batch)) }()
+	go func() { t.syncer.send(ctx, t.syncer.writeBatch(ctx, batch)) }()
 }
 
 // batch takes what is due now.
@@ -125,7 +125,7 @@
 		t.pause.Reset()
 		return
 	}
-	t.keeper.metrics.failedWrites.Inc(int64(len(m.failed)))
+	t.syncer.metrics.failedWrites.Inc(int64(len(m.failed)))
 	pause := t.pause.NextBackOff()
 	t.resume = time.Now().Add(pause)
 	t.retry.Reset(pause)
@@ -133,7 +133,7 @@
 
 // writeBatch writes the records: all as new ones, and if some are known to the store, each merged with what
 // it has.
-func (k *Keeper) writeBatch(ctx context.Context, batch []quarantine.Record) writtenMessage {
+func (k *Syncer) writeBatch(ctx context.Context, batch []quarantine.Record) writtenMessage {
 	ctx, cancel := context.WithTimeout(ctx, writeWithin)
 	defer cancel()
 	if len(batch) > 1 && k.writeNew(ctx, batch) == nil {
@@ -155,7 +155,7 @@
 }
 
 // writeNew writes records that the store does not know.
-func (k *Keeper) writeNew(ctx context.Context, records []quarantine.Record) error {
+func (k *Syncer) writeNew(ctx context.Context, records []quarantine.Record) error {
 	var change store.Change
 	for _, record := range records {
 		put, err := k.putOf(ctx, record)
@@ -169,7 +169,7 @@
 }
 
 // writeMerged writes a record together with what the store has of it, and returns what the store has then.
-func (k *Keeper) writeMerged(ctx context.Context, record quarantine.Record) (quarantine.Record, error) {
+func (k *Syncer) writeMerged(ctx context.Context, record quarantine.Record) (quarantine.Record, error) {
 	known := int64(0) // revision of what record was merged with
 	for range conflicts {
 		put, err := k.putOf(ctx, record)
@@ -201,7 +201,7 @@
 }
 
 // decodeFound reads what the store has of a record, if it has something.
-func (k *Keeper) decodeFound(item store.Item) (quarantine.Record, bool) {
+func (k *Syncer) decodeFound(item store.Item) (quarantine.Record, bool) {
 	if item.Data == nil {
 		return quarantine.Record{}, false
 	}
@@ -210,7 +210,7 @@
 
 // putOf returns what writes the record. What was ever quarantined stays until it is forgotten everywhere; the
 // rest ends with a lease.
-func (k *Keeper) putOf(ctx context.Context, record quarantine.Record) (store.Put, error) {
+func (k *Syncer) putOf(ctx context.Context, record quarantine.Record) (store.Put, error) {
 	data, err := json.Marshal(record)
 	if err != nil {
 		return store.Put{}, errors.Wrap(err, "encode record")
@@ -224,7 +224,7 @@
 }
 
 // commit makes the change. A lease that has ended is not used again.
-func (k *Keeper) commit(ctx context.Context, change store.Change) error {
+func (k *Syncer) commit(ctx context.Context, change store.Change) error {
 	_, err := k.config.Store.Commit(ctx, change)
 	if errors.Is(err, store.ErrNoLease) {
 		k.lease.drop()
@@ -234,7 +234,7 @@
 
 // remove takes records out of the store that are forgotten. Of those that were ever quarantined one daemon of
 // those that watch is enough; if none does it now, the key is read and forgotten again at the next start.
-func (k *Keeper) remove(ctx context.Context, records []quarantine.Record) {
+func (k *Syncer) remove(ctx context.Context, records []quarantine.Record) {
 	ctx, cancel := context.WithTimeout(ctx, writeWithin)
 	defer cancel()
 	for _, record := range records {
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -46,8 +46,8 @@
 	"github.com/tideliftd/tidelift/internal/experiment"
 	"github.com/tideliftd/tidelift/internal/fleet"
 	"github.com/tideliftd/tidelift/internal/hop"
-	"github.com/tideliftd/tidelift/internal/keeper"
 	"github.com/tideliftd/tidelift/internal/metric"
+	"github.com/tideliftd/tidelift/internal/quarantinesync"
 	"github.com/tideliftd/tidelift/internal/result"
 	"github.com/tideliftd/tidelift/internal/retry"
 	"github.com/tideliftd/tidelift/internal/runs"
@@ -83,7 +83,7 @@
 	// soon; nil if others are not asked.
 	BorrowRepeat func(ctx context.Context, service string) bool
 	// Quarantine knows which requests no backend server is to be sent; nil if that is not kept.
-	Quarantine *keeper.Keeper
+	Quarantine *quarantinesync.Syncer
 	// Peer carries the calls to other backend servers' sidecars.
 	Peer Peer
 }
