--- a/test/pinned/pinned_test.go
+++ b/test/pinned/pinned_test.go
@@ -176,7 +176,6 @@
 
 // TestHop pins the headers between an ingress and a sidecar.
 func TestHop(t *testing.T) {
-	names := []string{hop.Prefix, hop.HeaderCall, hop.HeaderReservation, hop.HeaderServed, hop.HeaderDetail, hop.HeaderRetryAfter, result.Header}
 	h := http.Header{}
 	var call hop.Call
 	fields := reflect.ValueOf(&call).Elem()
@@ -195,9 +194,11 @@
 		t.Fatal(err)
 	}
 	hop.EncodeServed(h, 0.25, 1500*time.Microsecond)
-	compare(t, "hop", append(names,
-		hop.HeaderCall+": "+h.Get(hop.HeaderCall),
-		hop.HeaderServed+": "+h.Get(hop.HeaderServed)))
+	compare(t, "hop", []string{
+		hop.Prefix, hop.HeaderCall, hop.HeaderReservation, hop.HeaderServed, hop.HeaderDetail, hop.HeaderRetryAfter, result.Header,
+		hop.HeaderCall + ": " + h.Get(hop.HeaderCall),
+		hop.HeaderServed + ": " + h.Get(hop.HeaderServed),
+	})
 }
 
 // TestCodesAndEvents pins the numbers that callers, logs and alarms name.
