--- a/internal/cli/drain.go
+++ b/internal/cli/drain.go
@@ -29,7 +29,7 @@
 	}
 }
 
-func runDrain(ctx context.Context, c *cli.Command, leaving bool) error {
+func runDrain(ctx context.Context, c *cli.Command, draining bool) error {
 	name, err := oneArgument(c, "the backend server's name")
 	if err != nil {
 		return err
@@ -38,7 +38,7 @@
 	if err != nil {
 		return err
 	}
-	server, err := client.Drain(ctx, &operatorapi.Drain{BackendServer: name, Leaving: leaving})
+	server, err := client.Drain(ctx, &operatorapi.Drain{BackendServer: name, Leaving: draining})
 	if err != nil {
 		return err
 	}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -30,10 +30,10 @@
 const (
 	// MethodReport asks a sidecar for the state of one of its backend servers.
 	MethodReport Method = "sidecar.report"
-	// MethodDrain tells a sidecar that one of its backend servers is leaving, or no longer.
+	// MethodDrain tells a sidecar that one of its backend servers is draining, or no longer.
 	MethodDrain Method = "sidecar.drain"
-	// MethodLeaving tells that backend servers of another host take no more work.
-	MethodLeaving Method = "ingress.leaving"
+	// MethodDraining tells that backend servers of another host take no more work.
+	MethodDraining Method = "ingress.leaving"
 	// MethodPing asks for any answer.
 	MethodPing Method = "daemon.ping"
 	// MethodTrusted tells that backend servers of another host are no longer
@@ -69,12 +69,12 @@
 
 // Drain is the parameter of MethodDrain.
 type Drain struct {
-	Name    string `json:"name"`
-	Leaving bool   `json:"leaving"`
+	Name     string `json:"name"`
+	Draining bool   `json:"leaving"`
 }
 
-// Leaving is the parameter of MethodLeaving.
-type Leaving struct {
+// Draining is the parameter of MethodDraining.
+type Draining struct {
 	Names []string `json:"names"`
 }
 
@@ -98,7 +98,7 @@
 
 // Host is the parameter of MethodHost.
 type Host struct {
-	Leaving bool `json:"leaving"`
+	Draining bool `json:"leaving"`
 }
 
 // Notice is the parameter of MethodNotice.
--- a/internal/daemon/calls.go
+++ b/internal/daemon/calls.go
@@ -21,8 +21,8 @@
 		return d.callReport(params)
 	case control.MethodDrain:
 		return d.callDrain(params)
-	case control.MethodLeaving:
-		return d.callLeaving(params)
+	case control.MethodDraining:
+		return d.callDraining(params)
 	case control.MethodPing:
 		return done{}, nil
 	case control.MethodTrusted:
@@ -68,18 +68,18 @@
 	if err := decode(params, &drain); err != nil {
 		return nil, err
 	}
-	if err := d.sidecar.Drain(drain.Name, drain.Leaving); err != nil {
+	if err := d.sidecar.Drain(drain.Name, drain.Draining); err != nil {
 		return nil, err
 	}
 	return d.sidecar.Report(drain.Name)
 }
 
-func (d *daemon) callLeaving(params json.RawMessage) (any, error) {
-	var leaving control.Leaving
-	if err := decode(params, &leaving); err != nil {
+func (d *daemon) callDraining(params json.RawMessage) (any, error) {
+	var draining control.Draining
+	if err := decode(params, &draining); err != nil {
 		return nil, err
 	}
-	d.ingress.Leaving(leaving.Names)
+	d.ingress.Draining(draining.Names)
 	return done{}, nil
 }
 
@@ -231,19 +231,19 @@
 	return host.ControlFrom(d.config.Settings.DataCentre)
 }
 
-// notifyLeaving tells the daemons that keep other backend servers of the same
+// notifyDraining tells the daemons that keep other backend servers of the same
 // services that this host's take no more work. One that does not hear it learns
 // it from a refusal.
-func (d *daemon) notifyLeaving(ctx context.Context) {
+func (d *daemon) notifyDraining(ctx context.Context) {
 	current := d.inForce.Load()
 	if current == nil {
 		return
 	}
 	own := current.Index.OnHost(d.config.Settings.Name)
-	var leaving control.Leaving
+	var draining control.Draining
 	peers := make(map[string]fleet.Host)
 	for _, placement := range own {
-		leaving.Names = append(leaving.Names, placement.BackendServer.Name)
+		draining.Names = append(draining.Names, placement.BackendServer.Name)
 		for _, other := range placement.Service.BackendServers {
 			if host, ok := current.Index.Host(other.Host); ok && host.Name != d.config.Settings.Name {
 				peers[host.Name] = host
@@ -252,7 +252,7 @@
 	}
 	var wg sync.WaitGroup
 	for _, peer := range peers {
-		wg.Go(func() { _ = d.peers.Call(ctx, d.controlOf(peer), control.MethodLeaving, leaving, nil) })
+		wg.Go(func() { _ = d.peers.Call(ctx, d.controlOf(peer), control.MethodDraining, draining, nil) })
 	}
 	wg.Wait()
 }
--- a/internal/daemon/checkins.go
+++ b/internal/daemon/checkins.go
@@ -37,7 +37,7 @@
 // is known any is taken, and that a known backend server leaves is taken whatever its service.
 func (d *daemon) serviceKnown(c registry.CheckIn) bool {
 	current := d.inForce.Load()
-	if current == nil || c.Leaving && d.members.serves(c.Name) {
+	if current == nil || c.Draining && d.members.serves(c.Name) {
 		return true
 	}
 	return slices.ContainsFunc(current.Index.Declaration.Services, func(s fleet.Service) bool { return s.Name == c.Service })
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -30,7 +30,7 @@
 //	gossip.go   tells others of a revision
 //	poll.go     asks others for theirs now and then
 //	ask.go      one such question, which also finds what is known of hosts
-//	hosts.go    the list of leaving hosts in the store
+//	hosts.go    the list of draining hosts in the store
 //	members.go  what is known of hosts and of the own backend servers
 //	checkins.go check-ins of the own backend servers
 //	join.go     the order in which a daemon that registers itself joins
--- a/internal/daemon/hosts.go
+++ b/internal/daemon/hosts.go
@@ -14,10 +14,10 @@
 )
 
 // listEvery is how often a daemon that watches the platform reads its list of
-// leaving hosts.
+// draining hosts.
 const listEvery = 5 * time.Second
 
-// hostList reads the platform's list of hosts that are leaving. Others' lists
+// hostList reads the platform's list of hosts that are draining. Others' lists
 // differ, so it is a function; this one is a key that holds a JSON list of names.
 type hostList func(ctx context.Context) ([]string, error)
 
@@ -58,7 +58,7 @@
 	}
 }
 
-func (d *daemon) notifyHost(ctx context.Context, name string, leaving bool) {
+func (d *daemon) notifyHost(ctx context.Context, name string, draining bool) {
 	current := d.inForce.Load()
 	if current == nil {
 		return
@@ -68,12 +68,12 @@
 		return
 	}
 	if name == d.config.Settings.Name {
-		d.sidecar.HostLeaving(leaving)
+		d.sidecar.HostDraining(draining)
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	_ = d.peers.Call(ctx, d.controlOf(host), control.MethodHost, control.Host{Leaving: leaving}, nil) // told again soon
+	_ = d.peers.Call(ctx, d.controlOf(host), control.MethodHost, control.Host{Draining: draining}, nil) // told again soon
 }
 
 func (d *daemon) callHost(params json.RawMessage) (any, error) {
@@ -81,6 +81,6 @@
 	if err := decode(params, &host); err != nil {
 		return nil, err
 	}
-	d.sidecar.HostLeaving(host.Leaving)
+	d.sidecar.HostDraining(host.Draining)
 	return done{}, nil
 }
--- a/internal/daemon/stop.go
+++ b/internal/daemon/stop.go
@@ -70,7 +70,7 @@
 func (d *daemon) settle(ctx context.Context) {
 	settling, cancel := context.WithTimeout(ctx, settleFor)
 	defer cancel()
-	d.notifyLeaving(settling)
+	d.notifyDraining(settling)
 	<-settling.Done()
 }
 
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -53,7 +53,7 @@
 	ServerEjected   = Event{302, slog.LevelWarn, "backend server ejected", "The backend server's own daemon refuses work for it."}
 	ServerReturned  = Event{304, slog.LevelInfo, "backend server returned", "The backend server passed its trial and gets work again, at first a growing share."}
 	FloorHeld       = Event{305, slog.LevelWarn, "floor held", "A backend server looks sick but stays, because the floor allows no more to be ejected."}
-	ServerLeaving   = Event{306, slog.LevelInfo, "backend server leaving", "The backend server takes no new work."}
+	ServerDraining  = Event{306, slog.LevelInfo, "backend server leaving", "The backend server takes no new work."}
 	ServerSuspected = Event{308, slog.LevelInfo, "backend server suspected", "The backend server failed a request; others are asked first until repeatable requests succeed."}
 	ServerProbed    = Event{310, slog.LevelInfo, "backend server probed", "A suspected backend server was sent a request that finds out how it does."}
 	ServerTrusted   = Event{309, slog.LevelInfo, "backend server trusted again", "Repeatable requests succeeded, so that the backend server is no longer asked last."}
@@ -91,7 +91,7 @@
 	return []Event{
 		DaemonStarted, DaemonStopping, DaemonStopped, StopCut, ServeFailed, SettingsTaken, SettingsRefused,
 		DeclarationInForce, DeclarationRefused, PlatformUnreachable, PlatformReachable, DeclarationAccepted, DeclarationFromPeers,
-		ServerAvoided, ServerEjected, ServerReturned, FloorHeld, ServerLeaving, ServerBack, ServerSuspected, ServerTrusted, ServerProbed, ServerEnded,
+		ServerAvoided, ServerEjected, ServerReturned, FloorHeld, ServerDraining, ServerBack, ServerSuspected, ServerTrusted, ServerProbed, ServerEnded,
 		RequestFailed, AttemptFailed, RequestRefused, RequestHedged, RouteSubrequest, RequestQuarantined, QuarantineEnded, QuarantineTrial,
 		ServersRegistered, CheckInRefused, HostLearned, RecordRefused, PeerSilent, HostAway, HostBack, HostGone, NewsDropped,
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -70,7 +70,7 @@
 
 	DefaultDeadlineHeader = "X-Request-Timeout-Ms"
 	DefaultCustomerHeader = "X-Customer"
-	DefaultLeavingHeader  = "X-Leaving"
+	DefaultDrainingHeader = "X-Leaving"
 )
 
 // targetPart is the part of the deadline within which an answer is worth most,
@@ -166,7 +166,7 @@
 	RetrySlack     float64             `yaml:"retry-slack" json:"retry-slack,omitempty" jsonschema:"description=Retries that the whole fleet may make in a retry-window beyond the share. Default 40."`
 	RetryWindow    time.Duration       `yaml:"retry-window" json:"retry-window,omitempty" jsonschema:"type=string,description=The time that retries are counted over. Default 10s."`
 	RetryShare     float64             `yaml:"retry-share" json:"retry-share,omitempty" jsonschema:"description=Retries as a share of the service's requests. Default 0.1."`
-	LeavingHeader  string              `yaml:"leaving-header" json:"leaving-header,omitempty" jsonschema:"description=The header of an answer by which a backend server says that it is leaving. Default X-Leaving."`
+	DrainingHeader string              `yaml:"leaving-header" json:"leaving-header,omitempty" jsonschema:"description=The header of an answer by which a backend server says that it is leaving. Default X-Leaving."`
 	Adoption       map[string]Adoption `yaml:"adoption" json:"adoption,omitempty" jsonschema:"description=off or observe or steer by data centre; steer where a data centre is not named."`
 	BackendServers []BackendServer     `yaml:"backend-servers" json:"backend-servers" jsonschema:"description=The service's backend servers."`
 }
@@ -233,8 +233,8 @@
 	if s.Detection == "" {
 		s.Detection = DetectionCareful
 	}
-	if s.LeavingHeader == "" {
-		s.LeavingHeader = DefaultLeavingHeader
+	if s.DrainingHeader == "" {
+		s.DrainingHeader = DefaultDrainingHeader
 	}
 	if s.RetryShare == 0 {
 		s.RetryShare = DefaultRetryShare
--- a/internal/floor/floor.go
+++ b/internal/floor/floor.go
@@ -55,7 +55,7 @@
 	Granted Refusal = ""
 	// RefusedEjected means that the one asked is ejected itself.
 	RefusedEjected Refusal = "ejected"
-	// RefusedUnable means that it is leaving, dead or cold.
+	// RefusedUnable means that it is draining, dead or cold.
 	RefusedUnable Refusal = "unable"
 	// RefusedWorse means that it is asking for itself and is worse off.
 	RefusedWorse Refusal = "worse"
@@ -121,7 +121,7 @@
 	}
 }
 
-// SetUnable says whether the backend server is leaving, dead or cold, and so
+// SetUnable says whether the backend server is draining, dead or cold, and so
 // can grant nothing. Leases granted before stay binding.
 func (l *Ledger) SetUnable(unable bool) { l.unable = unable }
 
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -64,9 +64,9 @@
 	// It is shorter than the daemons keep theirs, so that a request seldom
 	// meets a connection that is just being closed.
 	idleTimeout = 45 * time.Second
-	// leavingPause is how long a target is passed over whose daemon stops. A
+	// drainingPause is how long a target is passed over whose daemon stops. A
 	// daemon that comes back sooner gets work again after it.
-	leavingPause = 3 * time.Second
+	drainingPause = 3 * time.Second
 )
 
 // Config says who the daemon is and how the ingress reaches sidecars.
@@ -232,10 +232,10 @@
 	return s.pool, true
 }
 
-// Leaving keeps away for a while from backend servers that another daemon says
+// Draining keeps away for a while from backend servers that another daemon says
 // take no more work.
-func (in *Ingress) Leaving(names []string) {
-	until := time.Now().Add(leavingPause)
+func (in *Ingress) Draining(names []string) {
+	until := time.Now().Add(drainingPause)
 	in.eachTarget(names, func(pool *balance.Pool, target *balance.Target) { pool.Pause(target, until) })
 }
 
--- a/internal/ingress/judge.go
+++ b/internal/ingress/judge.go
@@ -31,7 +31,7 @@
 //
 // It avoids a target, which is not to eject it: others may see it as fine.
 // As many targets as the floor says stay in use, counting out those that are
-// ejected or leaving.
+// ejected or draining.
 type judge struct {
 	config       Config
 	pool         *balance.Pool
--- a/internal/ingress/learn.go
+++ b/internal/ingress/learn.go
@@ -25,7 +25,7 @@
 // anybody or from this one.
 func takesNoWork(failure *result.Error) bool {
 	switch failure.Code.Number {
-	case result.Leaving.Number, result.Stopping.Number, result.UnknownServer.Number, result.Ejected.Number, result.Suspected.Number:
+	case result.Draining.Number, result.Stopping.Number, result.UnknownServer.Number, result.Ejected.Number, result.Suspected.Number:
 		return true
 	default:
 		return false
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -157,14 +157,14 @@
 	return why, nil
 }
 
-// Drain tells the backend server's sidecar that it is leaving, or no longer.
+// Drain tells the backend server's sidecar that it is draining, or no longer.
 func (s *server) Drain(ctx context.Context, r *operatorapi.Drain) (*operatorapi.BackendServer, error) {
 	placement, err := s.placement(r.BackendServer)
 	if err != nil {
 		return nil, err
 	}
 	var report sidecar.Report
-	params := control.Drain{Name: r.BackendServer, Leaving: r.Leaving}
+	params := control.Drain{Name: r.BackendServer, Draining: r.Leaving}
 	if err := s.ask(ctx, placement.Host, control.MethodDrain, params, &report); err != nil {
 		return nil, err
 	}
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -14,7 +14,7 @@
 // # Rules
 //
 //   - Each start of a backend server is a lifetime with a name of its own.
-//   - Leaving is final: whoever has said that it leaves never serves again under
+//   - Draining is final: whoever has said that it leaves never serves again under
 //     that name, whatever late check-in still comes.
 //   - A check-in whose sequence number is not above the last one is late and
 //     changes nothing.
@@ -51,8 +51,8 @@
 	Address string
 	// Slots is how many requests it runs at once.
 	Slots int
-	// Leaving says that it is about to end.
-	Leaving bool
+	// Draining says that it is about to end.
+	Draining bool
 	// Sequence rises with each check-in of a lifetime.
 	Sequence int64
 }
@@ -84,7 +84,7 @@
 	if slices.Contains(r.left, c.Name) {
 		return false
 	}
-	if c.Leaving {
+	if c.Draining {
 		r.leave(c.Name)
 		return true
 	}
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -23,8 +23,8 @@
 }
 
 func TestWhoServes(t *testing.T) {
-	leaving := checkIn("a", "x", 9)
-	leaving.Leaving = true
+	draining := checkIn("a", "x", 9)
+	draining.Draining = true
 	type step func(*registry.Registry) bool
 	in := func(c registry.CheckIn) step { return func(r *registry.Registry) bool { return r.CheckIn(c) } }
 	out := func(name string) step { return func(r *registry.Registry) bool { return r.Leave(name) } }
@@ -36,8 +36,8 @@
 	}{
 		{"a first check-in", []step{in(checkIn("a", "x", 1))}, true, "a"},
 		{"the same again", []step{in(checkIn("a", "x", 1)), in(checkIn("a", "x", 2))}, false, "a"},
-		{"one that is leaving", []step{in(checkIn("a", "x", 1)), in(leaving)}, true, ""},
-		{"a late one after it left", []step{in(leaving), in(checkIn("a", "x", 10))}, false, ""},
+		{"one that is leaving", []step{in(checkIn("a", "x", 1)), in(draining)}, true, ""},
+		{"a late one after it left", []step{in(draining), in(checkIn("a", "x", 10))}, false, ""},
 		{"a late one after it ended", []step{in(checkIn("a", "x", 3)), out("a"), in(checkIn("a", "x", 4))}, false, ""},
 		{"one that only ends", []step{in(checkIn("a", "x", 1)), out("a")}, true, ""},
 		{"one that ends and was never seen", []step{out("a"), in(checkIn("a", "x", 1))}, false, ""},
@@ -87,9 +87,9 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"check in": func(t *rapid.T) {
 				c := checkIn(name.Draw(t, "name"), rapid.SampledFrom([]string{"x", "y"}).Draw(t, "address"), rapid.Int64Range(0, 9).Draw(t, "sequence"))
-				c.Leaving = rapid.IntRange(0, 4).Draw(t, "leaving") == 0
+				c.Draining = rapid.IntRange(0, 4).Draw(t, "leaving") == 0
 				r.CheckIn(c)
-				left[c.Name] = left[c.Name] || c.Leaving
+				left[c.Name] = left[c.Name] || c.Draining
 			},
 			"leave": func(t *rapid.T) {
 				gone := name.Draw(t, "name")
--- a/internal/result/codes.go
+++ b/internal/result/codes.go
@@ -28,7 +28,7 @@
 	QueueFull             = Code{2004, "queue-full", http.StatusServiceUnavailable, RanNo, "The backend server's slots and queue are full."}
 	QueueTooSlow          = Code{2005, "queue-too-slow", http.StatusServiceUnavailable, RanNo, "The wait for a slot would be longer than the time left."}
 	CustomerShare         = Code{2006, "customer-share", http.StatusTooManyRequests, RanNo, "The customer already has its share of a full queue."}
-	Leaving               = Code{2007, "leaving", http.StatusServiceUnavailable, RanNo, "The backend server is leaving and takes no new work."}
+	Draining              = Code{2007, "leaving", http.StatusServiceUnavailable, RanNo, "The backend server is leaving and takes no new work."}
 	Ejected               = Code{2008, "ejected", http.StatusServiceUnavailable, RanNo, "The backend server is ejected."}
 	PeerUnreachable       = Code{2009, "peer-unreachable", http.StatusServiceUnavailable, RanNo, "No connection to the backend server's daemon could be made."}
 	ServerUnreachable     = Code{2010, "server-unreachable", http.StatusServiceUnavailable, RanNo, "No connection to the backend server could be made."}
@@ -82,7 +82,7 @@
 func All() []Code {
 	return []Code{
 		MalformedRequest, NoRoute, AmbiguousFraming, HeadersTooLarge, BodyTooLarge, BadDeadline, UpgradeRefused, ProtocolVersion, KeyMissing, KeyUnknown,
-		NotReady, Stopping, NoneAble, QueueFull, QueueTooSlow, CustomerShare, Leaving, Ejected, PeerUnreachable, ServerUnreachable,
+		NotReady, Stopping, NoneAble, QueueFull, QueueTooSlow, CustomerShare, Draining, Ejected, PeerUnreachable, ServerUnreachable,
 		ReservationExpired, DeadlineBeforeRun, UnknownServer, CancelledBefore, ReservationUnanswered, PlaceLost, NotTaken, Misdirected, Suspected, Busy, Unproven, MovedOn, RetryLimit, CustomerLimit, Quarantined,
 		DeadlineWhileRunning, ConnectionLost, UnframedAnswer, CallerGone, AnswerCut, AttemptOverdue, StoppedWhileRunning, SpoiltAnswer, ServerFailed, ServerError,
 		BadDeclaration, RevisionChanged, PlatformDown, NotDeclared, ChangeUnknown, ValueTooLarge, MalformedCall, PeerSilent, ChangeIDReused, TokenRefused, RoleRefused,
--- a/internal/sidecar/leaving.go
+++ b/internal/sidecar/draining.go
@@ -6,23 +6,23 @@
 	"github.com/tideliftd/tidelift/internal/event"
 )
 
-// selfDrainFor is how long a backend server's own word that it is leaving
+// selfDrainFor is how long a backend server's own word that it is draining
 // counts.
 const selfDrainFor = 10 * time.Second
 
-// isLeaving says whether the backend server takes no new work because it is
-// leaving, by an operator's word, its own or the platform's list.
-func (t *task) isLeaving(now time.Time) bool {
-	return t.leaving || t.hostLeaving || now.Before(t.selfDrainUntil)
+// isDraining says whether the backend server takes no new work because it is
+// draining, by an operator's word, its own or the platform's list.
+func (t *task) isDraining(now time.Time) bool {
+	return t.draining || t.hostDraining || now.Before(t.selfDrainUntil)
 }
 
 // applyHostList takes what the platform's list says of the host.
-func (t *task) applyHostList(now time.Time, leaving bool) {
-	before := t.isLeaving(now)
-	t.hostLeaving = leaving
-	switch after := t.isLeaving(now); {
+func (t *task) applyHostList(now time.Time, draining bool) {
+	before := t.isDraining(now)
+	t.hostDraining = draining
+	switch after := t.isDraining(now); {
 	case after && !before:
-		t.log(event.ServerLeaving, "why", "the platform's list")
+		t.log(event.ServerDraining, "why", "the platform's list")
 	case before && !after:
 		t.log(event.ServerBack, "why", "the platform's list")
 	}
@@ -31,19 +31,19 @@
 // selfDrain takes the backend server's own word. It counts for a while, since
 // one that gets no work cannot take it back; then the next answer tells.
 func (t *task) selfDrain(now time.Time) {
-	if !t.isLeaving(now) {
-		t.log(event.ServerLeaving, "why", "its own word")
+	if !t.isDraining(now) {
+		t.log(event.ServerDraining, "why", "its own word")
 	}
 	t.selfDrainUntil = now.Add(selfDrainFor)
 }
 
 // drain takes an operator's word, which goes before the backend server's own.
-func (t *task) drain(leaving bool) {
-	t.leaving = leaving
+func (t *task) drain(draining bool) {
+	t.draining = draining
 	t.selfDrainUntil = time.Time{}
 	e := event.ServerBack
-	if leaving {
-		e = event.ServerLeaving
+	if draining {
+		e = event.ServerDraining
 	}
 	t.log(e)
 }
--- a/internal/sidecar/eject.go
+++ b/internal/sidecar/eject.go
@@ -73,7 +73,7 @@
 
 // tryEject asks every other backend server of the service for a lease.
 func (t *task) tryEject(now time.Time, verdict detect.Verdict) {
-	if t.asking.open || t.isLeaving(now) || now.Before(t.asking.notBefore) {
+	if t.asking.open || t.isDraining(now) || now.Before(t.asking.notBefore) {
 		return
 	}
 	if len(t.declared.others) < t.declared.Service.Floor {
--- a/internal/sidecar/lease.go
+++ b/internal/sidecar/lease.go
@@ -108,7 +108,7 @@
 	t.isEjected(now)
 	dead := t.subject.Verdict(now).Cause == detect.CauseRefuses
 	cold := t.subject.Share(now) < 1
-	t.ledger.SetUnable(t.isLeaving(now) || dead || cold)
+	t.ledger.SetUnable(t.isDraining(now) || dead || cold)
 	since := now.Add(-time.Duration(r.SuspectedFor) * time.Millisecond)
 	return LeaseAnswer{Refusal: t.ledger.Answer(now, r), Standing: t.subject.Standing(since)}
 }
--- a/internal/sidecar/messages.go
+++ b/internal/sidecar/messages.go
@@ -43,8 +43,8 @@
 	StateEjected State = "ejected"
 	// StateTrial means that it gets one repeatable request at a time.
 	StateTrial State = "trial"
-	// StateLeaving means that it gets no new work and is going.
-	StateLeaving State = "leaving"
+	// StateDraining means that it gets no new work and is going.
+	StateDraining State = "leaving"
 )
 
 // Report is the state of one backend server as its sidecar sees it.
@@ -89,10 +89,10 @@
 		request admission.Request
 		reply   chan bool
 	}
-	drainMessage struct{ leaving bool }
+	drainMessage struct{ draining bool }
 	// hostListMessage is what the platform's list says of the host.
-	hostListMessage struct{ leaving bool }
-	// selfDrainMessage is the backend server's own word that it is leaving.
+	hostListMessage struct{ draining bool }
+	// selfDrainMessage is the backend server's own word that it is draining.
 	selfDrainMessage   struct{}
 	reconfigureMessage struct{ declared *declared }
 	reportMessage      struct{ reply chan Report }
--- a/internal/sidecar/report.go
+++ b/internal/sidecar/report.go
@@ -24,8 +24,8 @@
 
 func (t *task) state(now time.Time) State {
 	switch {
-	case t.isLeaving(now):
-		return StateLeaving
+	case t.isDraining(now):
+		return StateDraining
 	case !t.isEjected(now):
 		return StateServing
 	case t.subject.State(now) == detect.Trial:
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -54,7 +54,7 @@
 	mailbox  chan any
 	ended    chan struct{}
 	loadBits atomic.Uint64
-	leaving  atomic.Bool
+	draining atomic.Bool
 	endedAt  atomic.Int64 // when it was seen to end, in Unix milliseconds; zero since it last answered
 	declared atomic.Pointer[declared]
 	pool     *backend.Pool
@@ -85,14 +85,14 @@
 
 func (s *server) load() float64 { return math.Float64frombits(s.loadBits.Load()) }
 
-// isLeaving says whether the backend server takes no new work because it is leaving or has been
+// isDraining says whether the backend server takes no new work because it is draining or has been
 // replaced, so that its end is no surprise.
-func (s *server) isLeaving() bool {
+func (s *server) isDraining() bool {
 	select {
 	case <-s.ended:
 		return true
 	default:
-		return s.leaving.Load()
+		return s.draining.Load()
 	}
 }
 
@@ -142,7 +142,7 @@
 	}
 	reply := make(chan grant, 1)
 	if !s.send(offerMessage{request: request, call: call, reply: reply}) {
-		return nil, result.New(result.Leaving)
+		return nil, result.New(result.Draining)
 	}
 	select {
 	case g := <-reply:
@@ -151,7 +151,7 @@
 		s.withdraw(request, reply)
 		return nil, cancelled(ctx)
 	case <-s.ended:
-		return nil, result.New(result.Leaving)
+		return nil, result.New(result.Draining)
 	}
 }
 
@@ -239,7 +239,7 @@
 func (s *slot) answered(response *http.Response) {
 	s.saw.Outcome, s.seen = detect.FromAnswer(response)
 	s.stopClock()
-	if response.Header.Get(s.server.declared.Load().Service.LeavingHeader) != "" {
+	if response.Header.Get(s.server.declared.Load().Service.DrainingHeader) != "" {
 		s.server.send(selfDrainMessage{})
 	}
 }
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -1,13 +1,13 @@
 // Package sidecar is the part of a daemon that sends work to the backend
 // servers of its own host. No other process of the fleet sends them any.
 //
-// That makes slots, the queue, leaving, ejecting, and whether a request
+// That makes slots, the queue, draining, ejecting, and whether a request
 // was run facts of one process. One task for each backend server owns them and
 // talks by messages. What it does is in files by theme:
 //
 //	task.go        takes the messages
 //	slots.go       gives, queues or refuses a slot
-//	leaving.go     takes no new work while the backend server leaves
+//	draining.go     takes no new work while the backend server leaves
 //	suspicion.go   passes a backend server over at the first sign of failing
 //	eject.go       takes a sick one out of service, if the floor allows it
 //	lease.go       asks others for leases to keep serving, and gives its own
@@ -172,21 +172,21 @@
 // Stop refuses new work from now on. What runs or waits is finished.
 func (s *Sidecar) Stop() { s.stopping.Store(true) }
 
-// Drain says whether a backend server is leaving. A leaving one finishes what
+// Drain says whether a backend server is draining. A draining one finishes what
 // it runs and gets nothing new.
-func (s *Sidecar) Drain(name string, leaving bool) error {
+func (s *Sidecar) Drain(name string, draining bool) error {
 	server, err := s.server(name)
 	if err != nil {
 		return err
 	}
-	server.send(drainMessage{leaving: leaving})
+	server.send(drainMessage{draining: draining})
 	return nil
 }
 
-// HostLeaving takes what the platform's list says of the host.
-func (s *Sidecar) HostLeaving(leaving bool) {
+// HostDraining takes what the platform's list says of the host.
+func (s *Sidecar) HostDraining(draining bool) {
 	for _, server := range *s.servers.Load() {
-		server.send(hostListMessage{leaving: leaving})
+		server.send(hostListMessage{draining: draining})
 	}
 }
 
--- a/internal/sidecar/slots.go
+++ b/internal/sidecar/slots.go
@@ -68,8 +68,8 @@
 // admit says whether the backend server takes the request, and whether as a
 // trial.
 func (t *task) admit(now time.Time, m offerMessage) (trial bool, refused *result.Error) {
-	if t.isLeaving(now) {
-		return false, result.New(result.Leaving)
+	if t.isDraining(now) {
+		return false, result.New(result.Draining)
 	}
 	t.noteSurvived(now)
 	if t.suspicion.Suspected() {
--- a/internal/sidecar/task.go
+++ b/internal/sidecar/task.go
@@ -26,9 +26,9 @@
 	subject        *detect.Subject
 	ledger         *floor.Ledger
 	asking         asking
-	leaving        bool      // an operator said so
-	hostLeaving    bool      // the platform's list says that the host is
-	selfDrainUntil time.Time // until when its own word that it is leaving counts
+	draining       bool      // an operator said so
+	hostDraining   bool      // the platform's list says that the host is
+	selfDrainUntil time.Time // until when its own word that it is draining counts
 	trying         bool      // a trial request runs
 	suspicion      *suspicion.Suspicion
 	turnedAway     map[string]bool // hosts whose requests were refused for suspicion
@@ -70,10 +70,10 @@
 	}
 }
 
-// show lets others see the load, and whether the backend server is leaving, without a message.
+// show lets others see the load, and whether the backend server is draining, without a message.
 func (t *task) show(now time.Time) {
 	t.server.loadBits.Store(math.Float64bits(t.queue.Load()))
-	t.server.leaving.Store(t.isLeaving(now))
+	t.server.draining.Store(t.isDraining(now))
 }
 
 // tick does what is due without a message.
@@ -99,9 +99,9 @@
 	case cancelMessage:
 		t.cancel(m)
 	case drainMessage:
-		t.drain(m.leaving)
+		t.drain(m.draining)
 	case hostListMessage:
-		t.applyHostList(now, m.leaving)
+		t.applyHostList(now, m.draining)
 	case selfDrainMessage:
 		t.selfDrain(now)
 	case reconfigureMessage:
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -100,7 +100,7 @@
 }
 
 func isState(number int) bool {
-	for _, e := range []event.Event{event.ServerSuspected, event.ServerTrusted, event.ServerEjected, event.ServerReturned, event.ServerLeaving} {
+	for _, e := range []event.Event{event.ServerSuspected, event.ServerTrusted, event.ServerEjected, event.ServerReturned, event.ServerDraining} {
 		if e.Number == number {
 			return true
 		}
--- a/test/integration/gray_test.go
+++ b/test/integration/gray_test.go
@@ -148,9 +148,9 @@
 // TestOwnWordThatItIsLeaving has one backend server that says so on its first
 // answer. It gets no more work, the other gets all.
 func TestOwnWordThatItIsLeaving(t *testing.T) {
-	var leaving, other atomic.Int64
+	var draining, other atomic.Int64
 	first := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		leaving.Add(1)
+		draining.Add(1)
 		w.Header().Set("X-Leaving", "1")
 	}))
 	t.Cleanup(first.Close)
@@ -163,18 +163,18 @@
 			Name: "lookup", Floor: 1, Servers: 2, Addresses: []string{first.Listener.Addr().String(), second.Listener.Addr().String()},
 		}},
 	})
-	if !search(f, func() bool { return leaving.Load() > 0 }) {
+	if !search(f, func() bool { return draining.Load() > 0 }) {
 		t.Fatal("it was never asked")
 	}
 	time.Sleep(100 * time.Millisecond) // for what was on its way
-	before := leaving.Load()
+	before := draining.Load()
 	for range 50 {
 		if response, _ := get(t, f.URL(0, "lookup", "/x")); response.StatusCode != http.StatusOK {
 			t.Fatalf("%d", response.StatusCode)
 		}
 	}
-	if leaving.Load() != before || other.Load() < 50 {
-		t.Fatalf("leaving one got %d more, the other %d", leaving.Load()-before, other.Load())
+	if draining.Load() != before || other.Load() < 50 {
+		t.Fatalf("leaving one got %d more, the other %d", draining.Load()-before, other.Load())
 	}
 }
 
@@ -186,16 +186,16 @@
 		HostsEach:   1,
 		Services:    []harness.Service{{Name: "lookup", Floor: 1, Servers: 2}},
 	})
-	leaving := f.Backends[0]
+	draining := f.Backends[0]
 	list := func(text string) {
 		f.Platform.Write("tidelift/leaving-hosts", []byte(text))
 	}
-	list(`["` + leaving.Host.Name + `"]`)
-	if !search(f, func() bool { return logged(t, f, event.ServerLeaving, leaving.Name) }) {
+	list(`["` + draining.Host.Name + `"]`)
+	if !search(f, func() bool { return logged(t, f, event.ServerDraining, draining.Name) }) {
 		t.Fatal("it went on as if nothing were said")
 	}
 	list("[]")
-	if !search(f, func() bool { return logged(t, f, event.ServerBack, leaving.Name) }) {
+	if !search(f, func() bool { return logged(t, f, event.ServerBack, draining.Name) }) {
 		t.Fatal("it did not come back")
 	}
 }
--- a/test/lab/drain.go
+++ b/test/lab/drain.go
@@ -14,13 +14,13 @@
 	Scenario string `json:"scenario"`
 	Seed     uint64 `json:"seed"`
 	promiseFigures
-	WorkAfterLeaving int   `json:"work_after_leaving"`
-	LastWorkMs       int64 `json:"last_work_ms"`
+	WorkAfterDraining int   `json:"work_after_leaving"`
+	LastWorkMs        int64 `json:"last_work_ms"`
 }
 
-// leavingWithin is how soon after it is leaving a backend server must get no
+// drainingWithin is how soon after it is draining a backend server must get no
 // more work.
-const leavingWithin = 3 * time.Second
+const drainingWithin = 3 * time.Second
 
 func runDrain(l *lab) (any, error) {
 	f, cleanUp, err := harness.Start(harness.Spec{
@@ -42,8 +42,8 @@
 	done := make(chan []sample, 1)
 	go func() { done <- runAll(ctx, streams) }()
 	sleepUntil(ctx, time.Now().Add(3*time.Second))
-	leaving := f.Backends[sickServer]
-	_, err = f.Daemons[0].Client().Drain(ctx, &operatorapi.Drain{BackendServer: leaving.Name, Leaving: true})
+	draining := f.Backends[sickServer]
+	_, err = f.Daemons[0].Client().Drain(ctx, &operatorapi.Drain{BackendServer: draining.Name, Leaving: true})
 	if err != nil {
 		return nil, err
 	}
@@ -53,7 +53,7 @@
 	if err != nil {
 		return nil, err
 	}
-	kept, err := leaving.Ledger()
+	kept, err := draining.Ledger()
 	if err != nil {
 		return nil, err
 	}
@@ -62,8 +62,8 @@
 		for _, micros := range starts {
 			after := time.UnixMicro(micros).Sub(leftAt)
 			report.LastWorkMs = max(report.LastWorkMs, after.Milliseconds())
-			if after > leavingWithin {
-				report.WorkAfterLeaving++
+			if after > drainingWithin {
+				report.WorkAfterDraining++
 			}
 		}
 	}
--- a/test/pinned/pinned_test.go
+++ b/test/pinned/pinned_test.go
@@ -131,7 +131,7 @@
 		{string(control.MethodReport), new(control.Name)},
 		{string(control.MethodReport) + " answer", new(sidecar.Report)},
 		{string(control.MethodDrain), new(control.Drain)},
-		{string(control.MethodLeaving), new(control.Leaving)},
+		{string(control.MethodDraining), new(control.Draining)},
 		{string(control.MethodPing), new(struct{})},
 		{string(control.MethodTrusted), new(control.Trusted)},
 		{string(control.MethodSubrequest), new(control.Subrequest)},
