--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -121,7 +121,7 @@
 	t.reported.Store(p.clock(now))
 }
 
-// PickTrial takes a target on trial for a repeatable request. It says false if
+// PickTrial takes a target on trial for an idempotent request. It says false if
 // there is none.
 func (p *Pool) PickTrial(now time.Time) (*Target, bool) {
 	since := p.clock(now)
--- a/internal/balance/target.go
+++ b/internal/balance/target.go
@@ -86,7 +86,7 @@
 	trialTaken
 )
 
-// OpenTrial lets one repeatable request be sent to the target, which otherwise
+// OpenTrial lets one idempotent request be sent to the target, which otherwise
 // gets none.
 func (t *Target) OpenTrial() { t.trial.Store(trialOpen) }
 
--- a/internal/detect/hold.go
+++ b/internal/detect/hold.go
@@ -14,7 +14,7 @@
 	Serving State = "serving"
 	// Ejected gets none until its hold ends.
 	Ejected State = "ejected"
-	// Trial gets one repeatable request at a time.
+	// Trial gets one idempotent request at a time.
 	Trial State = "trial"
 )
 
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -24,7 +24,7 @@
 
 // The mechanisms.
 const (
-	// Hedges sends a late repeatable request to another backend server too.
+	// Hedges sends a late idempotent request to another backend server too.
 	Hedges Mechanism = "hedges"
 	// Compression packs bytes between data centres.
 	Compression Mechanism = "compression"
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -77,7 +77,7 @@
 // unless the route says.
 const targetPart = 3
 
-// AnyMethod among a route's repeatable methods means every method.
+// AnyMethod among a route's idempotent methods means every method.
 const AnyMethod = "*"
 
 // Declaration is everything that operators declare.
@@ -185,7 +185,7 @@
 	Host       string        `yaml:"host" json:"host,omitempty" jsonschema:"description=The host name the caller asks for; empty means any."`
 	Path       string        `yaml:"path" json:"path,omitempty" jsonschema:"description=The start of the path up to a slash; / means any. Default /."`
 	Service    string        `yaml:"service" json:"service" jsonschema:"description=The service that answers."`
-	Repeatable []string      `yaml:"repeatable" json:"repeatable,omitempty" jsonschema:"description=The methods that may run more than once; * means any. Default GET and HEAD and OPTIONS. An empty list means none."`
+	Idempotent []string      `yaml:"repeatable" json:"repeatable,omitempty" jsonschema:"description=The methods that may run more than once; * means any. Default GET and HEAD and OPTIONS. An empty list means none."`
 	Split      []Part        `yaml:"split" json:"split,omitempty" jsonschema:"description=Several services that share the route's requests by weight in place of service."`
 	Attempts   int           `yaml:"attempts" json:"attempts,omitempty" jsonschema:"description=The most backend servers that one request may be sent to. Default 3."`
 	Target     time.Duration `yaml:"target" json:"target,omitempty" jsonschema:"type=string,description=The time within which an answer is worth most. Default a third of the deadline."`
@@ -260,8 +260,8 @@
 	if r.Path == "" {
 		r.Path = "/"
 	}
-	if r.Repeatable == nil {
-		r.Repeatable = []string{"GET", "HEAD", "OPTIONS"}
+	if r.Idempotent == nil {
+		r.Idempotent = []string{"GET", "HEAD", "OPTIONS"}
 	}
 	if r.Deadline == 0 {
 		r.Deadline = deadlines[r.Service]
--- a/internal/fleet/parse.go
+++ b/internal/fleet/parse.go
@@ -185,7 +185,7 @@
 	if r.MaxBody < 0 {
 		c.Add(path+".max-body", fmt.Sprintf("is %d", r.MaxBody), "a number of bytes, 1 or more")
 	}
-	for j, method := range r.Repeatable {
+	for j, method := range r.Idempotent {
 		if !methodPattern.MatchString(method) {
 			c.Add(fmt.Sprintf("%s.repeatable[%d]", path, j), fmt.Sprintf("is %q", method), "a method such as GET")
 		}
--- a/internal/fleet/parse_test.go
+++ b/internal/fleet/parse_test.go
@@ -29,7 +29,7 @@
 	if s.Deadline != fleet.DefaultDeadline || s.Detection != fleet.DetectionCareful || s.BackendServers[0].Slots != fleet.DefaultSlots {
 		t.Errorf("service %+v", s)
 	}
-	if r.Deadline != s.Deadline || strings.Join(r.Repeatable, " ") != "GET HEAD OPTIONS" {
+	if r.Deadline != s.Deadline || strings.Join(r.Idempotent, " ") != "GET HEAD OPTIONS" {
 		t.Errorf("route %+v", r)
 	}
 	if s.AdoptionIn("csepel") != fleet.AdoptionObserve || s.AdoptionIn("obuda") != fleet.AdoptionSteer {
--- a/internal/hop/call.go
+++ b/internal/hop/call.go
@@ -25,8 +25,8 @@
 	Usual time.Duration
 	// Customer is who the request is for; it may be empty.
 	Customer string
-	// Once says that the request must not run more than once.
-	Once bool
+	// NonIdempotent says that the request must not run more than once.
+	NonIdempotent bool
 	// WantReservation asks for a reservation in place of running anything.
 	WantReservation bool
 	// Reservation is the sidecar's leave to run the request; it may be empty.
--- a/internal/hop/encode.go
+++ b/internal/hop/encode.go
@@ -32,7 +32,7 @@
 
 // The flags of a call.
 const (
-	flagOnce uint64 = 1 << iota
+	flagNonIdempotent uint64 = 1 << iota
 	flagWantReservation
 	flagInsist
 	flagNoWait
@@ -72,7 +72,7 @@
 
 // flags returns the call's flags in one number.
 func (c Call) flags() uint64 {
-	return bit(flagOnce, c.Once) | bit(flagWantReservation, c.WantReservation) | bit(flagInsist, c.Insist) |
+	return bit(flagNonIdempotent, c.NonIdempotent) | bit(flagWantReservation, c.WantReservation) | bit(flagInsist, c.Insist) |
 		bit(flagNoWait, c.NoWait) | bit(flagProven, c.Proven) |
 		bit(flagRepeat, c.Repeat)
 }
@@ -116,7 +116,7 @@
 		Origin:          w.Origin,
 		Host:            w.Host,
 		Reference:       w.Reference,
-		Once:            w.Flags&flagOnce != 0,
+		NonIdempotent:   w.Flags&flagNonIdempotent != 0,
 		WantReservation: w.Flags&flagWantReservation != 0,
 		Insist:          w.Flags&flagInsist != 0,
 		NoWait:          w.Flags&flagNoWait != 0,
--- a/internal/hop/forward.go
+++ b/internal/hop/forward.go
@@ -56,10 +56,10 @@
 
 // forbidReplay makes the request one that http.Transport does not send again
 // by itself after a lost connection. The transport takes a request without a
-// body for repeatable if its method is GET, HEAD, OPTIONS or TRACE, or if it
+// body for idempotent if its method is GET, HEAD, OPTIONS or TRACE, or if it
 // has an Idempotency-Key header; whether to repeat is not its decision here.
 //
-// A body that is empty but present is never taken for repeatable, and the
+// A body that is empty but present is never taken for idempotent, and the
 // identity coding keeps it off the wire. It is a reader that net/http knows to be in memory;
 // another kind is copied through a buffer of 32 KB (BenchmarkSendWithoutBody). The key headers are written in lower
 // case, which means the same to a receiver and which the transport does not
--- a/internal/ingress/admit.go
+++ b/internal/ingress/admit.go
@@ -22,25 +22,25 @@
 // request is a caller's request with what the declaration says of it.
 type request struct {
 	*http.Request
-	service    *service
-	name       string
-	began      time.Time
-	target     time.Duration // within which an answer is worth most
-	aim        time.Time     // until when it may wait in a crowded queue
-	deadline   time.Time
-	customer   string
-	queuesAs   string // whose turns it takes in queues
-	once       bool
-	attempts   int // the most backend servers it may be sent to
-	priority   int
-	body       *body.Body
-	route      route.Name
-	latency    *latency.Estimate // of its route
-	mayBeCall  bool              // nothing rules out that a backend server sent it
-	ofRepeat   bool              // a run that is a repeat itself has sent it
-	charged    bool              // as such it counts here, and must be ended
-	reached    atomic.Bool       // a backend server, or may have
-	subrequest bool              // a backend server sent it for a request that it is running
+	service       *service
+	name          string
+	began         time.Time
+	target        time.Duration // within which an answer is worth most
+	aim           time.Time     // until when it may wait in a crowded queue
+	deadline      time.Time
+	customer      string
+	queuesAs      string // whose turns it takes in queues
+	nonIdempotent bool
+	attempts      int // the most backend servers it may be sent to
+	priority      int
+	body          *body.Body
+	route         route.Name
+	latency       *latency.Estimate // of its route
+	mayBeCall     bool              // nothing rules out that a backend server sent it
+	ofRepeat      bool              // a run that is a repeat itself has sent it
+	charged       bool              // as such it counts here, and must be ended
+	reached       atomic.Bool       // a backend server, or may have
+	subrequest    bool              // a backend server sent it for a request that it is running
 }
 
 // subrequestPriority is the rank of what a backend server calls while it runs a request: before
@@ -93,21 +93,21 @@
 	// was, since by its body it knows whether the caller waits for 100 Continue.
 	own := *r
 	admitted := &request{
-		Request:  &own,
-		service:  current.services[name],
-		name:     name,
-		began:    now,
-		target:   min(match.Target, left),
-		aim:      now.Add(min(match.Target, left)),
-		deadline: now.Add(left),
-		customer: who.name,
-		queuesAs: in.queuesAs(current, who),
-		once:     !match.Repeatable(r.Method),
-		attempts: match.Attempts,
-		priority: who.priority,
-		body:     body.New(w, r, match.MaxBody),
-		route:    routeName,
-		latency:  in.latencies.of(routeName),
+		Request:       &own,
+		service:       current.services[name],
+		name:          name,
+		began:         now,
+		target:        min(match.Target, left),
+		aim:           now.Add(min(match.Target, left)),
+		deadline:      now.Add(left),
+		customer:      who.name,
+		queuesAs:      in.queuesAs(current, who),
+		nonIdempotent: !match.Idempotent(r.Method),
+		attempts:      match.Attempts,
+		priority:      who.priority,
+		body:          body.New(w, r, match.MaxBody),
+		route:         routeName,
+		latency:       in.latencies.of(routeName),
 
 		mayBeCall: current.mayBeCall(who),
 	}
--- a/internal/ingress/attempt_test.go
+++ b/internal/ingress/attempt_test.go
@@ -32,7 +32,7 @@
 func TestWhatMustNotRunTwiceIsNeverHedged(t *testing.T) {
 	late := &attempt{startedAt: time.Now().Add(-time.Second)}
 	for name, r := range map[string]*round{
-		"once":          {request: &request{attempts: 2, once: true}, trace: &attemptTrace{}},
+		"once":          {request: &request{attempts: 2, nonIdempotent: true}, trace: &attemptTrace{}},
 		"one attempt":   {request: &request{attempts: 1}, trace: &attemptTrace{}},
 		"sent before":   {request: &request{attempts: 2}, trace: &attemptTrace{sent: 1}},
 		"not late yet":  {request: &request{attempts: 2}, trace: &attemptTrace{}, late: time.Hour},
--- a/internal/ingress/attempts.go
+++ b/internal/ingress/attempts.go
@@ -71,7 +71,7 @@
 // mayImprove says whether another backend server may give a better answer than
 // this failure, which has been read whole.
 func mayImprove(r *request, response *http.Response) bool {
-	return !r.once && response.StatusCode >= http.StatusInternalServerError && response.ContentLength >= 0
+	return !r.nonIdempotent && response.StatusCode >= http.StatusInternalServerError && response.ContentLength >= 0
 }
 
 // logAttempt leaves a line on a failed attempt, unless it only sends the request on.
@@ -83,7 +83,7 @@
 	event.Log(in.config.Logger, event.AttemptFailed,
 		"request", in.requestID(r.Request), "service", r.name, "backend_server", a.target.Name, "trial", a.trial,
 		"no_wait", a.noWait, "proven", a.proven, "insist", a.insist,
-		"tried", len(trace.tried), "sent", trace.sent, "once", r.once, "code", failure.Code.Number, "result", failure.Code.Name,
+		"tried", len(trace.tried), "sent", trace.sent, "once", r.nonIdempotent, "code", failure.Code.Number, "result", failure.Code.Name,
 		"why", failure.Error(), "again", again, "passed_over", trace.passedOver.String())
 }
 
@@ -106,7 +106,7 @@
 	if retry.IsFull(trace.last.Code) && time.Now().After(r.aim) {
 		return false // the others are as full, and it has waited for its time
 	}
-	decision := retry.Decide(retry.Attempt{Sent: trace.sent, Most: r.attempts, Full: trace.full, Once: r.once, Subrequest: r.subrequest, Err: trace.last})
+	decision := retry.Decide(retry.Attempt{Sent: trace.sent, Most: r.attempts, Full: trace.full, NonIdempotent: r.nonIdempotent, Subrequest: r.subrequest, Err: trace.last})
 	switch decision {
 	case retry.Free:
 		return in.takeRepeat(ctx, r, trace)
--- a/internal/ingress/choose.go
+++ b/internal/ingress/choose.go
@@ -51,7 +51,7 @@
 func (in *Ingress) choose(r *request, trace *attemptTrace) (choice, bool) {
 	now := time.Now()
 	pool := r.service.pool
-	if !r.once && len(trace.tried) == 0 {
+	if !r.nonIdempotent && len(trace.tried) == 0 {
 		if c, ok := r.service.findOut(now); ok {
 			return c, true
 		}
@@ -109,7 +109,7 @@
 
 // look chooses one to ask for a free slot.
 func (t *attemptTrace) look(r *request, now time.Time) (choice, bool) {
-	mustNotFail := r.once || t.sent > 0 || !r.service.limit.left(now)
+	mustNotFail := r.nonIdempotent || t.sent > 0 || !r.service.limit.left(now)
 	proven := mustNotFail && len(t.unproven) < maxUnproven && !t.unchecked
 	if proven {
 		if target, ok := r.service.pool.Pick(now, slices.Concat(t.tried, t.unproven)); ok {
--- a/internal/ingress/hedge.go
+++ b/internal/ingress/hedge.go
@@ -85,7 +85,7 @@
 // firstLook returns the timer of the looks for a hedge. It never fires if none may be sent.
 func (r *round) firstLook() *time.Timer {
 	look := time.NewTimer(r.late)
-	if r.late == 0 || r.request.once || r.in.config.Off.Has(experiment.Hedges) {
+	if r.late == 0 || r.request.nonIdempotent || r.in.config.Off.Has(experiment.Hedges) {
 		look.Stop()
 	}
 	return look
@@ -168,7 +168,7 @@
 // mayHedge says whether the request may have another hedge now. In a planned stop none is
 // sent, since others may not take it any more.
 func (r *round) mayHedge() bool {
-	if r.late == 0 || r.request.once || r.in.settling.Load() || r.request.body.Spent() {
+	if r.late == 0 || r.request.nonIdempotent || r.in.settling.Load() || r.request.body.Spent() {
 		return false
 	}
 	if r.sent() >= r.request.attempts {
--- a/internal/ingress/hedge_test.go
+++ b/internal/ingress/hedge_test.go
@@ -114,7 +114,7 @@
 	return in, b
 }
 
-// get sends a repeatable request and returns the status and who answered.
+// get sends an idempotent request and returns the status and who answered.
 func get(in *Ingress) (int, string) {
 	r := httptest.NewRequest(http.MethodGet, "http://a.example/x", nil)
 	w := httptest.NewRecorder()
--- a/internal/ingress/send.go
+++ b/internal/ingress/send.go
@@ -38,7 +38,7 @@
 		Target:        r.target,
 		Late:          r.late(),
 		Customer:      r.queuesAs,
-		Once:          r.once,
+		NonIdempotent: r.nonIdempotent,
 		Insist:        c.insist,
 		NoWait:        c.noWait,
 		Proven:        c.proven,
@@ -61,7 +61,7 @@
 // sendRemote passes the request to another daemon. One that must not run twice
 // first gets a reservation there, unless it has one.
 func (in *Ingress) sendRemote(ctx context.Context, call hop.Call, r *http.Request, address string) (sidecar.Answer, error) {
-	if call.Once && call.Reservation == "" {
+	if call.NonIdempotent && call.Reservation == "" {
 		reservation, err := in.askReservation(ctx, call, address)
 		if err != nil {
 			return sidecar.Answer{}, err
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -17,7 +17,7 @@
 //	book := retry.NewBook(retry.Config{Began: now})
 //	book.Resize(now, map[string]retry.Size{"lookup": {Share: 0.2, Slack: 56, Window: 10 * time.Second, Parts: 21}})
 //	book.Request(now, "lookup") // for each request that begins here
-//	switch retry.Decide(retry.Attempt{Sent: 1, Most: 2, Once: true, Err: refusal}) {
+//	switch retry.Decide(retry.Attempt{Sent: 1, Most: 2, NonIdempotent: true, Err: refusal}) {
 //	case retry.Again:
 //		if book.Take(now, "lookup") {
 //			// send it
@@ -83,8 +83,8 @@
 	Most int
 	// Full counts the refusals for a full queue, this one included.
 	Full int
-	// Once says that the request must not run more than once.
-	Once bool
+	// NonIdempotent says that the request must not run more than once.
+	NonIdempotent bool
 	// Subrequest says that a backend server sent it for a request that it is running, so that it
 	// is worth more queues.
 	Subrequest bool
@@ -106,7 +106,7 @@
 		return Free
 	case a.Sent >= a.Most:
 		return Final
-	case a.Err.Code.Ran == result.RanNo || !a.Once:
+	case a.Err.Code.Ran == result.RanNo || !a.NonIdempotent:
 		return Again
 	default:
 		return Final
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -35,9 +35,9 @@
 	total uint64 // of the parts' weights
 }
 
-// Repeatable says whether a request of that method may run more than once.
-func (m *Match) Repeatable(method string) bool {
-	return slices.Contains(m.Route.Repeatable, method) || slices.Contains(m.Route.Repeatable, fleet.AnyMethod)
+// Idempotent says whether a request of that method may run more than once.
+func (m *Match) Idempotent(method string) bool {
+	return slices.Contains(m.Route.Idempotent, method) || slices.Contains(m.Route.Idempotent, fleet.AnyMethod)
 }
 
 // Choose returns the service for one request: each of the route's parts by its
--- a/internal/sidecar/handler.go
+++ b/internal/sidecar/handler.go
@@ -38,7 +38,7 @@
 		s.serveReservation(ctx, w, call)
 		return
 	}
-	if call.Once && call.Reservation == "" {
+	if call.NonIdempotent && call.Reservation == "" {
 		writeRefusal(w, result.New(result.ReservationExpired).WithDetail("a request that must not run twice needs a reservation"))
 		return
 	}
--- a/internal/sidecar/messages.go
+++ b/internal/sidecar/messages.go
@@ -41,7 +41,7 @@
 	StateServing State = "serving"
 	// StateEjected means that it gets none for a while.
 	StateEjected State = "ejected"
-	// StateTrial means that it gets one repeatable request at a time.
+	// StateTrial means that it gets one idempotent request at a time.
 	StateTrial State = "trial"
 	// StateDraining means that it gets no new work and is going.
 	StateDraining State = "leaving"
--- a/internal/sidecar/slots.go
+++ b/internal/sidecar/slots.go
@@ -81,7 +81,7 @@
 	if t.subject.State(now) == detect.Ejected {
 		return false, refusal(result.Ejected, min(t.subject.HeldFor(now), longestRefusal))
 	}
-	if m.call.Once || t.trying {
+	if m.call.NonIdempotent || t.trying {
 		return false, refusal(result.Ejected, trialRefusal)
 	}
 	return true, nil
--- a/internal/suspicion/suspicion.go
+++ b/internal/suspicion/suspicion.go
@@ -4,7 +4,7 @@
 // Package detect weighs evidence and takes seconds, since what it decides takes
 // a backend server out of service. Suspicion takes nothing out of service: it puts
 // a backend server last for a while, at the first sign of failing, so that
-// requests go where one has just succeeded. A repeatable request now and then
+// requests go where one has just succeeded. An idempotent request now and then
 // finds out whether it is well again, and one that nobody else takes is sent
 // all the same.
 //
@@ -73,7 +73,7 @@
 	probeLasts = time.Second
 	// riskAfter is how long a probe may be overdue before one that must not run
 	// twice makes it. Source: a service of which all requests are such must get
-	// its backend servers back; where some are repeatable one comes within it.
+	// its backend servers back; where some are idempotent one comes within it.
 	riskAfter = 2 * time.Second
 	// riskAgain is the same after a probe that went well.
 	riskAgain = 500 * time.Millisecond
@@ -113,7 +113,7 @@
 }
 
 // MostlyLate says whether most of what is held against the backend server came late or not
-// at all. A repeatable request loses little there, since a hedge of it is sent elsewhere
+// at all. An idempotent request loses little there, since a hedge of it is sent elsewhere
 // before it is too late; where requests fail at once each costs a retry.
 func (d *Suspicion) MostlyLate() bool { return 2*d.late > d.sum }
 
@@ -188,10 +188,10 @@
 // GoodInARow returns how many proofs in a row there were since suspicion began.
 func (d *Suspicion) GoodInARow() int { return d.good }
 
-// MayProbe says whether a repeatable request may be sent to find out.
+// MayProbe says whether an idempotent request may be sent to find out.
 func (d *Suspicion) MayProbe(now time.Time) bool { return !now.Before(d.next) }
 
-// MayRisk says whether no repeatable request has come for so long that any other
+// MayRisk says whether no idempotent request has come for so long that any other
 // may find out.
 func (d *Suspicion) MayRisk(now time.Time) bool {
 	after := riskAfter
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -54,7 +54,7 @@
 	Cause         string    `json:"cause"`
 	PassedOver    string    `json:"passed_over"`
 	Again         bool      `json:"again"`
-	Once          bool      `json:"once"`
+	NonIdempotent bool      `json:"once"`
 	Insist        bool      `json:"insist"`
 	TookMs        int64     `json:"took_ms"`
 }
@@ -168,7 +168,7 @@
 	switch {
 	case l.Again:
 		return text + " Tried elsewhere."
-	case l.Once && code.Ran == result.RanUnknown:
+	case l.NonIdempotent && code.Ran == result.RanUnknown:
 		return text + " Not tried again: it may have run and must not run twice."
 	default:
 		return text + " Not tried again."
--- a/test/harness/harness.go
+++ b/test/harness/harness.go
@@ -87,8 +87,8 @@
 	Addresses []string
 	// MaxBody bounds request bodies, in bytes; 0 leaves the default.
 	MaxBody int
-	// Repeatable lists the methods; nil leaves the default.
-	Repeatable []string
+	// Idempotent lists the methods; nil leaves the default.
+	Idempotent []string
 }
 
 // Fleet is what was started.
@@ -264,8 +264,8 @@
 		if s.MaxBody > 0 {
 			fmt.Fprintf(&b, "    max-body: %d\n", s.MaxBody)
 		}
-		if s.Repeatable != nil {
-			fmt.Fprintf(&b, "    repeatable: [%s]\n", strings.Join(s.Repeatable, ", "))
+		if s.Idempotent != nil {
+			fmt.Fprintf(&b, "    repeatable: [%s]\n", strings.Join(s.Idempotent, ", "))
 		}
 	}
 	return b.String()
--- a/test/integration/once_test.go
+++ b/test/integration/once_test.go
@@ -16,7 +16,7 @@
 	"github.com/tideliftd/tidelift/test/harness"
 )
 
-// payments is a service of non-repeatable requests with a backend server at
+// payments is a service of non-idempotent requests with a backend server at
 // each of two daemons; a third daemon takes the requests.
 func payments() harness.Spec {
 	return harness.Spec{
--- a/test/registered/registered_test.go
+++ b/test/registered/registered_test.go
@@ -125,7 +125,7 @@
 }
 
 // TestAnswers gives one backend server answers that are not to be passed on as
-// they are: repeatable requests are answered by the other, one that must not run
+// they are: idempotent requests are answered by the other, one that must not run
 // twice fails clearly or is tried elsewhere if it has not run.
 func TestAnswers(t *testing.T) {
 	f := newFleet(t, 2)
