--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -50,7 +50,7 @@
 	MethodRevision Method = "declaration.revision"
 	// MethodTold tells of hosts.
 	MethodTold Method = "hosts.told"
-	// MethodLend asks for a repeat to a service that the other host can spare.
+	// MethodLend asks for a retry to a service that the other host can spare.
 	MethodLend Method = "retries.lend"
 	// MethodQuarantine tells what is held against requests.
 	MethodQuarantine Method = "quarantine.told"
@@ -159,7 +159,7 @@
 
 // Lent answers it.
 type Lent struct {
-	// Granted says that the one who asked may make a repeat at once, which counts at the lender.
+	// Granted says that the one who asked may make a retry at once, which counts at the lender.
 	Granted bool `json:"granted"`
 }
 
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -206,7 +206,7 @@
 	d.quarantines = d.newQuarantines()
 	d.sidecar, cleanUp = sidecar.New(sidecar.Config{
 		Host: s.Name, Off: s.Experiments.Off, Logger: d.config.Logger, Scope: metrics.Scope,
-		Answered: func(good bool) { d.ingress.ServerAnswered(good) }, Peer: d.sidecarPeer(), Runs: known, Retries: d.retries, BorrowRepeat: d.borrow, Quarantine: d.quarantines,
+		Answered: func(good bool) { d.ingress.ServerAnswered(good) }, Peer: d.sidecarPeer(), Runs: known, Retries: d.retries, BorrowRetry: d.borrow, Quarantine: d.quarantines,
 	})
 	d.atEnd(cleanUp)
 	d.limits = newLimits(d)
@@ -221,7 +221,7 @@
 		Scope:            metrics.Scope,
 		Runs:             known,
 		Retries:          d.retries,
-		BorrowRepeat:     d.borrow,
+		BorrowRetry:      d.borrow,
 		HostsCounted:     d.hostsCounted,
 		Local:            d.sidecar.Do,
 		LocalReservation: d.sidecar.Reserve,
--- a/internal/daemon/first.go
+++ b/internal/daemon/first.go
@@ -13,7 +13,7 @@
 const neverUsed = 24 * time.Hour
 
 // claimFirstStart finds out whether this is the first start of a declared host in the first start of its
-// fleet, and then uses its part of the slack at once: a hedge needs a repeat, and in the first seconds
+// fleet, and then uses its part of the slack at once: a hedge needs a retry, and in the first seconds
 // no request has earned one. The store keeps a key for each host that ever started, so that a later start
 // with the same settings waits for a window as any other does. Hosts that register themselves have
 // their records for that.
--- a/internal/daemon/lend.go
+++ b/internal/daemon/lend.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// lenders is how many hosts are asked for a repeat, one after the other, before a failed request
+	// lenders is how many hosts are asked for a retry, one after the other, before a failed request
 	// is given up. Source: where one in two has one to spare, seven in eight requests get one. On a quiet
 	// day 144 of 220 did; a third of the others asked in the first two seconds, when nobody had any.
 	lenders = 3
@@ -22,7 +22,7 @@
 	lendWithin = 30 * time.Millisecond
 )
 
-// lending counts repeats that this daemon borrowed, or asked for in vain.
+// lending counts retries that this daemon borrowed, or asked for in vain.
 type lending struct{ granted, refused tally.Counter }
 
 func newLending(scope tally.Scope) lending {
@@ -32,7 +32,7 @@
 	return lending{granted: counter("granted"), refused: counter("refused")}
 }
 
-// borrow asks other hosts for a repeat of a request to the service: first one of this data centre,
+// borrow asks other hosts for a retry of a request to the service: first one of this data centre,
 // then any.
 func (d *daemon) borrow(ctx context.Context, service string) bool {
 	current := d.inForce.Load()
@@ -70,7 +70,7 @@
 	return fleet.Host{}, false
 }
 
-// askLend asks one host. Without an answer there is no repeat, though the host may have counted one.
+// askLend asks one host. Without an answer there is no retry, though the host may have counted one.
 func (d *daemon) askLend(ctx context.Context, host fleet.Host, service string) bool {
 	ctx, cancel := context.WithTimeout(ctx, lendWithin)
 	defer cancel()
@@ -79,7 +79,7 @@
 	return err == nil && lent.Granted
 }
 
-// callLend takes another daemon's question for a repeat.
+// callLend takes another daemon's question for a retry.
 func (d *daemon) callLend(params json.RawMessage) (any, error) {
 	var lend control.Lend
 	if err := decode(params, &lend); err != nil {
--- a/internal/daemon/record.go
+++ b/internal/daemon/record.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// untilAnswered repeats a call to the store until it is answered, and says false if
+// untilAnswered retries a call to the store until it is answered, and says false if
 // ctx ends before.
 func (d *daemon) untilAnswered(ctx context.Context, call func() error) bool {
 	pause := store.NewPause()
--- a/internal/hop/call.go
+++ b/internal/hop/call.go
@@ -44,9 +44,9 @@
 	// Proven asks for a refusal if the backend server seems to hang: a request is late
 	// there, and no later one has been answered well.
 	Proven bool
-	// Repeat says that the request has reached a backend server before, or may yet, so that
+	// Retry says that the request has reached a backend server before, or may yet, so that
 	// this sending draws on the service's retry limit.
-	Repeat bool
+	Retry bool
 	// Body is the request's body, for whoever has to look at it. It goes beside the call, not in it.
 	Body *body.Body
 	// Host is the ingress's host.
--- a/internal/hop/encode.go
+++ b/internal/hop/encode.go
@@ -37,7 +37,7 @@
 	flagInsist
 	flagNoWait
 	flagProven
-	flagRepeat
+	flagRetry
 )
 
 // callText turns the encoded call into a header's text.
@@ -74,7 +74,7 @@
 func (c Call) flags() uint64 {
 	return bit(flagNonIdempotent, c.NonIdempotent) | bit(flagWantReservation, c.WantReservation) | bit(flagInsist, c.Insist) |
 		bit(flagNoWait, c.NoWait) | bit(flagProven, c.Proven) |
-		bit(flagRepeat, c.Repeat)
+		bit(flagRetry, c.Retry)
 }
 
 // bit returns the flag if it is set, and else zero.
@@ -121,7 +121,7 @@
 		Insist:          w.Flags&flagInsist != 0,
 		NoWait:          w.Flags&flagNoWait != 0,
 		Proven:          w.Flags&flagProven != 0,
-		Repeat:          w.Flags&flagRepeat != 0,
+		Retry:           w.Flags&flagRetry != 0,
 	}
 }
 
--- a/internal/hop/forward.go
+++ b/internal/hop/forward.go
@@ -57,7 +57,7 @@
 // forbidReplay makes the request one that http.Transport does not send again
 // by itself after a lost connection. The transport takes a request without a
 // body for idempotent if its method is GET, HEAD, OPTIONS or TRACE, or if it
-// has an Idempotency-Key header; whether to repeat is not its decision here.
+// has an Idempotency-Key header; whether to retry is not its decision here.
 //
 // A body that is empty but present is never taken for idempotent, and the
 // identity coding keeps it off the wire. It is a reader that net/http knows to be in memory;
--- a/internal/ingress/admit.go
+++ b/internal/ingress/admit.go
@@ -37,7 +37,7 @@
 	route         route.Name
 	latency       *latency.Estimate // of its route
 	mayBeCall     bool              // nothing rules out that a backend server sent it
-	ofRepeat      bool              // a run that is a repeat itself has sent it
+	ofRetry       bool              // a run that is a retry itself has sent it
 	charged       bool              // as such it counts here, and must be ended
 	reached       atomic.Bool       // a backend server, or may have
 	subrequest    bool              // a backend server sent it for a request that it is running
--- a/internal/ingress/attempts.go
+++ b/internal/ingress/attempts.go
@@ -19,8 +19,8 @@
 	// servers, or none, looks again. Source: one is trusted again within some tens
 	// of milliseconds of the first proof.
 	lookAgainAfter = 50 * time.Millisecond
-	// maxLimited is how many sidecars are asked to run a repeat before the failure is final.
-	// Source: each answers for what its backend server would call; where three have no repeats
+	// maxLimited is how many sidecars are asked to run a retry before the failure is final.
+	// Source: each answers for what its backend server would call; where three have no retries
 	// left for that, most have none.
 	maxLimited = 3
 )
@@ -32,10 +32,10 @@
 	for {
 		next, ok := in.next(ctx, r, &trace)
 		if !ok {
-			r.service.limit.giveBack(trace.repeat)
+			r.service.limit.giveBack(trace.grant)
 			return trace.end(worst(trace.mayHaveRun, noneAble(r, &trace)))
 		}
-		next.repeat = trace.repeat
+		next.grant = trace.grant
 		f := in.runRound(ctx, &attempt{in: in, request: r, choice: next}, &trace)
 		if f.isAnswer() {
 			trace.drop()
@@ -97,7 +97,7 @@
 	return mayHaveRun.WithRetryAfter(last.RetryAfter)
 }
 
-// again says whether the last failed attempt may be followed by another, and takes a repeat for it if
+// again says whether the last failed attempt may be followed by another, and takes a retry for it if
 // that is one.
 func (in *Ingress) again(ctx context.Context, r *request, trace *attemptTrace) bool {
 	if r.body.Spent() {
@@ -109,23 +109,23 @@
 	decision := retry.Decide(retry.Attempt{Sent: trace.sent, Most: r.attempts, Full: trace.full, NonIdempotent: r.nonIdempotent, Subrequest: r.subrequest, Err: trace.last})
 	switch decision {
 	case retry.Free:
-		return in.takeRepeat(ctx, r, trace)
+		return in.takeRetry(ctx, r, trace)
 	case retry.Again:
-		return trace.limited < maxLimited && in.takeRepeat(ctx, r, trace)
+		return trace.limited < maxLimited && in.takeRetry(ctx, r, trace)
 	case retry.Final:
 	}
 	return false
 }
 
-// takeRepeat takes a repeat for the next attempt, if that would be one, and says false if the service's
+// takeRetry takes a retry for the next attempt, if that would be one, and says false if the service's
 // limit leaves none.
-func (in *Ingress) takeRepeat(ctx context.Context, r *request, trace *attemptTrace) bool {
-	trace.repeat = repeatNone
+func (in *Ingress) takeRetry(ctx context.Context, r *request, trace *attemptTrace) bool {
+	trace.grant = grantNone
 	if trace.sent == 0 {
 		return true
 	}
-	trace.repeat = r.service.limit.takeAny(ctx)
-	if trace.repeat == repeatNone {
+	trace.grant = r.service.limit.takeAny(ctx)
+	if trace.grant == grantNone {
 		in.metrics.limited.Inc(trace.last.Code)
 		return false
 	}
--- a/internal/ingress/choose.go
+++ b/internal/ingress/choose.go
@@ -34,8 +34,8 @@
 	noWait bool
 	// proven asks for a refusal if the target seems to hang.
 	proven bool
-	// repeat is what was taken for it if the request has reached a backend server, or may yet.
-	repeat repeat
+	// grant is what was taken for it if the request has reached a backend server, or may yet.
+	grant retryGrant
 	// insist says that nobody else is left, so that suspicion is no reason to refuse.
 	insist bool
 	// reservation is the leave of the target's sidecar to run the request; it may be
@@ -45,7 +45,7 @@
 
 // choose says whom to ask next: first for a free slot, then where the wait for
 // one is shortest, and one that is suspected if nobody else is left. A first
-// attempt that may be repeated goes to one on trial or under suspicion, if there is one;
+// attempt that may be retried goes to one on trial or under suspicion, if there is one;
 // what must not be lost goes to one that has just shown that it is well, if that
 // is soon found.
 func (in *Ingress) choose(r *request, trace *attemptTrace) (choice, bool) {
--- a/internal/ingress/hedge.go
+++ b/internal/ingress/hedge.go
@@ -23,7 +23,7 @@
 )
 
 // round is an attempt of a request and, once that is late and if the request may be
-// repeated, hedges of it at other backend servers. The first whole answer wins and the
+// retried, hedges of it at other backend servers. The first whole answer wins and the
 // rest is cancelled. A hedge is sent only where a slot is kept for it; that of a call of a
 // backend server waits for one, since such calls go first. The late attempt goes on meanwhile,
 // since its answer may be the first.
@@ -149,7 +149,7 @@
 		in:      r.in,
 		request: r.request,
 		hedge:   true,
-		choice:  choice{target: target, noWait: !r.request.subrequest, proven: !r.asked, repeat: repeatOwn},
+		choice:  choice{target: target, noWait: !r.request.subrequest, proven: !r.asked, grant: grantOwn},
 	})
 }
 
@@ -210,14 +210,14 @@
 	}
 }
 
-// finish runs the attempt. One that repeats the request has taken a repeat, which ends here.
+// finish runs the attempt. One that retries the request has taken a retry, which ends here.
 func (a *attempt) finish(ctx context.Context) finished {
 	f := a.runKept(ctx)
 	reached := f.err == nil || retry.Reached(result.From(f.err).Code)
 	if reached {
 		a.request.reached.Store(true)
 	}
-	a.request.service.limit.end(a.repeat, reached)
+	a.request.service.limit.end(a.grant, reached)
 	return f
 }
 
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -104,14 +104,14 @@
 	GiveBack      func(customer string)
 	// Runs knows what the backend servers of this host run; nil if nothing is known of that.
 	Runs *runs.Table
-	// Retries is the host's book of repeats; nil keeps one for the ingress alone.
+	// Retries is the host's book of retries; nil keeps one for the ingress alone.
 	Retries *retry.Book
 	// HostsCounted says whether the declaration has the hosts that the platform's store listed, so
 	// that they can share what all of them may do together; nil if it always has.
 	HostsCounted func() bool
-	// BorrowRepeat takes a repeat of a request to the service from another host, to be made at once;
+	// BorrowRetry takes a retry of a request to the service from another host, to be made at once;
 	// nil if others are not asked.
-	BorrowRepeat func(ctx context.Context, service string) bool
+	BorrowRetry func(ctx context.Context, service string) bool
 	// Local runs a request on a backend server of the daemon's own host.
 	Local func(context.Context, hop.Call, *http.Request) (sidecar.Answer, error)
 	// LocalReservation keeps a slot of a backend server of the daemon's own host.
--- a/internal/ingress/limit.go
+++ b/internal/ingress/limit.go
@@ -7,16 +7,16 @@
 	"github.com/tideliftd/tidelift/internal/retry"
 )
 
-// repeat says who answers for a repeat that was taken.
-type repeat string
+// retryGrant says who answers for a retry that was taken.
+type retryGrant string
 
 const (
-	// repeatNone means that none was taken.
-	repeatNone repeat = ""
-	// repeatOwn means that this host does, so that it must be ended.
-	repeatOwn repeat = "own"
-	// repeatLent means that another host does, which has lent it.
-	repeatLent repeat = "lent"
+	// grantNone means that none was taken.
+	grantNone retryGrant = ""
+	// grantOwn means that this host does, so that it must be ended.
+	grantOwn retryGrant = "own"
+	// grantBorrowed means that another host does, which has lent it.
+	grantBorrowed retryGrant = "lent"
 )
 
 // retryLimit is a service's retry limit, as far as this host answers for it.
@@ -26,34 +26,34 @@
 	borrow  func(ctx context.Context, service string) bool // nil if no other host is asked
 }
 
-// left says whether a repeat is likely to be had now. Every request asks it, and whether others may
+// left says whether a retry is likely to be had now. Every request asks it, and whether others may
 // be asked is the cheaper question of the two by far.
 func (l *retryLimit) left(now time.Time) bool {
 	return l.book.MayBorrow(now, l.service) || l.book.Left(now, l.service)
 }
 
-// takeOwn takes a repeat of this host, or says that none is left.
+// takeOwn takes a retry of this host, or says that none is left.
 func (l *retryLimit) takeOwn() bool { return l.book.Take(time.Now(), l.service) }
 
-// takeAny takes a repeat of this host, or else of another if that has one to spare.
-func (l *retryLimit) takeAny(ctx context.Context) repeat {
+// takeAny takes a retry of this host, or else of another if that has one to spare.
+func (l *retryLimit) takeAny(ctx context.Context) retryGrant {
 	switch {
 	case l.takeOwn():
-		return repeatOwn
+		return grantOwn
 	case l.borrow != nil && l.borrow(ctx, l.service):
-		return repeatLent
+		return grantBorrowed
 	default:
-		return repeatNone
+		return grantNone
 	}
 }
 
-// giveBack gives a repeat back that was taken and not used.
-func (l *retryLimit) giveBack(r repeat) { l.end(r, false) }
+// giveBack gives a retry back that was taken and not used.
+func (l *retryLimit) giveBack(r retryGrant) { l.end(r, false) }
 
-// end takes it that an attempt for which a repeat was taken has ended, and whether it reached a
+// end takes it that an attempt for which a retry was taken has ended, and whether it reached a
 // backend server, or may have.
-func (l *retryLimit) end(r repeat, reached bool) {
-	if r == repeatOwn {
+func (l *retryLimit) end(r retryGrant, reached bool) {
+	if r == grantOwn {
 		l.book.End(time.Now(), l.service, reached)
 	}
 }
--- a/internal/ingress/limit_test.go
+++ b/internal/ingress/limit_test.go
@@ -39,18 +39,18 @@
 	runs    *runs.Table
 	book    *retry.Book
 	sent    atomic.Int64 // that reached a backend server
-	repeats atomic.Int64 // of them, those that say that they are repeats
-	reject  *result.Code // what a repeat meets in place of a backend server, if that is not nil
+	retries atomic.Int64 // of them, those that say that they are retries
+	reject  *result.Code // what a retry meets in place of a backend server, if that is not nil
 }
 
 // do breaks each connection.
 func (l *limited) do(_ context.Context, call hop.Call, _ *http.Request) (sidecar.Answer, error) {
-	if call.Repeat && l.reject != nil {
+	if call.Retry && l.reject != nil {
 		return sidecar.Answer{}, result.New(*l.reject)
 	}
 	l.sent.Add(1)
-	if call.Repeat {
-		l.repeats.Add(1)
+	if call.Retry {
+		l.retries.Add(1)
 	}
 	return sidecar.Answer{}, result.New(result.ConnectionLost)
 }
@@ -86,15 +86,15 @@
 func TestRepeatsAreWhatRequestsEarned(t *testing.T) {
 	l := newLimited(t, nil)
 	l.ask(100, "a")
-	if sent, repeats := l.sent.Load(), l.repeats.Load(); sent != 105 || repeats != 5 {
-		t.Fatalf("%d sendings of 100 requests, %d of them repeats", sent, repeats)
+	if sent, retries := l.sent.Load(), l.retries.Load(); sent != 105 || retries != 5 {
+		t.Fatalf("%d sendings of 100 requests, %d of them repeats", sent, retries)
 	}
 	if l.book.Left(time.Now(), "names") {
 		t.Fatal("repeats are left")
 	}
 }
 
-// TestARepeatThatReachesNobodyCostsNothing lets repeats find no slot or no connection.
+// TestARepeatThatReachesNobodyCostsNothing lets retries find no slot or no connection.
 func TestARepeatThatReachesNobodyCostsNothing(t *testing.T) {
 	for _, code := range []result.Code{result.Busy, result.QueueFull, result.ServerUnreachable, result.RetryLimit} {
 		t.Run(code.Name, func(t *testing.T) {
@@ -115,28 +115,28 @@
 	}
 }
 
-// TestACallOfARepeatIsOne lets a backend server of the host call for a run that was a repeat: each
+// TestACallOfARepeatIsOne lets a backend server of the host call for a run that was a retry: each
 // call says that it is one, counts as one and earns nothing.
 func TestACallOfARepeatIsOne(t *testing.T) {
 	l := newLimited(t, nil)
-	l.ask(199, "a") // nine repeats
-	l.runs.Begin(time.Now(), runs.Run{ID: "r", Service: "search", Repeat: true})
+	l.ask(199, "a") // nine retries
+	l.runs.Begin(time.Now(), runs.Run{ID: "r", Service: "search", Retry: true})
 	l.ask(2, "r.1")
-	if sent, repeats := l.sent.Load(), l.repeats.Load(); sent != 199+9+2 || repeats != 9+2 {
-		t.Fatalf("%d sendings, %d of them repeats", sent, repeats)
+	if sent, retries := l.sent.Load(), l.retries.Load(); sent != 199+9+2 || retries != 9+2 {
+		t.Fatalf("%d sendings, %d of them repeats", sent, retries)
 	}
 	l.ask(40, "a")
-	if repeats := l.repeats.Load(); repeats != 11 {
-		t.Fatalf("%d repeats after 239 requests and two calls of a repeat", repeats)
+	if retries := l.retries.Load(); retries != 11 {
+		t.Fatalf("%d repeats after 239 requests and two calls of a repeat", retries)
 	}
 }
 
-// TestACallOfARepeatThatNobodyMayRun lets every backend server refuse a call of a repeat for want of
+// TestACallOfARepeatThatNobodyMayRun lets every backend server refuse a call of a retry for want of
 // room for what it would call itself: it was not run, and its caller hears that.
 func TestACallOfARepeatThatNobodyMayRun(t *testing.T) {
 	code := result.RetryLimit
 	l := newLimited(t, &code)
-	l.runs.Begin(time.Now(), runs.Run{ID: "r", Service: "search", Repeat: true})
+	l.runs.Begin(time.Now(), runs.Run{ID: "r", Service: "search", Retry: true})
 	r := httptest.NewRequest(http.MethodGet, "http://a.example/x", nil)
 	r.Header.Set("Request-Id", "r.1")
 	w := httptest.NewRecorder()
--- a/internal/ingress/reservation.go
+++ b/internal/ingress/reservation.go
@@ -18,7 +18,7 @@
 	// server.
 	reservationPart = 3
 	// reservationWithin bounds it further. Source: ten round trips between data
-	// centres, and a lost packet's first repeat after 200 ms.
+	// centres, and a lost packet's first retransmission after 200 ms.
 	reservationWithin = 400 * time.Millisecond
 )
 
--- a/internal/ingress/send.go
+++ b/internal/ingress/send.go
@@ -42,7 +42,7 @@
 		Insist:        c.insist,
 		NoWait:        c.noWait,
 		Proven:        c.proven,
-		Repeat:        c.repeat != repeatNone || r.ofRepeat,
+		Retry:         c.grant != grantNone || r.ofRetry,
 		Reservation:   c.reservation,
 		Body:          r.body,
 		Host:          in.config.Host,
--- a/internal/ingress/service.go
+++ b/internal/ingress/service.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// retrySizes returns the limits of the services' repeats, whose slack all hosts share once they have
+// retrySizes returns the limits of the services' retries, whose slack all hosts share once they have
 // been counted.
 func (in *Ingress) retrySizes(d fleet.Declaration) map[string]retry.Size {
 	parts := len(d.Hosts)
@@ -81,7 +81,7 @@
 func (in *Ingress) reconfigureService(declared fleet.Service, index *fleet.Index) *service {
 	s := &service{
 		pool:  balance.NewPool(balance.Config{DataCentre: in.config.DataCentre, Random: rand.Uint64, Start: in.start}),
-		limit: &retryLimit{book: in.config.Retries, service: declared.Name, borrow: in.config.BorrowRepeat},
+		limit: &retryLimit{book: in.config.Retries, service: declared.Name, borrow: in.config.BorrowRetry},
 		rules: detect.RulesOf(declared.Detection),
 		calls: newCallCounters(in.config.Scope, declared.Name),
 	}
--- a/internal/ingress/subrequest.go
+++ b/internal/ingress/subrequest.go
@@ -12,16 +12,16 @@
 )
 
 // callCounters count what backend servers of this host call of a service, by the run that does.
-type callCounters struct{ ofFirst, ofRepeat tally.Counter }
+type callCounters struct{ ofFirst, ofRetry tally.Counter }
 
 func newCallCounters(scope tally.Scope, service string) callCounters {
 	counter := func(of string) tally.Counter {
 		return scope.Tagged(map[string]string{"service": service, "of": of}).Counter("ingress_subrequests")
 	}
-	return callCounters{ofFirst: counter("first"), ofRepeat: counter("repeat")}
+	return callCounters{ofFirst: counter("first"), ofRetry: counter("repeat")}
 }
 
-// count counts the request for its service's retry limit. A call of a run that was a repeat counts
+// count counts the request for its service's retry limit. A call of a run that was a retry counts
 // as one itself; any other request earns a part of one.
 func (in *Ingress) count(r *request, now time.Time) {
 	run, ok := in.config.Runs.Caller(now, in.requestID(r.Request))
@@ -30,9 +30,9 @@
 		return
 	}
 	r.charged = in.config.Retries.Call(now, run, r.name)
-	r.ofRepeat = run.Repeat
-	if run.Repeat {
-		r.service.calls.ofRepeat.Inc(1)
+	r.ofRetry = run.Retry
+	if run.Retry {
+		r.service.calls.ofRetry.Inc(1)
 		return
 	}
 	r.service.calls.ofFirst.Inc(1)
--- a/internal/ingress/trace.go
+++ b/internal/ingress/trace.go
@@ -22,7 +22,7 @@
 	limited    int               // that had no retry left
 	passedOver passedOver        // that only sent the request on
 	unchecked  bool              // it may go where requests seem to hang, for an experiment
-	repeat     repeat            // that was taken for the next attempt
+	grant      retryGrant        // that was taken for the next attempt
 	last       *result.Error
 	mayHaveRun *result.Error // the last that may have run; nil if none may
 }
--- a/internal/quarantinesync/write.go
+++ b/internal/quarantinesync/write.go
@@ -53,7 +53,7 @@
 
 // writeLater has a change written that this daemon has made: at once where it may complete a quarantine or
 // end one, and a single end only if it is not cleared soon. Most are: of the requests that run on a backend
-// server when it ends by itself, those that may be repeated are answered by the next.
+// server when it ends by itself, those that may be retried are answered by the next.
 func (t *task) writeLater(now time.Time, before, after quarantine.Record) {
 	switch {
 	case after.WasQuarantined() || len(after.Ends) > 1 || len(before.Ends) > 1:
--- a/internal/retry/book.go
+++ b/internal/retry/book.go
@@ -9,7 +9,7 @@
 type Config struct {
 	// Began is when the daemon began.
 	Began time.Time
-	// Borrows says that other hosts can be asked for repeats.
+	// Borrows says that other hosts can be asked for retries.
 	Borrows bool
 }
 
@@ -39,7 +39,7 @@
 	}
 }
 
-// Resize takes the limits of the services. One that is no longer declared has no repeats; its budget
+// Resize takes the limits of the services. One that is no longer declared has no retries; its budget
 // is kept until it is empty, so that a service that is declared again has nothing twice.
 func (b *Book) Resize(now time.Time, sizes map[string]Size) {
 	b.mu.Lock()
@@ -88,15 +88,15 @@
 	b.budget(service).Earn(now)
 }
 
-// Left says whether a repeat may be taken.
+// Left says whether a retry may be taken.
 func (b *Book) Left(now time.Time, service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.endLent(now)
-	return b.budget(service).Left(now) >= oneRepeat
+	return b.budget(service).Left(now) >= oneRetry
 }
 
-// Take takes a repeat of a request to the service, or says that none is left. It must be ended.
+// Take takes a retry of a request to the service, or says that none is left. It must be ended.
 func (b *Book) Take(now time.Time, service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -104,7 +104,7 @@
 	return b.budget(service).Take(now)
 }
 
-// End ends a repeat that was taken, or a call of a repeated run: sent says whether it was sent.
+// End ends a retry that was taken, or a call of a retried run: sent says whether it was sent.
 func (b *Book) End(now time.Time, service string, sent bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/retry/book_test.go
+++ b/internal/retry/book_test.go
@@ -9,7 +9,7 @@
 )
 
 // newTestBook returns the book of a host on which two hundred requests to each service have begun, so
-// that each has ten repeats.
+// that each has ten retries.
 func newTestBook() *retry.Book {
 	b := retry.NewBook(retry.Config{Began: epoch})
 	size := retry.Size{Share: 0.2, Window: 10 * time.Second, Parts: 1}
@@ -21,7 +21,7 @@
 	return b
 }
 
-// left counts the repeats that are left, by taking them all and giving them back.
+// left counts the retries that are left, by taking them all and giving them back.
 func left(b *retry.Book, service string) int {
 	count := 0
 	for b.Take(epoch, service) {
@@ -36,7 +36,7 @@
 // TestCallsOfARepeat goes through what calls do to the limit of the service that is called.
 func TestCallsOfARepeat(t *testing.T) {
 	first := runs.Run{ID: "first", Service: "search"}
-	repeat := runs.Run{ID: "repeat", Service: "search", Repeat: true}
+	retried := runs.Run{ID: "repeat", Service: "search", Retry: true}
 	b := newTestBook()
 	step := func(what string, want int) {
 		t.Helper()
@@ -49,34 +49,34 @@
 	b.Call(epoch, first, "names")
 	b.Finish(epoch, first)
 	step("a first run has called", 10)
-	b.Begin(epoch, repeat, nil)
+	b.Begin(epoch, retried, nil)
 	step("a repeat runs", 9)
-	b.Call(epoch, repeat, "names")
+	b.Call(epoch, retried, "names")
 	step("it has called", 9)
-	b.Call(epoch, repeat, "names")
+	b.Call(epoch, retried, "names")
 	step("it has called once more than any before", 8)
 	b.End(epoch, "names", true)
 	b.End(epoch, "names", false)
-	b.Finish(epoch, repeat)
+	b.Finish(epoch, retried)
 	step("it has ended, and one of its calls was not sent", 9)
-	b.Begin(epoch, repeat, nil)
+	b.Begin(epoch, retried, nil)
 	step("the next repeat may call twice", 7)
-	b.Finish(epoch, repeat)
+	b.Finish(epoch, retried)
 	step("it has not called", 9)
 }
 
 // TestCallsOfAnotherService lets runs call a service to which no other requests begin here: the
-// first repeat calls without room for it, and no other runs before that is paid back.
+// first retry calls without room for it, and no other runs before that is paid back.
 func TestCallsOfAnotherService(t *testing.T) {
 	b := newTestBook()
-	repeat := runs.Run{ID: "r", Service: "search", Repeat: true}
-	if !b.Begin(epoch, repeat, nil) {
+	retried := runs.Run{ID: "r", Service: "search", Retry: true}
+	if !b.Begin(epoch, retried, nil) {
 		t.Fatal("a repeat of which nobody knows that it calls was refused")
 	}
-	b.Call(epoch, repeat, "prices")
+	b.Call(epoch, retried, "prices")
 	b.End(epoch, "prices", true)
-	b.Finish(epoch, repeat)
-	if b.Begin(epoch, repeat, nil) || b.MayRun(epoch, "search") {
+	b.Finish(epoch, retried)
+	if b.Begin(epoch, retried, nil) || b.MayRun(epoch, "search") {
 		t.Fatal("a repeat runs without room for its calls")
 	}
 	if !b.MayRun(epoch, "names") {
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -11,22 +11,22 @@
 	// different times of a window, so each part must be counted in the same way by all; then their
 	// sum is at most the share of the better of both windows. What is banked pays for what fails all
 	// at once after a calm; the rest is there when everything has just started: in the seconds 6 to 12
-	// of a day, with a half banked, 20 to 23 of 26 hosts had no repeat left of a service whose limit
+	// of a day, with a half banked, 20 to 23 of 26 hosts had no retry left of a service whose limit
 	// was half used. Callers got no more of a quarter in place of a half on six days by three seeds.
 	banked = 0.25
 	// slackPart is the part of the slack that hosts may use without a request that earned it. Source:
 	// the rest is for hosts that have not been heard of, a third of those that have, and for calls
 	// that nobody expected.
 	slackPart = 0.75
-	// oneRepeat is what a repeat costs.
-	oneRepeat = 1
+	// oneRetry is what a retry costs.
+	oneRetry = 1
 )
 
-// Size is how many repeats a service may have.
+// Size is how many retries a service may have.
 type Size struct {
-	// Share is the repeats as a share of the service's requests, from 0 to 1.
+	// Share is the retries as a share of the service's requests, from 0 to 1.
 	Share float64
-	// Slack is how many repeats beyond that the service may get in a window.
+	// Slack is how many retries beyond that the service may get in a window.
 	Slack float64
 	// Window is the time over which both are counted, more than zero.
 	Window time.Duration
@@ -35,7 +35,7 @@
 	Parts int
 }
 
-// Budget bounds the repeats of one service that one daemon answers for. It allows nothing until
+// Budget bounds the retries of one service that one daemon answers for. It allows nothing until
 // Resize.
 type Budget struct {
 	size    Size
@@ -43,7 +43,7 @@
 	began   time.Time
 	clear   time.Duration // before that nobody used this host's part of the slack
 	counted window
-	onWay   int // repeats that were taken and have not ended
+	onWay   int // retries that were taken and have not ended
 }
 
 // NewBudget returns the budget of a daemon that began then. One that starts again gets no part of the
@@ -81,7 +81,7 @@
 	}
 }
 
-// Left returns how many repeats may be taken.
+// Left returns how many retries may be taken.
 func (b *Budget) Left(now time.Time) int {
 	if b.counted.current(now) == nil {
 		return 0
@@ -89,7 +89,7 @@
 	slack := b.slack(now)
 	least := b.counted.least(func(c counts) float64 {
 		earned := banked*float64(c.before) + (1-banked)*float64(c.since)
-		return b.size.Share*earned + slack - float64(c.repeats)
+		return b.size.Share*earned + slack - float64(c.retries)
 	})
 	return max(0, int(math.Floor(least))-b.onWay)
 }
@@ -102,23 +102,23 @@
 	return slackPart * b.size.Slack / float64(b.parts)
 }
 
-// Take takes a repeat, or says that none is left. It must be ended.
+// Take takes a retry, or says that none is left. It must be ended.
 func (b *Budget) Take(now time.Time) bool {
-	if b.Left(now) < oneRepeat {
+	if b.Left(now) < oneRetry {
 		return false
 	}
 	b.onWay++
 	return true
 }
 
-// Charge takes a repeat that is made whether one is left or not. It must be ended.
+// Charge takes a retry that is made whether one is left or not. It must be ended.
 func (b *Budget) Charge() { b.onWay++ }
 
-// End ends a repeat that was taken. One that was sent counts for a window from now on, since it
+// End ends a retry that was taken. One that was sent counts for a window from now on, since it
 // arrived at the latest now; one that was not costs nothing.
 func (b *Budget) End(now time.Time, sent bool) {
 	b.onWay--
 	if c := b.counted.current(now); c != nil && sent {
-		c.repeats++
+		c.retries++
 	}
 }
--- a/internal/retry/budget_test.go
+++ b/internal/retry/budget_test.go
@@ -17,7 +17,7 @@
 	size     retry.Size
 	now      time.Time
 	requests []time.Time
-	repeats  []time.Time // when they arrived
+	retries  []time.Time // when they arrived
 	onWay    []time.Time // when those that have not ended arrived, or were taken
 }
 
@@ -50,7 +50,7 @@
 	return between(times, p.now.Add(-ago-p.size.Window), p.now.Add(-ago))
 }
 
-// TestBudget takes repeats as often as it can, lets each arrive and end at any time after that, and
+// TestBudget takes retries as often as it can, lets each arrive and end at any time after that, and
 // some not be sent, while the number of parts changes. In the window that ends at any moment there
 // are no more than the share of its requests and of those of the window before, each by its part, and
 // the budget's part of the slack. So there are no more than the share of the best of three windows:
@@ -77,7 +77,7 @@
 			"a repeat": func(*rapid.T) {
 				if p.budget.Take(p.now) {
 					p.onWay = append(p.onWay, p.now)
-					p.repeats = append(p.repeats, p.now)
+					p.retries = append(p.retries, p.now)
 				}
 			},
 			"an end": func(*rapid.T) {
@@ -92,14 +92,14 @@
 				}
 			},
 			"": func(t *rapid.T) {
-				repeats := p.window(p.repeats, 0)
+				retries := p.window(p.retries, 0)
 				both := 3*p.window(p.requests, 0)/4 + p.window(p.requests, p.size.Window)/4
-				if repeats > p.size.Share*both+part {
-					t.Fatalf("%g repeats, %g requests of two windows, size %+v", repeats, both, p.size)
+				if retries > p.size.Share*both+part {
+					t.Fatalf("%g repeats, %g requests of two windows, size %+v", retries, both, p.size)
 				}
 				best := max(p.window(p.requests, 0), p.window(p.requests, p.size.Window/2), p.window(p.requests, p.size.Window))
-				if repeats > p.size.Share*best+part {
-					t.Fatalf("%g repeats, %g requests in the best window, size %+v", repeats, best, p.size)
+				if retries > p.size.Share*best+part {
+					t.Fatalf("%g repeats, %g requests in the best window, size %+v", retries, best, p.size)
 				}
 			},
 		})
@@ -113,7 +113,7 @@
 	return b, epoch.Add(10 * time.Second)
 }
 
-// TestABurstIsPaidFromTheWindow lets one that took no repeat for a window take what its requests
+// TestABurstIsPaidFromTheWindow lets one that took no retry for a window take what its requests
 // banked at once, with its part of the slack, and all that they earn within a window.
 func TestABurstIsPaidFromTheWindow(t *testing.T) {
 	b, now := newKovacsBudget()
@@ -143,7 +143,7 @@
 	}
 }
 
-// takeAll takes repeats until there are none, each sent at once, and returns how many there were.
+// takeAll takes retries until there are none, each sent at once, and returns how many there were.
 func takeAll(b *retry.Budget, now time.Time) int {
 	taken := 0
 	for b.Take(now) {
@@ -154,7 +154,7 @@
 }
 
 // TestAStartHasNoPartOfTheSlack starts a daemon again and again, each time within a window: none
-// gets a repeat that no request earned.
+// gets a retry that no request earned.
 func TestAStartHasNoPartOfTheSlack(t *testing.T) {
 	now := epoch
 	for range 20 {
--- a/internal/retry/calls.go
+++ b/internal/retry/calls.go
@@ -18,13 +18,13 @@
 type running struct {
 	count int
 	made  map[string]int // calls, by service
-	held  map[string]int // repeats that are kept for calls, by service
-	// borrowed are repeats that others lent for calls, by service, each until when it is good.
+	held  map[string]int // retries that are kept for calls, by service
+	// borrowed are retries that others lent for calls, by service, each until when it is good.
 	borrowed map[string][]time.Time
 }
 
-// MayRun says whether a repeat may run at a backend server of the service on this host: whether
-// the repeats that its calls will be are left or may be borrowed.
+// MayRun says whether a retry may run at a backend server of the service on this host: whether
+// the retries that its calls will be are left or may be borrowed.
 func (b *Book) MayRun(now time.Time, service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -36,7 +36,7 @@
 	return true
 }
 
-// Missing returns the services of which a repeat has to be borrowed before one of that service runs
+// Missing returns the services of which a retry has to be borrowed before one of that service runs
 // here, each as often as that.
 func (b *Book) Missing(now time.Time, service string) []string {
 	b.mu.Lock()
@@ -79,13 +79,13 @@
 	b.calls, b.callsBefore, b.turned = make(map[callPath]int), b.calls, now
 }
 
-// Begin takes it that a backend server of the host is sent the request. For a repeat it keeps the
-// repeats that its calls will be, the borrowed ones among them, or says that they are not left; then it
+// Begin takes it that a backend server of the host is sent the request. For a retry it keeps the
+// retries that its calls will be, the borrowed ones among them, or says that they are not left; then it
 // must not be sent. One that was begun must be ended with Finish.
 func (b *Book) Begin(now time.Time, run runs.Run, borrowed []string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if run.Repeat && len(b.missing(now, run.Service)) > len(borrowed) {
+	if run.Retry && len(b.missing(now, run.Service)) > len(borrowed) {
 		return false
 	}
 	if run.ID == "" {
@@ -97,13 +97,13 @@
 		b.running[run.ID] = r
 	}
 	r.count++
-	if run.Repeat {
+	if run.Retry {
 		b.keep(now, r, b.expected(run.Service), borrowed)
 	}
 	return true
 }
 
-// keep keeps the expected calls' repeats for the run. The caller holds mu.
+// keep keeps the expected calls' retries for the run. The caller holds mu.
 func (b *Book) keep(now time.Time, r *running, expected map[string]int, borrowed []string) {
 	for _, service := range borrowed {
 		r.borrowed[service] = append(r.borrowed[service], now.Add(LentFor(b.sizes[service].Window)))
@@ -138,7 +138,7 @@
 }
 
 // Call takes it that a run of the host calls the service, and says whether the call must be ended
-// with End. That of a repeat draws on what was kept for it, or on what is left, and is made also if
+// with End. That of a retry draws on what was kept for it, or on what is left, and is made also if
 // nothing is. That of a first run counts as a request.
 func (b *Book) Call(now time.Time, from runs.Run, service string) (charged bool) {
 	b.mu.Lock()
@@ -147,7 +147,7 @@
 	if ok {
 		b.learn(now, callPath{from.Service, service}, r)
 	}
-	if !from.Repeat {
+	if !from.Retry {
 		b.budget(service).Earn(now)
 		return false
 	}
@@ -169,7 +169,7 @@
 	b.calls[path] = max(b.calls[path], r.made[path.to])
 }
 
-// useBorrowed uses a repeat that was borrowed for a call of the service, if there is one that is
+// useBorrowed uses a retry that was borrowed for a call of the service, if there is one that is
 // good.
 func (r *running) useBorrowed(now time.Time, service string) bool {
 	borrowed := r.borrowed[service]
--- a/internal/retry/daemon_test.go
+++ b/internal/retry/daemon_test.go
@@ -18,7 +18,7 @@
 	// counted is how many hosts the platform's store listed once the daemon had been there for a
 	// while; the store does not answer each.
 	counted *int
-	// open are repeats that were taken here and have not ended; called are calls.
+	// open are retries that were taken here and have not ended; called are calls.
 	open   map[*simRequest]int
 	called map[*simRequest]bool
 }
@@ -75,7 +75,7 @@
 }
 
 // mayRepeat says whether the request may be sent again, to that host.
-func (d simDaemon) mayRepeat(r *simRequest, to *simHost) bool {
+func (d simDaemon) mayRetry(r *simRequest, to *simHost) bool {
 	now := d.fleet.now
 	own := d.book.Take(now, string(r.service))
 	if !own && !d.borrows(r.service) {
@@ -91,7 +91,7 @@
 	return began
 }
 
-// begins takes it that the backend server of the host is sent a repeat, and borrows what its calls
+// begins takes it that the backend server of the host is sent a retry, and borrows what its calls
 // will need.
 func (d simDaemon) begins(run runs.Run) bool {
 	missing := d.book.Missing(d.fleet.now, run.Service)
@@ -103,7 +103,7 @@
 	return d.book.Begin(d.fleet.now, run, missing)
 }
 
-// borrows asks three other hosts for a repeat.
+// borrows asks three other hosts for a retry.
 func (d simDaemon) borrows(service serviceName) bool {
 	for range 3 {
 		other := d.fleet.hosts[d.fleet.random.IntN(len(d.fleet.hosts))]
@@ -116,7 +116,7 @@
 
 // runOf is the run of a request.
 func runOf(r *simRequest, again bool) runs.Run {
-	return runs.Run{ID: fmt.Sprintf("%p", r), Service: string(r.service), Repeat: again || r.ofRepeat}
+	return runs.Run{ID: fmt.Sprintf("%p", r), Service: string(r.service), Retry: again || r.ofRetry}
 }
 
 // run takes a request that is sent to the backend server of the host, and returns what is
@@ -132,14 +132,14 @@
 // calls takes it that the run calls a service.
 func (d simDaemon) calls(from, call *simRequest) {
 	d.called[call] = true
-	if d.book.Call(d.fleet.now, runOf(from, call.ofRepeat), string(call.service)) {
+	if d.book.Call(d.fleet.now, runOf(from, call.ofRetry), string(call.service)) {
 		d.open[call]++
 	}
 }
 
 // arrived takes it that an arrival of the request has ended.
 func (d simDaemon) arrived(r *simRequest, again bool) {
-	if (again || r.ofRepeat) && d.open[r] > 0 {
+	if (again || r.ofRetry) && d.open[r] > 0 {
 		d.open[r]--
 		d.book.End(d.fleet.now, string(r.service), true)
 	}
--- a/internal/retry/fleet_test.go
+++ b/internal/retry/fleet_test.go
@@ -11,9 +11,9 @@
 	"github.com/tideliftd/tidelift/internal/retry"
 )
 
-// Users saw more repeats at a service than its limit allows, ten seconds long, while backend
+// Users saw more retries at a service than its limit allows, ten seconds long, while backend
 // servers of two services broke connections and others came and went. Every daemon kept to its
-// own part. What was missing in the sum: calls of runs that were repeats themselves (a third of
+// own part. What was missing in the sum: calls of runs that were retries themselves (a third of
 // what counted, on a day that was played with a line for each sending), and parts that did not
 // add up, since each start had one of its own and daemons knew of between three and six.
 
@@ -58,7 +58,7 @@
 type simRequest struct {
 	service  serviceName
 	from     *simHost
-	ofRepeat bool // a run that is a repeat itself has called it
+	ofRetry  bool // a run that is a retry itself has called it
 	arrivals int
 }
 
@@ -70,16 +70,16 @@
 	hosts   []*simHost
 	later   map[int64][]func() // by the number of the tick
 	tick    int64
-	// requests and repeats are when they were sent and when they arrived.
+	// requests and retries are when they were sent and when they arrived.
 	requests map[serviceName][]time.Time
-	repeats  map[serviceName][]time.Time
-	refused  int // repeats that the limit refused
+	retries  map[serviceName][]time.Time
+	refused  int // retries that the limit refused
 }
 
 func newSimFleet(seed uint64, t trouble) *simFleet {
 	f := &simFleet{
 		random: rand.New(rand.NewPCG(seed, 0)), trouble: t, now: epoch, later: make(map[int64][]func()),
-		requests: make(map[serviceName][]time.Time), repeats: make(map[serviceName][]time.Time),
+		requests: make(map[serviceName][]time.Time), retries: make(map[serviceName][]time.Time),
 	}
 	for n := range fleetHosts {
 		h := &simHost{number: n, service: search}
@@ -149,7 +149,7 @@
 
 // send takes a request from its caller.
 func (f *simFleet) send(r *simRequest) {
-	if !r.ofRepeat {
+	if !r.ofRetry {
 		f.requests[r.service] = append(f.requests[r.service], f.now)
 	}
 	r.from.daemon.begin(r)
@@ -171,7 +171,7 @@
 		return
 	}
 	again := r.arrivals > 0
-	if again && !r.from.daemon.mayRepeat(r, to) {
+	if again && !r.from.daemon.mayRetry(r, to) {
 		f.refused++
 		return
 	}
@@ -181,12 +181,12 @@
 // arrive counts the arrival, and lets it fail or run.
 func (f *simFleet) arrive(r *simRequest, to *simHost, again bool) {
 	r.arrivals++
-	if again || r.ofRepeat {
-		f.repeats[r.service] = append(f.repeats[r.service], f.now)
+	if again || r.ofRetry {
+		f.retries[r.service] = append(f.retries[r.service], f.now)
 	}
 	end := to.daemon.run(r, again)
 	if r.service == search && f.random.Float64() < f.trouble.calls {
-		call := &simRequest{service: names, from: to, ofRepeat: again || r.ofRepeat}
+		call := &simRequest{service: names, from: to, ofRetry: again || r.ofRetry}
 		f.soon(func() {
 			to.daemon.calls(r, call)
 			f.send(call)
@@ -202,18 +202,18 @@
 	})
 }
 
-// worst returns by how many repeats the window that begins with one of them exceeds the limit
+// worst returns by how many retries the window that begins with one of them exceeds the limit
 // most, and how many it has.
-func (f *simFleet) worst(service serviceName) (over float64, repeats int) {
+func (f *simFleet) worst(service serviceName) (over float64, retries int) {
 	over = -fleetSlack
-	for _, at := range f.repeats[service] {
-		count := within(f.repeats[service], at)
+	for _, at := range f.retries[service] {
+		count := within(f.retries[service], at)
 		requests := max(within(f.requests[service], at), within(f.requests[service], at.Add(-fleetWindow/2)), within(f.requests[service], at.Add(-fleetWindow)))
 		if beyond := float64(count) - fleetShare*float64(requests) - fleetSlack; beyond > over {
-			over, repeats = beyond, count
+			over, retries = beyond, count
 		}
 	}
-	return over, repeats
+	return over, retries
 }
 
 // within counts the times of the window that begins then.
@@ -228,7 +228,7 @@
 }
 
 // TestAFleetStaysWithinTheLimit plays a fleet in trouble and counts as users do, in any window:
-// all arrivals beyond a request's first, and calls of runs that were repeats.
+// all arrivals beyond a request's first, and calls of runs that were retries.
 func TestAFleetStaysWithinTheLimit(t *testing.T) {
 	tests := map[string]trouble{
 		"calls of repeated runs":           {failing: 0.6, calls: 0.7},
@@ -247,8 +247,8 @@
 					names:  rapid.Float64Range(0, 40).Draw(t, "requests of names a second"),
 				})
 				for _, service := range []serviceName{search, names} {
-					if over, repeats := f.worst(service); over > 0 {
-						t.Fatalf("%s: %d repeats in a window, %.1f beyond the limit", service, repeats, over)
+					if over, retries := f.worst(service); over > 0 {
+						t.Fatalf("%s: %d repeats in a window, %.1f beyond the limit", service, retries, over)
 					}
 				}
 			})
--- a/internal/retry/lend.go
+++ b/internal/retry/lend.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// refusedFor is how long no other host is asked for a repeat of a service after none had one to
+// refusedFor is how long no other host is asked for a retry of a service after none had one to
 // spare. Source: where many requests fail at once, asking for each would cost as much as the
-// repeats.
+// retries.
 const refusedFor = 250 * time.Millisecond
 
-// lent is a repeat that another host makes, until then at the latest.
+// lent is a retry that another host makes, until then at the latest.
 type lent struct {
 	service string
 	until   time.Time
 }
 
-// Lend takes a repeat for another host, or says that there is none to spare. The other may make it
+// Lend takes a retry for another host, or says that there is none to spare. The other may make it
 // within LentFor; it counts here as if it were made at the end of that time.
 func (b *Book) Lend(now time.Time, service string) bool {
 	b.mu.Lock()
@@ -26,7 +26,7 @@
 	return true
 }
 
-// endLent ends the repeats that were lent and must have been made. The caller holds mu.
+// endLent ends the retries that were lent and must have been made. The caller holds mu.
 func (b *Book) endLent(now time.Time) {
 	for len(b.lent) > 0 && now.After(b.lent[0].until) {
 		b.budget(b.lent[0].service).End(now, true)
@@ -34,14 +34,14 @@
 	}
 }
 
-// Refused takes it that no other host had a repeat of the service to spare.
+// Refused takes it that no other host had a retry of the service to spare.
 func (b *Book) Refused(now time.Time, service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.refused[service] = now
 }
 
-// MayBorrow says whether it is worth while to ask another host for a repeat of the service.
+// MayBorrow says whether it is worth while to ask another host for a retry of the service.
 func (b *Book) MayBorrow(now time.Time, service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -1,11 +1,11 @@
-// Package retry decides whether a failed attempt may be tried again, and keeps the repeats of a
+// Package retry decides whether a failed attempt may be tried again, and keeps the retries of a
 // whole service within its limit.
 //
 // The limit is on what all daemons together do to a service: in any window of time its backend
-// servers get at most a share of its requests, and a slack, as repeats. A repeat is a request that is
-// sent to a backend server once more, and each call of a run that was a repeat itself. Nobody counts
+// servers get at most a share of its requests, and a slack, as retries. A retry is a request that is
+// sent to a backend server once more, and each call of a run that was a retry itself. Nobody counts
 // the sum. A Book is what one daemon answers for: the requests that begin on its host, and what
-// the backend servers of its host call. It takes a repeat only from what those requests earned, so
+// the backend servers of its host call. It takes a retry only from what those requests earned, so
 // that the sum holds whatever else happens: no daemon needs to know how many there are, one
 // that starts again has earned nothing yet, and one that is cut off earns no more than before.
 //
@@ -40,18 +40,18 @@
 //     attempts and the limit, and only if it did not run or may run twice.
 //   - What another backend server would not change is final: the customer's own
 //     limits, the deadline, a caller that went away, a malformed request.
-//   - A request earns most of its share of a repeat in the window in which it is sent, and a quarter in
-//     the next one. Each daemon's repeats of any window are paid in this way from its requests of that
+//   - A request earns most of its share of a retry in the window in which it is sent, and a quarter in
+//     the next one. Each daemon's retries of any window are paid in this way from its requests of that
 //     window and the one before, so all daemons' together are too: at most the share of the better of
 //     both.
 //   - Three quarters of the slack are shared by the hosts that the platform's store listed. Each uses its
 //     part once nobody can have used it within a window, and while the store has its record.
-//   - A host that has no repeat left may borrow one, which counts at the lender.
-//   - A repeat runs only where there is room for the calls that it may make, by what runs of its
+//   - A host that has no retry left may borrow one, which counts at the lender.
+//   - A retry runs only where there is room for the calls that it may make, by what runs of its
 //     service called in the last minutes. Calls beyond that are made, and paid back.
 //
 // The bound does not cover calls whose id does not tell of the run that made them, nor a fleet of
-// which more than a quarter has not been heard of by the rest. A repeat that waits for a slot for more
+// which more than a quarter has not been heard of by the rest. A retry that waits for a slot for more
 // than a thirteenth of the window may count in a later one.
 package retry
 
--- a/internal/retry/window.go
+++ b/internal/retry/window.go
@@ -6,17 +6,17 @@
 	// cellCount is how many cells a window is counted in. Source: what is counted is true to one of
 	// them, a quarter of a second for a window of ten.
 	cellCount = 40
-	// lateCells is how much later than it was taken a repeat may arrive, in cells, and still count
+	// lateCells is how much later than it was taken a retry may arrive, in cells, and still count
 	// in the right window: 0.75 s for a window of ten seconds. Source: the way there and the wait
-	// for a slot; repeats look for one that is free. It gives away a thirteenth of what is banked.
+	// for a slot; retries look for one that is free. It gives away a thirteenth of what is banked.
 	lateCells = 3
 )
 
-// LentFor is how long a repeat that a host lends to another is good for, in a window of that length:
-// as much later as a repeat may arrive.
+// LentFor is how long a retry that a host lends to another is good for, in a window of that length:
+// as much later as a retry may arrive.
 func LentFor(length time.Duration) time.Duration { return length / cellCount * lateCells }
 
-// window counts requests and repeats over the last two windows. One without a length counts
+// window counts requests and retries over the last two windows. One without a length counts
 // nothing.
 type window struct {
 	length time.Duration
@@ -27,7 +27,7 @@
 }
 
 // cell is what was counted in a part of the window.
-type cell struct{ requests, repeats int32 }
+type cell struct{ requests, retries int32 }
 
 // current returns the cell of that moment, after clearing those that are over. It is
 // nil for a window without a length that cells can share.
@@ -65,7 +65,7 @@
 func (w *window) empty() bool { return w.cells == [2 * cellCount]cell{} }
 
 // counts is what was counted since a moment, and in the window before it.
-type counts struct{ before, since, repeats int }
+type counts struct{ before, since, retries int }
 
 // least returns the least of what the function says of the counts, over all moments of the last
 // window. Requests of the moment's own cell count as before it.
@@ -75,12 +75,12 @@
 	for i := range cellsBefore {
 		c.before += int(w.ago(i).requests)
 	}
-	c.repeats = int(w.ago(0).repeats)
+	c.retries = int(w.ago(0).retries)
 	least := room(c)
 	for i := 1; i <= cellCount; i++ {
 		c.since += int(w.ago(i - 1).requests)
 		c.before += int(w.ago(i+cellsBefore-1).requests) - int(w.ago(i-1).requests)
-		c.repeats += int(w.ago(i).repeats)
+		c.retries += int(w.ago(i).retries)
 		least = min(least, room(c))
 	}
 	return least
--- a/internal/runs/runs.go
+++ b/internal/runs/runs.go
@@ -11,14 +11,14 @@
 //     The longest such run is the one.
 //   - A run is remembered for some seconds after it began, also after its answer: what it
 //     called may come late.
-//   - Of two runs of the same id on this host, a repeat is what is remembered.
+//   - Of two runs of the same id on this host, a retry is what is remembered.
 //
 // A Table has no clock, goroutine or socket. It is safe for concurrent use.
 //
 // # Usage
 //
 //	table := runs.New()
-//	table.Begin(now, runs.Run{ID: "4f2a", Service: "lookup", Repeat: true})
+//	table.Begin(now, runs.Run{ID: "4f2a", Service: "lookup", Retry: true})
 //	run, ok := table.Caller(now, "4f2a.1")
 package runs
 
@@ -45,8 +45,8 @@
 	ID string
 	// Service is the backend server's.
 	Service string
-	// Repeat says that the request had been sent to a backend server before, or may have been.
-	Repeat bool
+	// Retry says that the request had been sent to a backend server before, or may have been.
+	Retry bool
 }
 
 // Table is the runs of one host.
@@ -69,8 +69,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.turn(now)
-	if before, ok := t.find(run.ID); ok && before.Repeat {
-		run.Repeat = true
+	if before, ok := t.find(run.ID); ok && before.Retry {
+		run.Retry = true
 	}
 	t.young[run.ID] = run
 }
--- a/internal/runs/runs_test.go
+++ b/internal/runs/runs_test.go
@@ -12,7 +12,7 @@
 
 func TestCaller(t *testing.T) {
 	table := runs.New()
-	for _, run := range []runs.Run{{ID: "4f2a"}, {ID: "4f2a.1", Repeat: true}, {ID: "77-b0"}, {ID: "", Repeat: true}} {
+	for _, run := range []runs.Run{{ID: "4f2a"}, {ID: "4f2a.1", Retry: true}, {ID: "77-b0"}, {ID: "", Retry: true}} {
 		table.Begin(epoch, run)
 	}
 	tests := []struct {
@@ -44,10 +44,10 @@
 // time.
 func TestARepeatStaysOne(t *testing.T) {
 	table := runs.New()
-	for _, repeat := range []bool{false, true, false} {
-		table.Begin(epoch, runs.Run{ID: "a", Repeat: repeat})
+	for _, retried := range []bool{false, true, false} {
+		table.Begin(epoch, runs.Run{ID: "a", Retry: retried})
 	}
-	if run, _ := table.Caller(epoch, "a.1"); !run.Repeat {
+	if run, _ := table.Caller(epoch, "a.1"); !run.Retry {
 		t.Fatal("the repeat is forgotten")
 	}
 }
--- a/internal/sidecar/exchange.go
+++ b/internal/sidecar/exchange.go
@@ -62,7 +62,7 @@
 }
 
 // belongs says whether the answer is to the request, by the id that a backend
-// server repeats.
+// server echoes.
 func (h *headers) belongs(response *http.Response, in *http.Request) bool {
 	if h.IDHeader == "" {
 		return true
--- a/internal/sidecar/retries_test.go
+++ b/internal/sidecar/retries_test.go
@@ -34,7 +34,7 @@
 	return <-m.reply
 }
 
-// TestARepeatNeedsRoomForItsCalls offers a repeat to a backend server whose calls would be repeats
+// TestARepeatNeedsRoomForItsCalls offers a retry to a backend server whose calls would be retries
 // beyond the limit of the service that it calls.
 func TestARepeatNeedsRoomForItsCalls(t *testing.T) {
 	now := time.Now()
@@ -42,20 +42,20 @@
 	if g := offer(calling, now, 1, hop.Call{}); g.err != nil {
 		t.Fatalf("a first sending was refused: %v", g.err)
 	}
-	g := offer(calling, now, 2, hop.Call{Repeat: true})
+	g := offer(calling, now, 2, hop.Call{Retry: true})
 	if g.err == nil || g.err.Code.Number != result.RetryLimit.Number {
 		t.Fatalf("a repeat without room for its calls got %v", g.err)
 	}
-	const requests = 40 // a quarter of a fifth of them is two repeats
+	const requests = 40 // a quarter of a fifth of them is two retries
 	for range requests {
 		book.Request(now, "names")
 	}
-	if g := offer(calling, now, 3, hop.Call{Repeat: true}); g.err != nil {
+	if g := offer(calling, now, 3, hop.Call{Retry: true}); g.err != nil {
 		t.Fatalf("a repeat with room for its calls was refused: %v", g.err)
 	}
 }
 
-// TestARepeatThatIsNotSentKeepsNothing begins a repeat, by which its calls' repeats are kept, and
+// TestARepeatThatIsNotSentKeepsNothing begins a retry, by which its calls' retries are kept, and
 // ends it: they are left again.
 func TestARepeatThatIsNotSentKeepsNothing(t *testing.T) {
 	now := time.Now()
@@ -63,15 +63,15 @@
 	for range 40 {
 		book.Request(now, "names")
 	}
-	run := runs.Run{ID: "b", Service: calling.declared.Service.Name, Repeat: true}
+	run := runs.Run{ID: "b", Service: calling.declared.Service.Name, Retry: true}
 	if !book.Begin(now, run, nil) || book.Left(now, "names") {
 		t.Fatal("what a repeat may call is not kept for it")
 	}
-	if g := offer(calling, now, 1, hop.Call{Repeat: true}); g.err == nil {
+	if g := offer(calling, now, 1, hop.Call{Retry: true}); g.err == nil {
 		t.Fatal("another repeat got what is kept")
 	}
 	book.Finish(now, run)
-	if g := offer(calling, now, 2, hop.Call{Repeat: true}); g.err != nil {
+	if g := offer(calling, now, 2, hop.Call{Retry: true}); g.err != nil {
 		t.Fatalf("what was kept is not left again: %v", g.err)
 	}
 }
--- a/internal/sidecar/runs.go
+++ b/internal/sidecar/runs.go
@@ -22,10 +22,10 @@
 }
 
 // begin takes it that the request is sent to the backend server now, and returns what is done at
-// the end of its run. A repeat is refused if the repeats that its calls will be are neither left nor
+// the end of its run. A retry is refused if the retries that its calls will be are neither left nor
 // lent.
 func (s *Sidecar) begin(ctx context.Context, server *server, call hop.Call, id string) (end func(), err error) {
-	run := runs.Run{ID: id, Service: server.declared.Load().Service.Name, Repeat: call.Repeat}
+	run := runs.Run{ID: id, Service: server.declared.Load().Service.Name, Retry: call.Retry}
 	borrowed, ok := s.borrowFor(ctx, run)
 	now := time.Now()
 	if !ok || !s.config.Retries.Begin(now, run, borrowed) {
@@ -36,14 +36,14 @@
 	return func() { s.config.Retries.Finish(time.Now(), run) }, nil
 }
 
-// borrowFor borrows what is missing for the calls of a repeat, and says false if others do not have
+// borrowFor borrows what is missing for the calls of a retry, and says false if others do not have
 // it.
 func (s *Sidecar) borrowFor(ctx context.Context, run runs.Run) (borrowed []string, ok bool) {
-	if !run.Repeat || s.config.BorrowRepeat == nil {
+	if !run.Retry || s.config.BorrowRetry == nil {
 		return nil, true
 	}
 	for _, service := range s.config.Retries.Missing(time.Now(), run.Service) {
-		if !s.config.BorrowRepeat(ctx, service) {
+		if !s.config.BorrowRetry(ctx, service) {
 			return nil, false
 		}
 		borrowed = append(borrowed, service)
@@ -53,7 +53,7 @@
 
 // count counts what is sent for the run.
 func (c sendings) count(run runs.Run) {
-	if run.Repeat {
+	if run.Retry {
 		c.repeat.Inc(1)
 		return
 	}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -13,7 +13,7 @@
 //	lease.go       asks others for leases to keep serving, and gives its own
 //	report.go      describes the backend server to operators
 //	reservation.go keeps a slot for a request that must not run twice
-//	runs.go        counts and remembers what is sent, and keeps room for what repeats call
+//	runs.go        counts and remembers what is sent, and keeps room for what retries call
 //	ends.go        finds out which requests a backend server ran when it ended
 //	usage.go       counts what the time of slots goes to
 //	server.go      is the handle of the task for everybody else
@@ -77,11 +77,11 @@
 	Answered func(good bool)
 	// Runs learns what the backend servers of this host run; nil keeps it to the sidecar.
 	Runs *runs.Table
-	// Retries is the host's book of repeats; nil allows those that call nothing.
+	// Retries is the host's book of retries; nil allows those that call nothing.
 	Retries *retry.Book
-	// BorrowRepeat takes a repeat of a request to the service from another host, for a call to be made
+	// BorrowRetry takes a retry of a request to the service from another host, for a call to be made
 	// soon; nil if others are not asked.
-	BorrowRepeat func(ctx context.Context, service string) bool
+	BorrowRetry func(ctx context.Context, service string) bool
 	// Quarantine knows which requests no backend server is to be sent; nil if that is not kept.
 	Quarantine *quarantinesync.Syncer
 	// Peer carries the calls to other backend servers' sidecars.
--- a/internal/sidecar/slots.go
+++ b/internal/sidecar/slots.go
@@ -30,7 +30,7 @@
 		m.reply <- grant{err: result.New(result.Unproven)}
 		return
 	}
-	if m.call.Repeat && !t.config.Retries.MayRun(now, t.declared.Service.Name) {
+	if m.call.Retry && !t.config.Retries.MayRun(now, t.declared.Service.Name) {
 		m.reply <- grant{err: result.New(result.RetryLimit)}
 		return
 	}
--- a/test/bench/bench.go
+++ b/test/bench/bench.go
@@ -8,7 +8,7 @@
 // The bench is the users' own program, and the site one of their files; neither is part
 // of this repository. The bench plays the sources of the folder that it runs in, leaves an
 // entry in that folder's journal, and charges no processor time, so that a play mostly
-// repeats.
+// retries.
 package bench
 
 import (
--- a/test/registered/registered_test.go
+++ b/test/registered/registered_test.go
@@ -131,7 +131,7 @@
 	f := newFleet(t, 2)
 	bad, good := f.hosts[0], f.hosts[1]
 	for range 400 {
-		good.get("/once/x") // each earns a part of a repeat
+		good.get("/once/x") // each earns a part of a retry
 	}
 	var name atomic.Pointer[string]
 	good.does(func(w http.ResponseWriter, _ *http.Request) { signed(w, http.StatusOK, "good") })
--- a/test/registered/repeats_test.go
+++ b/test/registered/repeats_test.go
@@ -16,9 +16,9 @@
 	"github.com/tideliftd/tidelift/platform"
 )
 
-// On a day with two services that broke most connections, users counted more repeats at the smaller
+// On a day with two services that broke most connections, users counted more retries at the smaller
 // one than its limit allows. Each daemon had kept to its part; the rest were calls by runs of the
-// larger service that were repeats themselves: 54 to 71 of some 200 in ten seconds, with a line
+// larger service that were retries themselves: 54 to 71 of some 200 in ten seconds, with a line
 // for each sending. Backend servers that came and went added parts of their own.
 
 const (
@@ -40,54 +40,54 @@
 // repeatsSeen counts requests and arrivals as users do.
 type repeatsSeen struct {
 	mu       sync.Mutex
-	requests map[string][]time.Time // by service, but for calls of repeated runs
-	repeats  map[string][]time.Time // arrivals beyond the first, and all of calls of repeated runs
+	requests map[string][]time.Time // by service, but for calls of retried runs
+	retries  map[string][]time.Time // arrivals beyond the first, and all of calls of retried runs
 	arrivals map[string]int         // by request
-	ofRepeat map[string]bool        // requests that a repeated run called
+	ofRetry  map[string]bool        // requests that a retried run called
 }
 
 func newRepeatsSeen() *repeatsSeen {
 	return &repeatsSeen{
-		requests: make(map[string][]time.Time), repeats: make(map[string][]time.Time),
-		arrivals: make(map[string]int), ofRepeat: make(map[string]bool),
+		requests: make(map[string][]time.Time), retries: make(map[string][]time.Time),
+		arrivals: make(map[string]int), ofRetry: make(map[string]bool),
 	}
 }
 
 // sent takes a request to the service, or a call of a run.
-func (s *repeatsSeen) sent(service, id string, ofRepeat bool) {
+func (s *repeatsSeen) sent(service, id string, ofRetry bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if ofRepeat {
-		s.ofRepeat[id] = true
+	if ofRetry {
+		s.ofRetry[id] = true
 		return
 	}
 	s.requests[service] = append(s.requests[service], time.Now())
 }
 
-// arrived takes an arrival and says whether its run is a repeat.
+// arrived takes an arrival and says whether its run is a retry.
 func (s *repeatsSeen) arrived(service, id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.arrivals[id]++
-	repeat := s.arrivals[id] > 1 || s.ofRepeat[id]
+	repeat := s.arrivals[id] > 1 || s.ofRetry[id]
 	if repeat {
-		s.repeats[service] = append(s.repeats[service], time.Now())
+		s.retries[service] = append(s.retries[service], time.Now())
 	}
 	return repeat
 }
 
-// check fails the test if a window of the service has more repeats than its limit allows.
+// check fails the test if a window of the service has more retries than its limit allows.
 func (s *repeatsSeen) check(t *testing.T, service string) {
 	t.Helper()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	most := 0
-	for _, at := range s.repeats[service] {
-		repeats := inWindow(s.repeats[service], at)
-		most = max(most, repeats)
+	for _, at := range s.retries[service] {
+		retries := inWindow(s.retries[service], at)
+		most = max(most, retries)
 		requests := max(inWindow(s.requests[service], at), inWindow(s.requests[service], at.Add(-repeatsWindow/2)), inWindow(s.requests[service], at.Add(-repeatsWindow)))
-		if allowed := repeatsShare*float64(requests) + repeatsSlack; float64(repeats) > allowed {
-			t.Fatalf("%s: %d repeats in %v, for %d requests; allowed are %.0f", service, repeats, repeatsWindow, requests, allowed)
+		if allowed := repeatsShare*float64(requests) + repeatsSlack; float64(retries) > allowed {
+			t.Fatalf("%s: %d repeats in %v, for %d requests; allowed are %.0f", service, retries, repeatsWindow, requests, allowed)
 		}
 	}
 	if most == 0 {
@@ -192,7 +192,7 @@
 }
 
 // TestRepeatsOfAFleetStayWithinTheLimit breaks connections of two services, of which one calls the
-// other, and counts repeats as users do; then backend servers start again all the time too, under
+// other, and counts retries as users do; then backend servers start again all the time too, under
 // new names, and daemons with them.
 func TestRepeatsOfAFleetStayWithinTheLimit(t *testing.T) {
 	tests := map[string]func(*host){
@@ -226,7 +226,7 @@
 	}
 }
 
-// TestARepeatIsBorrowed lets requests earn repeats at one host, and a request fail at another where
+// TestARepeatIsBorrowed lets requests earn retries at one host, and a request fail at another where
 // none has begun: it is sent again.
 func TestARepeatIsBorrowed(t *testing.T) {
 	f := newStore(t)
@@ -252,7 +252,7 @@
 		lender.get("/names/x")
 		return lender.served.Load() > 0 && borrower.served.Load() > 0 && f.hosts[2].served.Load() > 0
 	})
-	f.await("the borrower knows them", func() bool { // by a request or two, which earn less than a repeat
+	f.await("the borrower knows them", func() bool { // by a request or two, which earn less than a retry
 		time.Sleep(500 * time.Millisecond)
 		before := lender.served.Load() + f.hosts[2].served.Load()
 		borrower.get("/names/x")
