--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -21,12 +21,12 @@
 //   - A free slot is given at once.
 //   - A request that could not start before its deadline, by the time that
 //     recent requests took, is refused at once. So is one that would come too late for
-//     its aim where more wait than there are slots: its slot is better given to one that
+//     its latency target where more wait than there are slots: its slot is better given to one that
 //     can still be in time, and its caller knows at once.
 //   - The most urgent wait least: of two that wait the one of the lower priority
 //     number is served first, but for one grant in UrgentGrants, so that nobody
 //     starves. It may take the place of another that has just come.
-//   - Of one customer's requests those that can still meet their aim are served
+//   - Of one customer's requests those that can still meet their latency target are served
 //     before those that come late in any case.
 //   - Waiting customers of one priority take turns. A customer that has its fair
 //     part of the queue leaves a place free for each other that was seen in the last
@@ -94,8 +94,8 @@
 	Customer string
 	// Priority is the rank; 0 is served first.
 	Priority int
-	// Aim is when the answer should be there; zero says nothing of it.
-	Aim time.Time
+	// TargetAt is when the answer should be there; zero says nothing of it.
+	TargetAt time.Time
 	// Usual is how long its answer usually takes; zero if that is not known.
 	Usual time.Duration
 	// Deadline is when the answer has to be there.
@@ -158,7 +158,7 @@
 		return Decision{Verdict: Granted}
 	}
 	start := now.Add(q.wait(q.before(r.Priority) + 1))
-	if start.After(r.Deadline) || q.waiting >= q.config.Slots && q.missesAim(start, r) {
+	if start.After(r.Deadline) || q.waiting >= q.config.Slots && q.missesTarget(start, r) {
 		return Decision{Verdict: RefusedLate, RetryAfter: q.RetryAfter()}
 	}
 	if q.waiting >= q.config.Depth {
@@ -171,14 +171,14 @@
 	return Decision{Verdict: Queued}
 }
 
-// missesAim says whether the request, run from then on, is answered after its aim if it
+// missesTarget says whether the request, run from then on, is answered after its latency target if it
 // takes as long as usual.
-func (q *Queue) missesAim(from time.Time, r Request) bool {
+func (q *Queue) missesTarget(from time.Time, r Request) bool {
 	usual := r.Usual
 	if usual == 0 {
 		usual = q.serviceTime
 	}
-	return !r.Aim.IsZero() && from.Add(usual).After(r.Aim)
+	return !r.TargetAt.IsZero() && from.Add(usual).After(r.TargetAt)
 }
 
 // before returns how many wait that are served before one of that priority.
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -112,7 +112,7 @@
 	q := admission.NewQueue(admission.Config{Slots: 1, Depth: 10})
 	for id, aim := range []time.Duration{time.Second, 50 * time.Millisecond, 60 * time.Millisecond, time.Second} {
 		r := request(uint64(id)+1, "a")
-		r.Aim = start.Add(aim)
+		r.TargetAt = start.Add(aim)
 		q.Offer(start, r)
 	}
 	late := start.Add(55 * time.Millisecond)
@@ -211,13 +211,13 @@
 }
 
 // TestACrowdedQueueRefusesWhatMissesItsAim holds that a request which would come after its
-// aim is refused at once where more wait than there are slots, and waits where few do.
+// latency target is refused at once where more wait than there are slots, and waits where few do.
 func TestACrowdedQueueRefusesWhatMissesItsAim(t *testing.T) {
 	now := time.Now()
 	q := admission.NewQueue(admission.Config{Slots: 2, Depth: 100})
 	offer := func(id uint64, aim time.Duration) admission.Verdict {
 		return q.Offer(now, admission.Request{
-			ID: id, Aim: now.Add(aim), Usual: 400 * time.Millisecond, Deadline: now.Add(time.Minute),
+			ID: id, TargetAt: now.Add(aim), Usual: 400 * time.Millisecond, Deadline: now.Add(time.Minute),
 		}).Verdict
 	}
 	for id := range uint64(4) {
--- a/internal/admission/line.go
+++ b/internal/admission/line.go
@@ -34,16 +34,16 @@
 	l.waiting[bucket]++
 }
 
-// popTurn takes the request whose turn is next among those whose aim is not before ready,
+// popTurn takes the request whose turn is next among those whose latency target is not before ready,
 // which is when an answer could be there, or among all if there are none. The line is not
 // empty.
 //
 // Where many customers wait with one request each, a turn that goes to whoever is next, late
 // or not, leaves too few to those who can still be in time: of what 81 customers asked of a
-// backend server at 1.2 times its capacity, 0.63 was answered within its aim and 0.19 later; so
+// backend server at 1.2 times its capacity, 0.63 was answered within its latency target and 0.19 later; so
 // it is 0.79 and 0.04, as with one customer (TestManyCustomersInTimeGoFirst).
 func (l *line) popTurn(ready time.Time) Request {
-	next := l.firstTurn(func(r Request) bool { return r.Aim.IsZero() || !r.Aim.Before(ready) })
+	next := l.firstTurn(func(r Request) bool { return r.TargetAt.IsZero() || !r.TargetAt.Before(ready) })
 	if next < 0 {
 		next = l.firstTurn(func(Request) bool { return true })
 	}
--- a/internal/admission/many_test.go
+++ b/internal/admission/many_test.go
@@ -70,11 +70,11 @@
 		}
 		total++
 		id := uint64(total)
-		r := admission.Request{ID: id, Customer: fmt.Sprint(random.IntN(c.customers)), Aim: now.Add(c.aim), Usual: c.took, Deadline: now.Add(c.deadline)}
+		r := admission.Request{ID: id, Customer: fmt.Sprint(random.IntN(c.customers)), TargetAt: now.Add(c.aim), Usual: c.took, Deadline: now.Add(c.deadline)}
 		if random.Float64() >= c.urgent {
 			r.Priority = 1
 		}
-		aims[id], came[id] = r.Aim, now
+		aims[id], came[id] = r.TargetAt, now
 		switch decision := q.Offer(now, r); decision.Verdict {
 		case admission.Granted:
 			grant(now, []uint64{id})
@@ -95,7 +95,7 @@
 }
 
 // TestManyCustomersInTimeGoFirst lets 81 customers ask for a fifth more than there is: most of
-// what is answered is answered within its aim, as it is with one customer.
+// what is answered is answered within its latency target, as it is with one customer.
 func TestManyCustomersInTimeGoFirst(t *testing.T) {
 	c := crowd{perSecond: 96, took: 50 * time.Millisecond, aim: 150 * time.Millisecond, deadline: 1200 * time.Millisecond}
 	for _, customers := range []int{1, 81} {
--- a/internal/admission/remove.go
+++ b/internal/admission/remove.go
@@ -3,11 +3,11 @@
 import "time"
 
 // Expire takes out the waiting requests that have no hope or, in a crowded queue, will come
-// too late for their aim, and returns them. A queue is crowded while more wait than there are
+// too late for their latency target, and returns them. A queue is crowded while more wait than there are
 // slots.
 //
 // When a request will come is judged by its place now: what is more urgent may have come
-// after it. Who was refused only once its aim was lost had waited for 406 ms of 600 on average
+// after it. Who was refused only once its latency target was lost had waited for 406 ms of 600 on average
 // where a third of the requests were more urgent, at 1.4 times the capacity; so it is 289 ms,
 // and the same share is answered in time (TestWhoHasNoChanceHearsItSoon).
 func (q *Queue) Expire(now time.Time) []uint64 {
@@ -16,7 +16,7 @@
 	ahead := 0
 	for _, l := range q.lines {
 		for _, r := range l.inOrder() {
-			late := kept > q.config.Slots && q.missesAim(now.Add(q.wait(ahead+1)), r.Request)
+			late := kept > q.config.Slots && q.missesTarget(now.Add(q.wait(ahead+1)), r.Request)
 			if late || q.isHopeless(now, r.Request) {
 				out[r.ID] = true
 				kept--
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -24,13 +24,13 @@
 
 // The mechanisms.
 const (
-	// Hedges sends a late idempotent request to another backend server too.
+	// Hedges sends a slow idempotent request to another backend server too.
 	Hedges Mechanism = "hedges"
 	// Compression packs bytes between data centres.
 	Compression Mechanism = "compression"
 	// Subrequests learns what backend servers call, and serves that first.
 	Subrequests Mechanism = "subrequests"
-	// Aims refuses in a crowded queue what would come too late for its aim.
+	// Aims refuses in a crowded queue what would come too late for its latency target.
 	Aims Mechanism = "aims"
 	// Suspicion asks a backend server last at the first sign of failing.
 	Suspicion Mechanism = "suspicion"
--- a/internal/hop/call.go
+++ b/internal/hop/call.go
@@ -12,15 +12,15 @@
 	BackendServer string
 	// TimeLeft is what the caller's deadline leaves.
 	TimeLeft time.Duration
-	// Aim is what is left of the time in which an answer is worth most; zero or
+	// TargetLeft is what is left of the time in which an answer is worth most; zero or
 	// less if that is over.
-	Aim time.Duration
-	// Target is the time within which the route's answers are worth most; zero if it
+	TargetLeft time.Duration
+	// LatencyTarget is the time within which the route's answers are worth most; zero if it
 	// is not known.
-	Target time.Duration
-	// Late is how long a request of the route runs before it has outlasted nearly all
+	LatencyTarget time.Duration
+	// SlowAfter is how long a request of the route runs before it has outlasted nearly all
 	// others; zero if that is not known.
-	Late time.Duration
+	SlowAfter time.Duration
 	// Usual is how long an answer of the route usually takes; zero if it is not known.
 	Usual time.Duration
 	// Customer is who the request is for; it may be empty.
@@ -36,14 +36,14 @@
 	Origin string
 	// Priority is the request's rank in a queue; 0 is served first.
 	Priority int
-	// Insist says that nobody else takes the request, so that suspicion is no reason
+	// DespiteSuspicion says that nobody else takes the request, so that suspicion is no reason
 	// to refuse it.
-	Insist bool
-	// NoWait asks for a refusal in place of a wait for a slot.
-	NoWait bool
-	// Proven asks for a refusal if the backend server seems to hang: a request is late
+	DespiteSuspicion bool
+	// RefuseIfBusy asks for a refusal in place of a wait for a slot.
+	RefuseIfBusy bool
+	// RefuseIfHanging asks for a refusal if the backend server seems to hang: a request is slow
 	// there, and no later one has been answered well.
-	Proven bool
+	RefuseIfHanging bool
 	// Retry says that the request has reached a backend server before, or may yet, so that
 	// this sending draws on the service's retry limit.
 	Retry bool
--- a/internal/hop/encode.go
+++ b/internal/hop/encode.go
@@ -18,9 +18,9 @@
 	BackendServer string
 	Flags         uint64
 	TimeLeft      int64
-	Aim           int64
-	Target        int64
-	Late          int64
+	TargetLeft    int64
+	LatencyTarget int64
+	SlowAfter     int64
 	Usual         int64
 	Priority      int
 	Customer      string
@@ -34,9 +34,9 @@
 const (
 	flagNonIdempotent uint64 = 1 << iota
 	flagWantReservation
-	flagInsist
-	flagNoWait
-	flagProven
+	flagDespiteSuspicion
+	flagRefuseIfBusy
+	flagRefuseIfHanging
 	flagRetry
 )
 
@@ -49,9 +49,9 @@
 		BackendServer: c.BackendServer,
 		Flags:         c.flags(),
 		TimeLeft:      c.TimeLeft.Microseconds(),
-		Aim:           leftOf(c.Aim),
-		Target:        leftOf(c.Target),
-		Late:          leftOf(c.Late),
+		TargetLeft:    leftOf(c.TargetLeft),
+		LatencyTarget: leftOf(c.LatencyTarget),
+		SlowAfter:     leftOf(c.SlowAfter),
 		Usual:         leftOf(c.Usual),
 		Priority:      c.Priority,
 		Customer:      c.Customer,
@@ -72,8 +72,8 @@
 
 // flags returns the call's flags in one number.
 func (c Call) flags() uint64 {
-	return bit(flagNonIdempotent, c.NonIdempotent) | bit(flagWantReservation, c.WantReservation) | bit(flagInsist, c.Insist) |
-		bit(flagNoWait, c.NoWait) | bit(flagProven, c.Proven) |
+	return bit(flagNonIdempotent, c.NonIdempotent) | bit(flagWantReservation, c.WantReservation) | bit(flagDespiteSuspicion, c.DespiteSuspicion) |
+		bit(flagRefuseIfBusy, c.RefuseIfBusy) | bit(flagRefuseIfHanging, c.RefuseIfHanging) |
 		bit(flagRetry, c.Retry)
 }
 
@@ -104,24 +104,24 @@
 // call returns what the wire's form says.
 func (w wireCall) call() Call {
 	return Call{
-		BackendServer:   w.BackendServer,
-		TimeLeft:        micros(w.TimeLeft),
-		Aim:             micros(w.Aim),
-		Target:          micros(w.Target),
-		Late:            micros(w.Late),
-		Usual:           micros(w.Usual),
-		Priority:        w.Priority,
-		Customer:        w.Customer,
-		Reservation:     w.Reservation,
-		Origin:          w.Origin,
-		Host:            w.Host,
-		Reference:       w.Reference,
-		NonIdempotent:   w.Flags&flagNonIdempotent != 0,
-		WantReservation: w.Flags&flagWantReservation != 0,
-		Insist:          w.Flags&flagInsist != 0,
-		NoWait:          w.Flags&flagNoWait != 0,
-		Proven:          w.Flags&flagProven != 0,
-		Retry:           w.Flags&flagRetry != 0,
+		BackendServer:    w.BackendServer,
+		TimeLeft:         micros(w.TimeLeft),
+		TargetLeft:       micros(w.TargetLeft),
+		LatencyTarget:    micros(w.LatencyTarget),
+		SlowAfter:        micros(w.SlowAfter),
+		Usual:            micros(w.Usual),
+		Priority:         w.Priority,
+		Customer:         w.Customer,
+		Reservation:      w.Reservation,
+		Origin:           w.Origin,
+		Host:             w.Host,
+		Reference:        w.Reference,
+		NonIdempotent:    w.Flags&flagNonIdempotent != 0,
+		WantReservation:  w.Flags&flagWantReservation != 0,
+		DespiteSuspicion: w.Flags&flagDespiteSuspicion != 0,
+		RefuseIfBusy:     w.Flags&flagRefuseIfBusy != 0,
+		RefuseIfHanging:  w.Flags&flagRefuseIfHanging != 0,
+		Retry:            w.Flags&flagRetry != 0,
 	}
 }
 
--- a/internal/ingress/admit.go
+++ b/internal/ingress/admit.go
@@ -25,8 +25,8 @@
 	service       *service
 	name          string
 	began         time.Time
-	target        time.Duration // within which an answer is worth most
-	aim           time.Time     // until when it may wait in a crowded queue
+	latencyTarget time.Duration // within which an answer is worth most
+	targetAt      time.Time     // until when it may wait in a crowded queue
 	deadline      time.Time
 	customer      string
 	queuesAs      string // whose turns it takes in queues
@@ -47,8 +47,8 @@
 // all new work, since a refusal wastes the work on that request.
 const subrequestPriority = -1
 
-// late returns how long an attempt runs before it is late; zero if none is.
-func (r *request) late() time.Duration { return r.latency.Late(r.target) }
+// slowAfter returns how long an attempt runs before it is slow; zero if none is.
+func (r *request) slowAfter() time.Duration { return r.latency.SlowAfter(r.latencyTarget) }
 
 // usual returns how long an answer to the request usually takes; zero if that is not
 // known.
@@ -97,8 +97,8 @@
 		service:       current.services[name],
 		name:          name,
 		began:         now,
-		target:        min(match.Target, left),
-		aim:           now.Add(min(match.Target, left)),
+		latencyTarget: min(match.Target, left),
+		targetAt:      now.Add(min(match.Target, left)),
 		deadline:      now.Add(left),
 		customer:      who.name,
 		queuesAs:      in.queuesAs(current, who),
@@ -112,11 +112,11 @@
 		mayBeCall: current.mayBeCall(who),
 	}
 	if in.config.Off.Has(experiment.Aims) {
-		admitted.aim = admitted.deadline
+		admitted.targetAt = admitted.deadline
 	}
 	if admitted.mayBeCall && in.subrequest.Is(admitted.route) && !in.config.Off.Has(experiment.Subrequests) {
 		admitted.subrequest = true
-		admitted.aim = admitted.deadline
+		admitted.targetAt = admitted.deadline
 		admitted.priority = subrequestPriority
 	}
 	in.count(admitted, now)
--- a/internal/ingress/attempt.go
+++ b/internal/ingress/attempt.go
@@ -20,7 +20,7 @@
 	in      *Ingress
 	request *request
 	choice
-	hedge     bool        // it is a hedge beside a late attempt
+	hedge     bool        // it is a hedge beside a slow attempt
 	overdue   atomic.Bool // it took far longer than others would
 	startedAt time.Time
 	cancel    context.CancelCauseFunc // ends it
--- a/internal/ingress/attempt_test.go
+++ b/internal/ingress/attempt_test.go
@@ -17,8 +17,8 @@
 // long it takes there.
 func TestNoHedgeInAPlannedStop(t *testing.T) {
 	in := &Ingress{}
-	late := &attempt{startedAt: time.Now().Add(-time.Second)}
-	r := &round{in: in, request: &request{attempts: 2}, trace: &attemptTrace{}, late: time.Millisecond, running: []*attempt{late}}
+	slowAfter := &attempt{startedAt: time.Now().Add(-time.Second)}
+	r := &round{in: in, request: &request{attempts: 2}, trace: &attemptTrace{}, slowAfter: time.Millisecond, running: []*attempt{slowAfter}}
 	if !r.mayHedge() {
 		t.Fatal("a late attempt of a repeatable request has no hedge")
 	}
@@ -30,18 +30,18 @@
 
 // TestWhatMustNotRunTwiceIsNeverHedged holds it, and the route's limit on attempts.
 func TestWhatMustNotRunTwiceIsNeverHedged(t *testing.T) {
-	late := &attempt{startedAt: time.Now().Add(-time.Second)}
+	slowAfter := &attempt{startedAt: time.Now().Add(-time.Second)}
 	for name, r := range map[string]*round{
 		"once":          {request: &request{attempts: 2, nonIdempotent: true}, trace: &attemptTrace{}},
 		"one attempt":   {request: &request{attempts: 1}, trace: &attemptTrace{}},
 		"sent before":   {request: &request{attempts: 2}, trace: &attemptTrace{sent: 1}},
-		"not late yet":  {request: &request{attempts: 2}, trace: &attemptTrace{}, late: time.Hour},
+		"not late yet":  {request: &request{attempts: 2}, trace: &attemptTrace{}, slowAfter: time.Hour},
 		"failed beside": {request: &request{attempts: 2}, trace: &attemptTrace{}, failed: &finished{}},
-		"nothing known": {request: &request{attempts: 2}, trace: &attemptTrace{}, late: 0},
+		"nothing known": {request: &request{attempts: 2}, trace: &attemptTrace{}, slowAfter: 0},
 	} {
-		r.in, r.running = &Ingress{}, []*attempt{late}
+		r.in, r.running = &Ingress{}, []*attempt{slowAfter}
 		if name != "nothing known" {
-			r.late = max(r.late, time.Millisecond)
+			r.slowAfter = max(r.slowAfter, time.Millisecond)
 		}
 		if r.mayHedge() {
 			t.Errorf("%s: a hedge is sent", name)
@@ -98,7 +98,7 @@
 }
 
 // TestHedgesAreOfferedInTurn has each backend server refuse a hedge: none is asked again
-// before all others have been asked, nor the one where the late attempt runs.
+// before all others have been asked, nor the one where the slow attempt runs.
 func TestHedgesAreOfferedInTurn(t *testing.T) {
 	r := newTestRound(t, 1)
 	r.request.service.pool = newTestPool(t, 6)
@@ -143,7 +143,7 @@
 	for _, off := range []experiment.Off{nil, {experiment.Hedges}} {
 		r := newTestRound(t, 1)
 		r.in.config.Off = off
-		r.late = time.Millisecond
+		r.slowAfter = time.Millisecond
 		look := r.firstLook()
 		select {
 		case <-look.C:
--- a/internal/ingress/attempts.go
+++ b/internal/ingress/attempts.go
@@ -56,7 +56,7 @@
 func (in *Ingress) next(ctx context.Context, r *request, trace *attemptTrace) (choice, bool) {
 	for {
 		c, ok := in.choose(r, trace)
-		found := ok && !c.insist
+		found := ok && !c.despiteSuspicion
 		if found || !trace.mayFind(r) || !in.waitABit(ctx, r) {
 			return c, ok
 		}
@@ -82,7 +82,7 @@
 	}
 	event.Log(in.config.Logger, event.AttemptFailed,
 		"request", in.requestID(r.Request), "service", r.name, "backend_server", a.target.Name, "trial", a.trial,
-		"no_wait", a.noWait, "proven", a.proven, "insist", a.insist,
+		"no_wait", a.refuseIfBusy, "proven", a.refuseIfHanging, "insist", a.despiteSuspicion,
 		"tried", len(trace.tried), "sent", trace.sent, "once", r.nonIdempotent, "code", failure.Code.Number, "result", failure.Code.Name,
 		"why", failure.Error(), "again", again, "passed_over", trace.passedOver.String())
 }
@@ -103,7 +103,7 @@
 	if r.body.Spent() {
 		return false
 	}
-	if retry.IsFull(trace.last.Code) && time.Now().After(r.aim) {
+	if retry.IsFull(trace.last.Code) && time.Now().After(r.targetAt) {
 		return false // the others are as full, and it has waited for its time
 	}
 	decision := retry.Decide(retry.Attempt{Sent: trace.sent, Most: r.attempts, Full: trace.full, NonIdempotent: r.nonIdempotent, Subrequest: r.subrequest, Err: trace.last})
--- a/internal/ingress/choose.go
+++ b/internal/ingress/choose.go
@@ -20,9 +20,9 @@
 	// maxFarLooks is how many of them may be in other data centres, to which bytes
 	// are dear and round trips long.
 	maxFarLooks = 1
-	// maxUnproven is how many backend servers are asked for one that does not seem to
+	// maxHanging is how many backend servers are asked for one that does not seem to
 	// hang, before any will do. Source: five in place of two served no more.
-	maxUnproven = 2
+	maxHanging = 2
 )
 
 // choice is whom to ask next, and how.
@@ -30,14 +30,14 @@
 	target *balance.Target
 	// trial says that the request shows whether the target has recovered.
 	trial bool
-	// noWait asks for a refusal in place of a wait for a slot.
-	noWait bool
-	// proven asks for a refusal if the target seems to hang.
-	proven bool
+	// refuseIfBusy asks for a refusal in place of a wait for a slot.
+	refuseIfBusy bool
+	// refuseIfHanging asks for a refusal if the target seems to hang.
+	refuseIfHanging bool
 	// grant is what was taken for it if the request has reached a backend server, or may yet.
 	grant retryGrant
-	// insist says that nobody else is left, so that suspicion is no reason to refuse.
-	insist bool
+	// despiteSuspicion says that nobody else is left, so that suspicion is no reason to refuse.
+	despiteSuspicion bool
 	// reservation is the leave of the target's sidecar to run the request; it may be
 	// empty.
 	reservation string
@@ -68,7 +68,7 @@
 		return choice{}, false // a suspected one would most likely fail it, and a refusal is true
 	}
 	target, ok := pool.PickSuspected(now, trace.tried)
-	return choice{target: target, insist: true}, ok
+	return choice{target: target, despiteSuspicion: true}, ok
 }
 
 // findOut chooses a target of which a request shows whether it is well again: one on
@@ -82,7 +82,7 @@
 		return choice{}, false
 	}
 	target, ok := s.pool.PickProbe(now)
-	return choice{target: target, noWait: true}, ok
+	return choice{target: target, refuseIfBusy: true}, ok
 }
 
 // patience is how long a request may look for a backend server that is not
@@ -90,7 +90,7 @@
 // an answer is worth most.
 func (r *request) patience(now time.Time) time.Duration {
 	const part = 4
-	return r.aim.Sub(r.began)/part - now.Sub(r.began)
+	return r.targetAt.Sub(r.began)/part - now.Sub(r.began)
 }
 
 // mayLook says whether another is asked for a free slot. For a call of a backend server all are:
@@ -110,12 +110,12 @@
 // look chooses one to ask for a free slot.
 func (t *attemptTrace) look(r *request, now time.Time) (choice, bool) {
 	mustNotFail := r.nonIdempotent || t.sent > 0 || !r.service.limit.left(now)
-	proven := mustNotFail && len(t.unproven) < maxUnproven && !t.unchecked
-	if proven {
-		if target, ok := r.service.pool.Pick(now, slices.Concat(t.tried, t.unproven)); ok {
-			return choice{target: target, noWait: true, proven: true}, true
+	refuseIfHanging := mustNotFail && len(t.hanging) < maxHanging && !t.unchecked
+	if refuseIfHanging {
+		if target, ok := r.service.pool.Pick(now, slices.Concat(t.tried, t.hanging)); ok {
+			return choice{target: target, refuseIfBusy: true, refuseIfHanging: true}, true
 		}
 	}
 	target, ok := r.service.pool.Pick(now, t.tried)
-	return choice{target: target, noWait: true}, ok
+	return choice{target: target, refuseIfBusy: true}, ok
 }
--- a/internal/ingress/hedge.go
+++ b/internal/ingress/hedge.go
@@ -15,31 +15,31 @@
 
 const (
 	// hedgeLooks is how often another backend server is looked for in the time after
-	// which a request is late, from then on.
+	// which a request is slow, from then on.
 	hedgeLooks = 4
 	// shortestLook bounds that, so that looking costs little where answers take
 	// milliseconds. Source: a few round trips between data centres.
 	shortestLook = 10 * time.Millisecond
 )
 
-// round is an attempt of a request and, once that is late and if the request may be
+// round is an attempt of a request and, once that is slow and if the request may be
 // retried, hedges of it at other backend servers. The first whole answer wins and the
 // rest is cancelled. A hedge is sent only where a slot is kept for it; that of a call of a
-// backend server waits for one, since such calls go first. The late attempt goes on meanwhile,
+// backend server waits for one, since such calls go first. The slow attempt goes on meanwhile,
 // since its answer may be the first.
 //
 // One goroutine owns the round; each attempt runs in its own and tells what became of it.
 type round struct {
-	in      *Ingress
-	request *request
-	trace   *attemptTrace
-	running []*attempt
-	avoid   []*balance.Target // where a hedge is not sent
-	failed  *finished         // the last that failed, which is not in the trace yet
-	late    time.Duration     // after which an attempt is late; zero if none is
-	refused []*balance.Target // that had no slot or no retry for a hedge; asked again after all others
-	asked   bool              // all have been asked once
-	done    chan finished
+	in        *Ingress
+	request   *request
+	trace     *attemptTrace
+	running   []*attempt
+	avoid     []*balance.Target // where a hedge is not sent
+	failed    *finished         // the last that failed, which is not in the trace yet
+	slowAfter time.Duration     // after which an attempt is slow; zero if none is
+	refused   []*balance.Target // that had no slot or no retry for a hedge; asked again after all others
+	asked     bool              // all have been asked once
+	done      chan finished
 }
 
 // finished is what became of an attempt.
@@ -55,16 +55,16 @@
 	return f.err == nil && !mayImprove(f.attempt.request, f.response)
 }
 
-// runRound runs the attempt and, where it is late, hedges of it. It returns the one that
+// runRound runs the attempt and, where it is slow, hedges of it. It returns the one that
 // has the answer, or the last that failed; the failures of the others are in the trace.
 func (in *Ingress) runRound(ctx context.Context, first *attempt, trace *attemptTrace) finished {
 	r := &round{
-		in:      in,
-		request: first.request,
-		trace:   trace,
-		avoid:   trace.notBusy(),
-		late:    first.request.late(),
-		done:    make(chan finished),
+		in:        in,
+		request:   first.request,
+		trace:     trace,
+		avoid:     trace.notBusy(),
+		slowAfter: first.request.slowAfter(),
+		done:      make(chan finished),
 	}
 	r.start(ctx, first)
 	look := r.firstLook()
@@ -77,15 +77,15 @@
 			}
 		case <-look.C:
 			r.tryHedge(ctx)
-			look.Reset(max(r.late/hedgeLooks, shortestLook))
+			look.Reset(max(r.slowAfter/hedgeLooks, shortestLook))
 		}
 	}
 }
 
 // firstLook returns the timer of the looks for a hedge. It never fires if none may be sent.
 func (r *round) firstLook() *time.Timer {
-	look := time.NewTimer(r.late)
-	if r.late == 0 || r.request.nonIdempotent || r.in.config.Off.Has(experiment.Hedges) {
+	look := time.NewTimer(r.slowAfter)
+	if r.slowAfter == 0 || r.request.nonIdempotent || r.in.config.Off.Has(experiment.Hedges) {
 		look.Stop()
 	}
 	return look
@@ -136,7 +136,7 @@
 	go func() { r.done <- a.finish(ctx) }()
 }
 
-// tryHedge sends a hedge if the attempt sent last is late and another may be sent.
+// tryHedge sends a hedge if the attempt sent last is slow and another may be sent.
 func (r *round) tryHedge(ctx context.Context) {
 	if !r.mayHedge() {
 		return
@@ -149,7 +149,7 @@
 		in:      r.in,
 		request: r.request,
 		hedge:   true,
-		choice:  choice{target: target, noWait: !r.request.subrequest, proven: !r.asked, grant: grantOwn},
+		choice:  choice{target: target, refuseIfBusy: !r.request.subrequest, refuseIfHanging: !r.asked, grant: grantOwn},
 	})
 }
 
@@ -168,14 +168,14 @@
 // mayHedge says whether the request may have another hedge now. In a planned stop none is
 // sent, since others may not take it any more.
 func (r *round) mayHedge() bool {
-	if r.late == 0 || r.request.nonIdempotent || r.in.settling.Load() || r.request.body.Spent() {
+	if r.slowAfter == 0 || r.request.nonIdempotent || r.in.settling.Load() || r.request.body.Spent() {
 		return false
 	}
 	if r.sent() >= r.request.attempts {
 		return false
 	}
 	newest := r.running[len(r.running)-1]
-	return time.Since(newest.startedAt) >= r.late
+	return time.Since(newest.startedAt) >= r.slowAfter
 }
 
 // sent counts the backend servers that the request has reached or may yet reach.
--- a/internal/ingress/hedge_test.go
+++ b/internal/ingress/hedge_test.go
@@ -56,7 +56,7 @@
 		return b.doSlowly(ctx, call, r)
 	}
 	if call.BackendServer == "other" && b.full.Load() {
-		if call.NoWait {
+		if call.RefuseIfBusy {
 			return sidecar.Answer{}, result.New(result.Busy)
 		}
 		return sidecar.Answer{}, result.New(result.QueueFull)
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -17,7 +17,7 @@
 //	customer    finds whose key it carries, and holds it to its limit    (customer.go)
 //	attempts    tries, and again where allowed                           (attempts.go)
 //	choose      says whom to ask next, by what was tried so far          (choose.go, trace.go)
-//	hedge       sends hedges of a late request, the first answer wins    (hedge.go, latencies.go)
+//	hedge       sends hedges of a slow request, the first answer wins    (hedge.go, latencies.go)
 //	attempt     is one sending, watched for being overdue                (attempt.go, clock.go)
 //	reserve     asks a sidecar to keep a slot for the request            (reservation.go)
 //	send        passes the request to the backend server's sidecar       (send.go)
--- a/internal/ingress/learn.go
+++ b/internal/ingress/learn.go
@@ -35,7 +35,7 @@
 // observe takes the head of an answer as evidence.
 func (a *attempt) observe(answer sidecar.Answer, took time.Duration) {
 	a.request.service.pool.Report(a.target, answer.Load, time.Now())
-	if a.noWait {
+	if a.refuseIfBusy {
 		a.request.service.pool.Looked(true)
 	}
 	outcome, seen := detect.FromAnswer(answer.Response)
--- a/internal/ingress/reservation.go
+++ b/internal/ingress/reservation.go
@@ -39,7 +39,7 @@
 // may wait as long as there is time; the sidecar refuses it earlier if no slot
 // can come in time.
 func reservationTime(call hop.Call) time.Duration {
-	if !call.NoWait {
+	if !call.RefuseIfBusy {
 		return call.TimeLeft
 	}
 	return min(call.TimeLeft/reservationPart, reservationWithin)
--- a/internal/ingress/trace.go
+++ b/internal/ingress/trace.go
@@ -14,7 +14,7 @@
 type attemptTrace struct {
 	tried      []*balance.Target
 	busy       []busyTarget      // those that had no free slot
-	unproven   []*balance.Target // that seemed to hang
+	hanging    []*balance.Target // that seemed to hang
 	answer     *http.Response    // a failure of a backend server, if nothing better comes
 	busyFar    int               // how many of the busy ones were in other data centres
 	sent       int               // that reached a backend server
@@ -65,7 +65,7 @@
 		t.busy = append(t.busy, busyTarget{c.target, failure.RetryAfter})
 		t.tried = append(t.tried, c.target)
 	case result.Unproven.Number:
-		t.unproven = append(t.unproven, c.target)
+		t.hanging = append(t.hanging, c.target)
 	default:
 		t.tried = append(t.tried, c.target)
 	}
--- a/internal/latency/latency.go
+++ b/internal/latency/latency.go
@@ -1,5 +1,5 @@
 // Package latency learns how long good answers of one kind of request take, and says from
-// when on a running one is late.
+// when on a running one is slow.
 //
 // Requests of one service differ more by what they ask for than by who answers: a call of
 // a tenth of a second and a search of half a second may run side by side. So what is
@@ -13,17 +13,17 @@
 //
 //	p := latency.New()
 //	p.Good(180 * time.Millisecond)         // for each good answer
-//	late := p.Late(400 * time.Millisecond) // the route's target
+//	slow := p.Late(400 * time.Millisecond) // the route's target
 //
 // # Rules
 //
 //   - Durations are counted in classes that grow by an eighth each, so that a quantile is
 //     known to that precision in a fixed space. Old counts fade: of Memory answers the
 //     half that came first weighs half.
-//   - A request is late once it has run longer than nearly all good answers did. It is
-//     late earlier if a hedge could otherwise not be back within the target, but
+//   - A request is slow once it has run longer than nearly all good answers did. It is
+//     slow earlier if a hedge could otherwise not be back within the target, but
 //     not before it has run longer than most.
-//   - Until enough answers are known, a request is late after half of its target.
+//   - Until enough answers are known, a request is slow after half of its target.
 package latency
 
 import (
@@ -46,14 +46,14 @@
 	// enough is how many answers have to be known for a quantile to say something.
 	enough = 8
 	// most and nearly are the shares of good answers that a request has outlasted when it
-	// may be late and when it is. Source: of requests that run as long as nearly all, one
+	// may be slow and when it is. Source: of requests that run as long as nearly all, one
 	// in twenty would have been answered in a moment; a hedge for these is a
 	// quarter of what a service's retry limit usually allows.
 	most   = 0.75
 	nearly = 0.95
 	// middle is the quantile that a hedge is expected to take.
 	middle = 0.5
-	// untaught is the part of the target after which a request is late while too little
+	// untaught is the part of the target after which a request is slow while too little
 	// is known: the other half is for a hedge.
 	untaught = 0.5
 )
@@ -87,19 +87,19 @@
 	p.sum /= 2
 }
 
-// Late returns how long a request of the route runs before it is late. Without a target
-// and with too little known it returns zero: nothing is late.
-func (p *Estimate) Late(target time.Duration) time.Duration {
+// SlowAfter returns how long a request of the route runs before it is slow. Without a target
+// and with too little known it returns zero: nothing is slow.
+func (p *Estimate) SlowAfter(target time.Duration) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.sum < enough {
 		return time.Duration(untaught * float64(target))
 	}
-	late := p.quantile(nearly)
-	if inTime := target - p.quantile(middle); target > 0 && inTime < late {
-		late = max(inTime, p.quantile(most))
+	slowAfter := p.quantile(nearly)
+	if inTime := target - p.quantile(middle); target > 0 && inTime < slowAfter {
+		slowAfter = max(inTime, p.quantile(most))
 	}
-	return late
+	return slowAfter
 }
 
 // Usual returns how long a good answer of the route usually takes, and false while too
--- a/internal/latency/latency_test.go
+++ b/internal/latency/latency_test.go
@@ -42,8 +42,8 @@
 		{"not before it has outlasted most", taught(append(times(40, 200), times(60, 380)...)...), target, 375 * time.Millisecond, 430 * time.Millisecond},
 	}
 	for _, c := range cases {
-		if late := c.estimate.Late(c.target); late < c.least || late > c.atMost {
-			t.Errorf("%s: late after %v, want %v to %v", c.name, late, c.least, c.atMost)
+		if slowAfter := c.estimate.SlowAfter(c.target); slowAfter < c.least || slowAfter > c.atMost {
+			t.Errorf("%s: late after %v, want %v to %v", c.name, slowAfter, c.least, c.atMost)
 		}
 	}
 }
@@ -58,7 +58,7 @@
 	}
 }
 
-// TestLateLiesAmongTheAnswers holds that a request is never late before the shortest good
+// TestLateLiesAmongTheAnswers holds that a request is never slow before the shortest good
 // answer nor after the longest, whatever was seen.
 func TestLateLiesAmongTheAnswers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -68,10 +68,10 @@
 		for _, m := range millis {
 			shortest, longest = min(shortest, m), max(longest, m)
 		}
-		late := taught(millis...).Late(target)
+		slowAfter := taught(millis...).SlowAfter(target)
 		const class = 1.13 // answers are known to a class
-		if late < time.Duration(shortest)*time.Millisecond || late > time.Duration(float64(longest)*class)*time.Millisecond {
-			t.Fatalf("late after %v, answers took %d to %d ms, target %v", late, shortest, longest, target)
+		if slowAfter < time.Duration(shortest)*time.Millisecond || slowAfter > time.Duration(float64(longest)*class)*time.Millisecond {
+			t.Fatalf("late after %v, answers took %d to %d ms, target %v", slowAfter, shortest, longest, target)
 		}
 	})
 }
--- a/internal/sidecar/messages.go
+++ b/internal/sidecar/messages.go
@@ -72,9 +72,9 @@
 		observation detect.Observation
 		others      detect.Reference
 	}
-	// lateMessage says that a running request has outlasted nearly all others of its
+	// slowMessage says that a running request has outlasted nearly all others of its
 	// route, or, if it has ended, that it had.
-	lateMessage struct {
+	slowMessage struct {
 		began time.Time
 		ended bool
 	}
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -136,7 +136,7 @@
 		ID:       id,
 		Customer: call.Customer,
 		Priority: call.Priority,
-		Aim:      deadline.Add(call.Aim - call.TimeLeft),
+		TargetAt: deadline.Add(call.TargetLeft - call.TimeLeft),
 		Usual:    call.Usual,
 		Deadline: deadline,
 	}
@@ -203,27 +203,27 @@
 // slot is the right to run one request, and the witness of how it went. It is
 // used by one goroutine, but for the overdue timer.
 type slot struct {
-	server  *server
-	trial   bool
-	others  detect.Reference
-	target  time.Duration // of the request's route; zero if it is not known
-	lateAt  time.Duration // how long it runs before it has outlasted nearly all of its route; zero if that is not known
-	granted time.Time
-	started time.Time // zero until the request is sent
-	overdue *time.Timer
-	watch   lateWatch
-	late    atomic.Bool
-	seen    bool
-	saw     detect.Observation
+	server    *server
+	trial     bool
+	others    detect.Reference
+	target    time.Duration // of the request's route; zero if it is not known
+	slowAfter time.Duration // how long it runs before it has outlasted nearly all of its route; zero if that is not known
+	granted   time.Time
+	started   time.Time // zero until the request is sent
+	overdue   *time.Timer
+	watch     slowWatch
+	late      atomic.Bool
+	seen      bool
+	saw       detect.Observation
 }
 
 // begin starts the clock of the request, and of its being overdue.
 func (s *slot) begin(others detect.Reference, call hop.Call) {
-	s.target = call.Target
-	s.lateAt = call.Late
+	s.target = call.LatencyTarget
+	s.slowAfter = call.SlowAfter
 	s.others = others
 	s.started = time.Now()
-	s.watch.begin(s.server, call.Late)
+	s.watch.begin(s.server, call.SlowAfter)
 	limit := s.server.declared.Load().rules.OverdueLimit(others.Typical)
 	if limit > 0 {
 		s.overdue = time.AfterFunc(limit, s.reportOverdue)
@@ -247,14 +247,14 @@
 // failed takes a failure as evidence.
 func (s *slot) failed(failure *result.Error) {
 	s.saw.Outcome, s.seen = detect.FromResult(failure.Code)
-	if failure.Code.Number == result.CallerGone.Number && s.isLate() {
+	if failure.Code.Number == result.CallerGone.Number && s.isSlow() {
 		s.saw.Outcome, s.seen = detect.TimedOut, true // whoever asked did not wait for longer than others have to
 	}
 	s.stopClock()
 }
 
-// isLate says whether the request has outlasted nearly all others of its route.
-func (s *slot) isLate() bool { return s.lateAt > 0 && time.Since(s.started) >= s.lateAt }
+// isSlow says whether the request has outlasted nearly all others of its route.
+func (s *slot) isSlow() bool { return s.slowAfter > 0 && time.Since(s.started) >= s.slowAfter }
 
 func (s *slot) stopClock() {
 	s.saw.Took = time.Since(s.started)
--- a/internal/sidecar/slots.go
+++ b/internal/sidecar/slots.go
@@ -26,7 +26,7 @@
 		m.reply <- grant{err: refused}
 		return
 	}
-	if m.call.Proven && t.suspicion.Hanging(now) {
+	if m.call.RefuseIfHanging && t.suspicion.Hanging(now) {
 		m.reply <- grant{err: result.New(result.Unproven)}
 		return
 	}
@@ -35,7 +35,7 @@
 		return
 	}
 	t.queue.Resize(t.size(now))
-	if m.call.NoWait && !t.queue.HasSlot() {
+	if m.call.RefuseIfBusy && !t.queue.HasSlot() {
 		m.reply <- grant{err: refusal(result.Busy, t.queue.RetryAfter())}
 		return
 	}
@@ -113,9 +113,9 @@
 	}
 }
 
-// noteLate counts the slots of which nobody knows when they come free, and takes it that
+// noteSlow counts the slots of which nobody knows when they come free, and takes it that
 // the backend server may hang.
-func (t *task) noteLate(now time.Time, m lateMessage) {
+func (t *task) noteSlow(now time.Time, m slowMessage) {
 	if m.ended {
 		t.queue.Unstuck()
 		t.suspicion.LateEnded(now, m.began)
--- a/internal/sidecar/late.go
+++ b/internal/sidecar/slow.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// lateWatch tells a server's task when a running request has outlasted nearly all others
+// slowWatch tells a server's task when a running request has outlasted nearly all others
 // of its route, and when that one has ended. The task hears of the one before the other.
-type lateWatch struct {
+type slowWatch struct {
 	server *server
 	began  time.Time
 	timer  *time.Timer
 
 	mu    sync.Mutex
-	told  bool // the task knows that the request is late
+	told  bool // the task knows that the request is slow
 	ended bool
 }
 
-// begin starts the watch over a request that is late after so long; zero if that is not
+// begin starts the watch over a request that is slow after so long; zero if that is not
 // known.
-func (w *lateWatch) begin(s *server, after time.Duration) {
+func (w *slowWatch) begin(s *server, after time.Duration) {
 	if after <= 0 {
 		return
 	}
@@ -28,19 +28,19 @@
 	w.timer = time.AfterFunc(after, w.tell)
 }
 
-// tell tells the task that the request is late, unless it has ended.
-func (w *lateWatch) tell() {
+// tell tells the task that the request is slow, unless it has ended.
+func (w *slowWatch) tell() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.ended {
 		return
 	}
 	w.told = true
-	w.server.send(lateMessage{began: w.began})
+	w.server.send(slowMessage{began: w.began})
 }
 
 // end ends the watch.
-func (w *lateWatch) end() {
+func (w *slowWatch) end() {
 	if w.timer == nil {
 		return
 	}
@@ -49,6 +49,6 @@
 	defer w.mu.Unlock()
 	w.ended = true
 	if w.told {
-		w.server.send(lateMessage{began: w.began, ended: true})
+		w.server.send(slowMessage{began: w.began, ended: true})
 	}
 }
--- a/internal/sidecar/late_test.go
+++ b/internal/sidecar/slow_test.go
@@ -6,10 +6,10 @@
 )
 
 // heard returns the messages that wait for the task.
-func heard(s *server) []lateMessage {
-	var all []lateMessage
+func heard(s *server) []slowMessage {
+	var all []slowMessage
 	for len(s.mailbox) > 0 {
-		all = append(all, (<-s.mailbox).(lateMessage))
+		all = append(all, (<-s.mailbox).(slowMessage))
 	}
 	return all
 }
@@ -17,7 +17,7 @@
 // TestALateRequestIsToldOfAndTakenBack holds the order of both, whatever the clocks do.
 func TestALateRequestIsToldOfAndTakenBack(t *testing.T) {
 	s := &server{mailbox: make(chan any, 8), ended: make(chan struct{})}
-	var late lateWatch
+	var late slowWatch
 	late.begin(s, time.Millisecond)
 	time.Sleep(50 * time.Millisecond)
 	late.end()
@@ -25,11 +25,11 @@
 	if got := heard(s); len(got) != 2 || got[0].ended || !got[1].ended {
 		t.Fatalf("the task heard %+v", got)
 	}
-	var quick lateWatch
+	var quick slowWatch
 	quick.begin(s, time.Hour)
 	quick.end()
 	quick.tell()
-	var unknown lateWatch
+	var unknown slowWatch
 	unknown.begin(s, 0)
 	unknown.end()
 	if got := heard(s); len(got) != 0 {
--- a/internal/sidecar/suspicion.go
+++ b/internal/sidecar/suspicion.go
@@ -15,7 +15,7 @@
 // admitSuspected says whether a suspected backend server takes the request: one that nobody else
 // takes, or an idempotent one that finds out how it does or is copied if it hangs.
 func (t *task) admitSuspected(now time.Time, m offerMessage) *result.Error {
-	if m.call.Insist || !m.call.NonIdempotent && t.suspicion.MostlyLate() {
+	if m.call.DespiteSuspicion || !m.call.NonIdempotent && t.suspicion.MostlyLate() {
 		return nil
 	}
 	if !m.call.NonIdempotent && t.suspicion.MayProbe(now) || t.suspicion.MayRisk(now) {
--- a/internal/sidecar/task.go
+++ b/internal/sidecar/task.go
@@ -92,8 +92,8 @@
 		t.offer(now, m)
 	case observeMessage:
 		t.observe(now, m)
-	case lateMessage:
-		t.noteLate(now, m)
+	case slowMessage:
+		t.noteSlow(now, m)
 	case releaseMessage:
 		t.release(now, m)
 	case cancelMessage:
--- a/internal/suspicion/proof.go
+++ b/internal/suspicion/proof.go
@@ -5,9 +5,9 @@
 // proof is what the requests of a backend server show beside their outcomes: whether those
 // that run take longer than they should, and no later one has been answered well.
 type proof struct {
-	lateBegan time.Time // when the request began that began last of those that were late
+	lateBegan time.Time // when the request began that began last of those that were slow
 	goodBegan time.Time // the same of those that were answered well
-	late      int       // those that are late and still run
+	late      int       // those that are slow and still run
 	until     time.Time // until when one that has ended counts
 }
 
@@ -20,7 +20,7 @@
 	}
 }
 
-// LateEnded takes it that a late request which began then has ended. It counts for as long
+// LateEnded takes it that a slow request which began then has ended. It counts for as long
 // again as it ran: after that somebody has to find out, where nothing else does.
 func (d *Suspicion) LateEnded(now, began time.Time) {
 	d.proof.late--
@@ -29,7 +29,7 @@
 	}
 }
 
-// Hanging says whether a request is late, or was a moment ago, and no later one has been
+// Hanging says whether a request is slow, or was a moment ago, and no later one has been
 // answered well. One that hangs shows that long before it ends; whatever is sent after it
 // may hang too.
 func (d *Suspicion) Hanging(now time.Time) bool {
--- a/internal/suspicion/suspicion.go
+++ b/internal/suspicion/suspicion.go
@@ -10,7 +10,7 @@
 //
 // It also knows whether the backend server seems to hang: a request has run longer than
 // nearly all others of its route do, and no later one has been answered well. Requests that
-// must not run twice are best sent elsewhere then, long before the late one ends.
+// must not run twice are best sent elsewhere then, long before the slow one ends.
 //
 // What begins and ends it is in suspicion.go, hanging in proof.go.
 //
--- a/internal/suspicion/suspicion_test.go
+++ b/internal/suspicion/suspicion_test.go
@@ -113,7 +113,7 @@
 	}
 }
 
-// TestHanging holds that a late request shows hanging at once, and that a good answer to a
+// TestHanging holds that a slow request shows hanging at once, and that a good answer to a
 // later one alone takes it back.
 func TestHanging(t *testing.T) {
 	d := suspicion.New()
@@ -179,7 +179,7 @@
 	}
 }
 
-// TestHangingDoesNotLast ends a late request without a good answer after it: nobody but one
+// TestHangingDoesNotLast ends a slow request without a good answer after it: nobody but one
 // that must not run twice may be there to find out.
 func TestHangingDoesNotLast(t *testing.T) {
 	d := suspicion.New()
