--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -121,15 +121,15 @@
 	t.reported.Store(p.clock(now))
 }
 
-// PickTrial takes a target on trial for an idempotent request. It says false if
+// PickProbation takes a target on probation for an idempotent request. It says false if
 // there is none.
-func (p *Pool) PickTrial(now time.Time) (*Target, bool) {
+func (p *Pool) PickProbation(now time.Time) (*Target, bool) {
 	since := p.clock(now)
 	for _, t := range p.view.Load().all {
-		if t.trial.Load() != trialOpen || t.pausedUntil.Load() > since {
+		if t.probation.Load() != probationOpen || t.pausedUntil.Load() > since {
 			continue
 		}
-		if t.trial.CompareAndSwap(trialOpen, trialTaken) {
+		if t.probation.CompareAndSwap(probationOpen, probationTaken) {
 			return t, true
 		}
 	}
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -122,11 +122,11 @@
 
 func TestPickTrialOnce(t *testing.T) {
 	pool := newPool(t, 2, 0)
-	pool.Targets()[1].OpenTrial()
-	if target, ok := pool.PickTrial(start); !ok || target.Name != "s1" {
+	pool.Targets()[1].OpenProbation()
+	if target, ok := pool.PickProbation(start); !ok || target.Name != "s1" {
 		t.Fatal("the target on trial was not chosen")
 	}
-	if _, ok := pool.PickTrial(start); ok {
+	if _, ok := pool.PickProbation(start); ok {
 		t.Fatal("a second request was sent to a target on trial")
 	}
 }
--- a/internal/balance/target.go
+++ b/internal/balance/target.go
@@ -20,7 +20,7 @@
 	pausedUntil  atomic.Int64 // nanoseconds since the pool's start
 	suspectUntil atomic.Int64 // nanoseconds since the pool's start
 	share        atomic.Uint32
-	trial        atomic.Uint32
+	probation    atomic.Uint32
 	reference    atomic.Pointer[string]
 	typical      atomic.Int64
 	requests     atomic.Int64
@@ -79,19 +79,19 @@
 	return ""
 }
 
-// The values of a target's trial.
+// The values of a target's probation.
 const (
-	trialNone uint32 = iota
-	trialOpen
-	trialTaken
+	probationNone uint32 = iota
+	probationOpen
+	probationTaken
 )
 
-// OpenTrial lets one idempotent request be sent to the target, which otherwise
+// OpenProbation lets one idempotent request be sent to the target, which otherwise
 // gets none.
-func (t *Target) OpenTrial() { t.trial.Store(trialOpen) }
+func (t *Target) OpenProbation() { t.probation.Store(probationOpen) }
 
-// CloseTrial lets no more be sent.
-func (t *Target) CloseTrial() { t.trial.Store(trialNone) }
+// CloseProbation lets no more be sent.
+func (t *Target) CloseProbation() { t.probation.Store(probationNone) }
 
 // cost orders targets: the load reported last, as far as it still counts, or
 // what this daemon alone has on its way, whichever is more.
--- a/internal/detect/detect.go
+++ b/internal/detect/detect.go
@@ -107,7 +107,7 @@
 	observed  int64
 	failures  int64
 	lastGood  time.Time // when it last gave an answer in good time
-	hold      hold
+	ejection  ejection
 }
 
 // NewSubject returns a subject of which nothing is known.
--- a/internal/detect/explain.go
+++ b/internal/detect/explain.go
@@ -32,12 +32,12 @@
 // what there is now.
 func (s *Subject) Explain(now time.Time) Explanation {
 	x := s.evidenceNow()
-	if s.hold.ejected {
-		x = s.hold.decided
-		x.Since = now.Sub(s.hold.began)
+	if s.ejection.ejected {
+		x = s.ejection.decided
+		x.Since = now.Sub(s.ejection.began)
 	}
 	x.State = s.State(now)
-	x.Cause = s.hold.cause
+	x.Cause = s.ejection.cause
 	if verdict := s.Verdict(now); verdict.Sick {
 		x.Cause = verdict.Cause
 	}
@@ -67,9 +67,9 @@
 	switch x.State {
 	case Ejected:
 		return fmt.Sprintf("evidence of failures %.1f, of slowness %.1f; %.1f is enough; trial in %s",
-			x.FailureSum, x.SlowSum, s.rules.Threshold, s.HeldFor(now).Round(100*time.Millisecond))
-	case Trial:
-		return fmt.Sprintf("on trial: %d of %d good answers", s.hold.passes, s.rules.TrialPasses)
+			x.FailureSum, x.SlowSum, s.rules.Threshold, s.EjectedFor(now).Round(100*time.Millisecond))
+	case Probation:
+		return fmt.Sprintf("on trial: %d of %d good answers", s.ejection.passes, s.rules.ProbationPasses)
 	case Serving:
 		return fmt.Sprintf("evidence of failures %.1f, of slowness %.1f; %.1f is enough", x.FailureSum, x.SlowSum, s.rules.Threshold)
 	}
--- a/internal/detect/reference_test.go
+++ b/internal/detect/reference_test.go
@@ -43,15 +43,15 @@
 			served := time.Duration(rapid.IntRange(0, 1200).Draw(t, "served")) * time.Second
 			now = now.Add(served)
 			s.Eject(now)
-			held := s.HeldFor(now)
-			if held < rules.Hold || held > rules.HoldMax {
+			held := s.EjectedFor(now)
+			if held < rules.EjectionTime || held > rules.EjectionTimeMax {
 				t.Fatalf("held for %s", held)
 			}
-			if served == 0 && last > 0 && held < min(2*last, rules.HoldMax) {
+			if served == 0 && last > 0 && held < min(2*last, rules.EjectionTimeMax) {
 				t.Fatalf("held for %s after %s", held, last)
 			}
 			now = now.Add(held)
-			if s.State(now) != detect.Trial {
+			if s.State(now) != detect.Probation {
 				t.Fatalf("%s after its hold", s.State(now))
 			}
 			s.Return(now)
@@ -60,7 +60,7 @@
 	})
 }
 
-// TestTrial ends a trial by good answers in a row and lengthens the hold by a
+// TestTrial ends a probation by good answers in a row and lengthens the ejection time by a
 // bad one.
 func TestTrial(t *testing.T) {
 	rules := detect.Swift()
@@ -80,8 +80,8 @@
 		t.Run(test.name, func(t *testing.T) {
 			s := detect.NewSubject(rules)
 			s.Eject(epoch)
-			now := epoch.Add(rules.Hold)
-			for range rules.TrialPasses - 1 {
+			now := epoch.Add(rules.EjectionTime)
+			for range rules.ProbationPasses - 1 {
 				if s.Try(now, good, others) {
 					t.Fatal("it came back too soon")
 				}
@@ -90,8 +90,8 @@
 			if back != test.back {
 				t.Fatalf("came back: %t", back)
 			}
-			if !back && s.HeldFor(now) < 2*rules.Hold {
-				t.Fatalf("held for %s after a failed trial", s.HeldFor(now))
+			if !back && s.EjectedFor(now) < 2*rules.EjectionTime {
+				t.Fatalf("held for %s after a failed trial", s.EjectedFor(now))
 			}
 		})
 	}
--- a/internal/detect/rules.go
+++ b/internal/detect/rules.go
@@ -31,11 +31,11 @@
 	Deviations float64
 	// Margin is how far the subject's recent rate must be above the others'.
 	Margin float64
-	// Hold is how long a subject stays ejected the first time; each further time
+	// EjectionTime is how long a subject stays ejected the first time; each further time
 	// within HoldMemory doubles it, up to HoldMax.
-	Hold, HoldMax, HoldMemory time.Duration
-	// TrialPasses is how many good answers in a row end a trial.
-	TrialPasses int
+	EjectionTime, EjectionTimeMax, EjectionMemory time.Duration
+	// ProbationPasses is how many good answers in a row end a probation.
+	ProbationPasses int
 	// Ramp is how long a returned subject takes to get its whole share.
 	Ramp time.Duration
 }
@@ -43,24 +43,24 @@
 // Careful prefers fewer false ejections.
 func Careful() Rules {
 	return Rules{
-		Threshold:     10,
-		SickFailure:   0.3,
-		SickSlow:      0.5,
-		SlowFactor:    3,
-		SlowSlack:     10 * time.Millisecond,
-		OverdueFactor: 8,
-		OverdueSlack:  300 * time.Millisecond,
-		Interval:      200 * time.Millisecond,
-		IntervalCap:   3.5,
-		MinSpan:       time.Second,
-		MinBad:        3,
-		Deviations:    5,
-		Margin:        0.15,
-		Hold:          5 * time.Second,
-		HoldMax:       5 * time.Minute,
-		HoldMemory:    time.Minute,
-		TrialPasses:   5,
-		Ramp:          5 * time.Second,
+		Threshold:       10,
+		SickFailure:     0.3,
+		SickSlow:        0.5,
+		SlowFactor:      3,
+		SlowSlack:       10 * time.Millisecond,
+		OverdueFactor:   8,
+		OverdueSlack:    300 * time.Millisecond,
+		Interval:        200 * time.Millisecond,
+		IntervalCap:     3.5,
+		MinSpan:         time.Second,
+		MinBad:          3,
+		Deviations:      5,
+		Margin:          0.15,
+		EjectionTime:    5 * time.Second,
+		EjectionTimeMax: 5 * time.Minute,
+		EjectionMemory:  time.Minute,
+		ProbationPasses: 5,
+		Ramp:            5 * time.Second,
 	}
 }
 
@@ -74,8 +74,8 @@
 	r.MinSpan = 200 * time.Millisecond
 	r.MinBad = 2
 	r.Deviations = 4
-	r.Hold = 3 * time.Second
-	r.TrialPasses = 3
+	r.EjectionTime = 3 * time.Second
+	r.ProbationPasses = 3
 	r.Ramp = 3 * time.Second
 	return r
 }
--- a/internal/ingress/attempts.go
+++ b/internal/ingress/attempts.go
@@ -81,7 +81,7 @@
 		return
 	}
 	event.Log(in.config.Logger, event.AttemptFailed,
-		"request", in.requestID(r.Request), "service", r.name, "backend_server", a.target.Name, "trial", a.trial,
+		"request", in.requestID(r.Request), "service", r.name, "backend_server", a.target.Name, "trial", a.probation,
 		"no_wait", a.refuseIfBusy, "proven", a.refuseIfHanging, "insist", a.despiteSuspicion,
 		"tried", len(trace.tried), "sent", trace.sent, "once", r.nonIdempotent, "code", failure.Code.Number, "result", failure.Code.Name,
 		"why", failure.Error(), "again", again, "passed_over", trace.passedOver.String())
--- a/internal/ingress/choose.go
+++ b/internal/ingress/choose.go
@@ -28,8 +28,8 @@
 // choice is whom to ask next, and how.
 type choice struct {
 	target *balance.Target
-	// trial says that the request shows whether the target has recovered.
-	trial bool
+	// probation says that the request shows whether the target has recovered.
+	probation bool
 	// refuseIfBusy asks for a refusal in place of a wait for a slot.
 	refuseIfBusy bool
 	// refuseIfHanging asks for a refusal if the target seems to hang.
@@ -45,7 +45,7 @@
 
 // choose says whom to ask next: first for a free slot, then where the wait for
 // one is shortest, and one that is suspected if nobody else is left. A first
-// attempt that may be retried goes to one on trial or under suspicion, if there is one;
+// attempt that may be retried goes to one on probation or under suspicion, if there is one;
 // what must not be lost goes to one that has just shown that it is well, if that
 // is soon found.
 func (in *Ingress) choose(r *request, trace *attemptTrace) (choice, bool) {
@@ -72,11 +72,11 @@
 }
 
 // findOut chooses a target of which a request shows whether it is well again: one on
-// trial, or one of this data centre that was suspected and may be tried again, if
+// probation, or one of this data centre that was suspected and may be tried again, if
 // there is a retry left for a failure.
 func (s *service) findOut(now time.Time) (choice, bool) {
-	if target, ok := s.pool.PickTrial(now); ok {
-		return choice{target: target, trial: true}, true
+	if target, ok := s.pool.PickProbation(now); ok {
+		return choice{target: target, probation: true}, true
 	}
 	if !s.limit.left(now) {
 		return choice{}, false
--- a/internal/ingress/judge.go
+++ b/internal/ingress/judge.go
@@ -48,13 +48,13 @@
 	lastSeen time.Time // of the last observation
 }
 
-// observation is what a request saw of a target. A trial is the request that
+// observation is what a request saw of a target. A probation is the request that
 // an avoided target is given to show that it has recovered.
 type observation struct {
-	target *balance.Target
-	trial  bool
-	seen   bool // false if the request says nothing of the target
-	saw    detect.Observation
+	target    *balance.Target
+	probation bool
+	seen      bool // false if the request says nothing of the target
+	saw       detect.Observation
 }
 
 type question struct {
@@ -159,14 +159,14 @@
 	if !ok {
 		return
 	}
-	if !o.trial {
+	if !o.probation {
 		if o.seen && subject.State(now) == detect.Serving {
 			subject.Observe(now, o.saw, j.group.Reference(o.target.Name))
 		}
 		return
 	}
-	o.target.CloseTrial()
-	if !o.seen || subject.State(now) != detect.Trial {
+	o.target.CloseProbation()
+	if !o.seen || subject.State(now) != detect.Probation {
 		return
 	}
 	if subject.Try(now, o.saw, j.group.Reference(o.target.Name)) {
@@ -282,9 +282,9 @@
 	switch subject.State(now) {
 	case detect.Ejected:
 		target.SetShare(0)
-	case detect.Trial:
+	case detect.Probation:
 		target.SetShare(0)
-		target.OpenTrial()
+		target.OpenProbation()
 	case detect.Serving:
 		target.SetShare(j.servingShare(now, target, subject))
 	}
--- a/internal/ingress/learn.go
+++ b/internal/ingress/learn.go
@@ -79,13 +79,13 @@
 
 // tell gives the service's judge what the attempt saw.
 func (a *attempt) tell(saw detect.Observation, seen bool) {
-	if !seen && !a.trial {
+	if !seen && !a.probation {
 		return
 	}
-	if a.trial && saw.Outcome == detect.Overdue {
-		return // the trial's end says more
+	if a.probation && saw.Outcome == detect.Overdue {
+		return // the probation's end says more
 	}
-	a.request.service.judge.record(observation{target: a.target, trial: a.trial, seen: seen, saw: saw})
+	a.request.service.judge.record(observation{target: a.target, probation: a.probation, seen: seen, saw: saw})
 }
 
 // stayAway is how long to keep away from a suspected target. Those near it find out
--- a/internal/operator/describe.go
+++ b/internal/operator/describe.go
@@ -87,8 +87,8 @@
 	switch {
 	case seen.State == detect.Ejected:
 		return stateAvoided
-	case seen.State == detect.Trial:
-		return string(detect.Trial)
+	case seen.State == detect.Probation:
+		return string(detect.Probation)
 	case pool.Paused(target, time.Now()):
 		return stateRefuses
 	default:
--- a/internal/sidecar/messages.go
+++ b/internal/sidecar/messages.go
@@ -41,8 +41,8 @@
 	StateServing State = "serving"
 	// StateEjected means that it gets none for a while.
 	StateEjected State = "ejected"
-	// StateTrial means that it gets one idempotent request at a time.
-	StateTrial State = "trial"
+	// StateProbation means that it gets one idempotent request at a time.
+	StateProbation State = "trial"
 	// StateDraining means that it gets no new work and is going.
 	StateDraining State = "leaving"
 )
@@ -79,11 +79,11 @@
 		ended bool
 	}
 	releaseMessage struct {
-		took   time.Duration
-		trial  bool
-		seen   bool
-		saw    detect.Observation
-		others detect.Reference
+		took      time.Duration
+		probation bool
+		seen      bool
+		saw       detect.Observation
+		others    detect.Reference
 	}
 	cancelMessage struct {
 		request admission.Request
@@ -114,6 +114,6 @@
 
 // grant answers an offer; err is nil if the request has a slot.
 type grant struct {
-	err   *result.Error
-	trial bool
+	err       *result.Error
+	probation bool
 }
--- a/internal/sidecar/report.go
+++ b/internal/sidecar/report.go
@@ -28,8 +28,8 @@
 		return StateDraining
 	case !t.isEjected(now):
 		return StateServing
-	case t.subject.State(now) == detect.Trial:
-		return StateTrial
+	case t.subject.State(now) == detect.Probation:
+		return StateProbation
 	default:
 		return StateEjected
 	}
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -170,7 +170,7 @@
 
 // newSlot returns the slot that was granted a moment ago.
 func (s *server) newSlot(g grant) *slot {
-	return &slot{server: s, granted: time.Now(), trial: g.trial}
+	return &slot{server: s, granted: time.Now(), probation: g.probation}
 }
 
 // withdraw takes a request out of the queue, or gives its slot back if it was
@@ -204,7 +204,7 @@
 // used by one goroutine, but for the overdue timer.
 type slot struct {
 	server    *server
-	trial     bool
+	probation bool
 	others    detect.Reference
 	target    time.Duration // of the request's route; zero if it is not known
 	slowAfter time.Duration // how long it runs before it has outlasted nearly all of its route; zero if that is not known
@@ -264,7 +264,7 @@
 	s.watch.end()
 	s.saw.WasOverdue = s.late.Load()
 	s.saw.PastTarget = s.target > 0 && s.saw.Took > s.target
-	if s.seen && !s.trial {
+	if s.seen && !s.probation {
 		s.server.send(observeMessage{observation: s.saw, others: s.others})
 	}
 }
@@ -276,5 +276,5 @@
 		took = time.Since(s.started)
 	}
 	s.server.slotTime.add(s.use(), time.Since(s.granted))
-	s.server.send(releaseMessage{took: took, trial: s.trial, seen: s.seen, saw: s.saw, others: s.others})
+	s.server.send(releaseMessage{took: took, probation: s.probation, seen: s.seen, saw: s.saw, others: s.others})
 }
--- a/internal/sidecar/slots.go
+++ b/internal/sidecar/slots.go
@@ -14,14 +14,14 @@
 	// ingress to stay away. The floor may call the backend server back at any
 	// time, and it should then get work soon.
 	longestRefusal = time.Second
-	// trialRefusal is how long one stays away while a trial request runs.
-	trialRefusal = 200 * time.Millisecond
+	// probationRefusal is how long one stays away while a probation request runs.
+	probationRefusal = 200 * time.Millisecond
 )
 
 // offer decides on one request: first whether the backend server takes work at
 // all, then whether there is a slot.
 func (t *task) offer(now time.Time, m offerMessage) {
-	trial, refused := t.admit(now, m)
+	probation, refused := t.admit(now, m)
 	if refused != nil {
 		m.reply <- grant{err: refused}
 		return
@@ -39,21 +39,21 @@
 		m.reply <- grant{err: refusal(result.Busy, t.queue.RetryAfter())}
 		return
 	}
-	t.place(now, m, trial)
+	t.place(now, m, probation)
 }
 
 // place gives the request a slot or a place in the queue, or refuses it for want
 // of one.
-func (t *task) place(now time.Time, m offerMessage, trial bool) {
+func (t *task) place(now time.Time, m offerMessage, probation bool) {
 	decision := t.queue.Offer(now, m.request)
 	if decision.Evicted != 0 {
 		t.reply(decision.Evicted, grant{err: refusal(result.PlaceLost, t.queue.RetryAfter())})
 	}
 	switch decision.Verdict {
 	case admission.Granted:
-		t.trying = t.trying || trial
+		t.trying = t.trying || probation
 		t.began(now)
-		m.reply <- grant{trial: trial}
+		m.reply <- grant{probation: probation}
 	case admission.Queued:
 		t.waiting[m.request.ID] = m.reply
 	case admission.RefusedFull:
@@ -66,8 +66,8 @@
 }
 
 // admit says whether the backend server takes the request, and whether as a
-// trial.
-func (t *task) admit(now time.Time, m offerMessage) (trial bool, refused *result.Error) {
+// probation.
+func (t *task) admit(now time.Time, m offerMessage) (probation bool, refused *result.Error) {
 	if t.isDraining(now) {
 		return false, result.New(result.Draining)
 	}
@@ -79,10 +79,10 @@
 		return false, nil
 	}
 	if t.subject.State(now) == detect.Ejected {
-		return false, refusal(result.Ejected, min(t.subject.HeldFor(now), longestRefusal))
+		return false, refusal(result.Ejected, min(t.subject.EjectedFor(now), longestRefusal))
 	}
 	if m.call.NonIdempotent || t.trying {
-		return false, refusal(result.Ejected, trialRefusal)
+		return false, refusal(result.Ejected, probationRefusal)
 	}
 	return true, nil
 }
@@ -96,12 +96,12 @@
 	return size
 }
 
-// release takes a slot back and gives it to those that wait. A trial request also
+// release takes a slot back and gives it to those that wait. A probation request also
 // shows whether the backend server has recovered.
 func (t *task) release(now time.Time, m releaseMessage) {
 	granted, late := t.queue.Done(now, m.took)
 	t.settle(now, granted, late)
-	if !m.trial {
+	if !m.probation {
 		return
 	}
 	t.trying = false
--- a/internal/sidecar/task.go
+++ b/internal/sidecar/task.go
@@ -29,7 +29,7 @@
 	draining       bool      // an operator said so
 	hostDraining   bool      // the platform's list says that the host is
 	selfDrainUntil time.Time // until when its own word that it is draining counts
-	trying         bool      // a trial request runs
+	trying         bool      // a probation request runs
 	suspicion      *suspicion.Suspicion
 	turnedAway     map[string]bool // hosts whose requests were refused for suspicion
 }
