--- a/Makefile
+++ b/Makefile
@@ -82,7 +82,7 @@
 
 # The decoders of what others write: fuzz targets with their packages.
 FUZZ := FuzzCheckIn:./platform FuzzDesired:./platform FuzzStoreAnswer:./platform FuzzRecord:./internal/quarantine \
-	FuzzDecode:./internal/hop FuzzRead:./internal/compress FuzzParse:./internal/fleet FuzzParseReference:./internal/detect
+	FuzzDecode:./internal/hop FuzzRead:./internal/compress FuzzParse:./internal/fleet FuzzParseBaseline:./internal/detect
 
 .PHONY: fuzz
 fuzz: ## Fuzz the decoders of what others write, each for FUZZTIME (default 30s).
--- a/internal/balance/target.go
+++ b/internal/balance/target.go
@@ -21,7 +21,7 @@
 	suspectUntil atomic.Int64 // nanoseconds since the pool's start
 	share        atomic.Uint32
 	probation    atomic.Uint32
-	reference    atomic.Pointer[string]
+	baseline     atomic.Pointer[string]
 	typical      atomic.Int64
 	requests     atomic.Int64
 	failures     atomic.Int64
@@ -61,19 +61,19 @@
 // Share returns the target's share.
 func (t *Target) Share() uint32 { return t.share.Load() }
 
-// SetReference sets what is sent along to the target's sidecar on how the
+// SetBaseline sets what is sent along to the target's sidecar on how the
 // service's others do, and how long those typically take.
-func (t *Target) SetReference(text string, typical time.Duration) {
-	t.reference.Store(&text)
+func (t *Target) SetBaseline(text string, typical time.Duration) {
+	t.baseline.Store(&text)
 	t.typical.Store(int64(typical))
 }
 
 // Typical returns how long the others typically take; zero if it is not known.
 func (t *Target) Typical() time.Duration { return time.Duration(t.typical.Load()) }
 
-// Reference returns what SetReference set.
-func (t *Target) Reference() string {
-	if text := t.reference.Load(); text != nil {
+// Baseline returns what SetBaseline set.
+func (t *Target) Baseline() string {
+	if text := t.baseline.Load(); text != nil {
 		return *text
 	}
 	return ""
--- a/internal/detect/reference.go
+++ b/internal/detect/baseline.go
@@ -20,9 +20,9 @@
 	minSamples = 8
 )
 
-// Reference is how the service's other backend servers do of late. Beside a
+// Baseline is how the service's other backend servers do of late. Beside a
 // request it travels from the ingress to the sidecar.
-type Reference struct {
+type Baseline struct {
 	// Failure and Slow are the middle of the others' recent rates.
 	Failure, Slow float64
 	// FailureSum and SlowSum are the middle of their cumulative sums.
@@ -31,28 +31,28 @@
 	Typical time.Duration
 }
 
-var unknownReference = Reference{Failure: normalFailure, Slow: normalSlow}
+var unknownBaseline = Baseline{Failure: normalFailure, Slow: normalSlow}
 
-func (r Reference) known() bool { return r.Typical > 0 }
+func (r Baseline) known() bool { return r.Typical > 0 }
 
-func (r Reference) failure() float64 {
+func (r Baseline) failure() float64 {
 	return math.Min(math.Max(r.Failure, normalFailure), maxNormal)
 }
 
-func (r Reference) slow() float64 {
+func (r Baseline) slow() float64 {
 	return math.Min(math.Max(r.Slow, normalSlow), maxNormal)
 }
 
 // thousand is the part in which rates and sums are written.
 const thousand = 1000
 
-// referenceFields is how many numbers an encoded reference has.
-const referenceFields = 5
+// baselineFields is how many numbers an encoded baseline has.
+const baselineFields = 5
 
-// Encode returns the reference as five numbers: failure, slow, failure sum and
+// Encode returns the baseline as five numbers: failure, slow, failure sum and
 // slow sum in thousandths, and the typical time in microseconds. It returns ""
 // if nothing is known.
-func (r Reference) Encode() string {
+func (r Baseline) Encode() string {
 	if !r.known() {
 		return ""
 	}
@@ -64,26 +64,26 @@
 	return string(strconv.AppendInt(text, r.Typical.Microseconds(), 10))
 }
 
-// ParseReference reads what Encode wrote.
-func ParseReference(text string) (Reference, error) {
+// ParseBaseline reads what Encode wrote.
+func ParseBaseline(text string) (Baseline, error) {
 	if text == "" {
-		return Reference{}, nil
+		return Baseline{}, nil
 	}
-	var numbers [referenceFields]int64
+	var numbers [baselineFields]int64
 	fields := 0
 	for field := range strings.SplitSeq(text, ",") {
 		number, err := strconv.ParseInt(field, 10, 32)
-		if err != nil || number < 0 || fields == referenceFields {
-			return Reference{}, errors.Errorf("reference %q: want %d numbers of 0 or more", text, referenceFields)
+		if err != nil || number < 0 || fields == baselineFields {
+			return Baseline{}, errors.Errorf("reference %q: want %d numbers of 0 or more", text, baselineFields)
 		}
 		numbers[fields] = number
 		fields++
 	}
-	if fields != referenceFields {
-		return Reference{}, errors.Errorf("reference %q: want %d numbers, not %d", text, referenceFields, fields)
+	if fields != baselineFields {
+		return Baseline{}, errors.Errorf("reference %q: want %d numbers, not %d", text, baselineFields, fields)
 	}
 	share := func(i int) float64 { return float64(numbers[i]) / thousand }
-	return Reference{
+	return Baseline{
 		Failure:    math.Min(1, share(0)),
 		Slow:       math.Min(1, share(1)),
 		FailureSum: share(2),
@@ -92,16 +92,16 @@
 	}, nil
 }
 
-// Group is the backend servers of one service as one witness sees them.
+// Group is the backend servers of one service as one observer sees them.
 type Group struct {
 	rules    Rules
 	subjects map[string]*Subject
-	others   map[string]Reference
+	others   map[string]Baseline
 }
 
 // NewGroup returns an empty group.
 func NewGroup(rules Rules) *Group {
-	return &Group{rules: rules, subjects: make(map[string]*Subject), others: make(map[string]Reference)}
+	return &Group{rules: rules, subjects: make(map[string]*Subject), others: make(map[string]Baseline)}
 }
 
 // Reconfigure takes the rules and the names of the backend servers. Those that
@@ -127,8 +127,8 @@
 	return s, ok
 }
 
-// Reference returns how the others than the one named did at the last Compare.
-func (g *Group) Reference(name string) Reference { return g.others[name] }
+// Baseline returns how the others than the one named did at the last Compare.
+func (g *Group) Baseline(name string) Baseline { return g.others[name] }
 
 // Alone says whether the suspicion of the backend server named is its own.
 func (g *Group) Alone(name string) bool {
@@ -185,12 +185,12 @@
 }
 
 // without returns the middle of each figure, the subject's own left out.
-func (c comparison) without(s *Subject, rules Rules) Reference {
+func (c comparison) without(s *Subject, rules Rules) Baseline {
 	own := s.comparable()
 	if len(c.logTime) == 0 || own && len(c.logTime) == 1 {
-		return Reference{}
+		return Baseline{}
 	}
-	return Reference{
+	return Baseline{
 		Failure:    middleWithout(c.failure, s.failure.normal(), own),
 		Slow:       middleWithout(c.slow, s.slow.normal(), own),
 		FailureSum: middleWithout(c.failureSum, s.failure.total(rules), own),
--- a/internal/detect/reference_test.go
+++ b/internal/detect/baseline_test.go
@@ -9,22 +9,22 @@
 	"github.com/tideliftd/tidelift/internal/detect"
 )
 
-// FuzzParseReference reads what a peer may send: no input may panic or give a
+// FuzzParseBaseline reads what a peer may send: no input may panic or give a
 // rate beyond its bounds.
-func FuzzParseReference(f *testing.F) {
+func FuzzParseBaseline(f *testing.F) {
 	f.Add("10,50,0,0,25000")
 	f.Add("")
 	f.Add("1,2,3,4,5,6")
 	f.Add("-1,,,,")
 	f.Fuzz(func(t *testing.T, text string) {
-		r, err := detect.ParseReference(text)
+		r, err := detect.ParseBaseline(text)
 		if err != nil {
 			return
 		}
 		if r.Failure < 0 || r.Failure > 1 || r.Slow < 0 || r.Slow > 1 || r.Typical < 0 {
 			t.Fatalf("%q gave %+v", text, r)
 		}
-		if again, err := detect.ParseReference(r.Encode()); err != nil || r.Typical > 0 && again != r {
+		if again, err := detect.ParseBaseline(r.Encode()); err != nil || r.Typical > 0 && again != r {
 			t.Fatalf("%q gave %+v, and encoded again %+v, %v", text, r, again, err)
 		}
 	})
@@ -64,7 +64,7 @@
 // bad one.
 func TestTrial(t *testing.T) {
 	rules := detect.Swift()
-	others := detect.Reference{Typical: median}
+	others := detect.Baseline{Typical: median}
 	good := detect.Observation{Outcome: detect.OK, Took: median}
 	tests := []struct {
 		name string
--- a/internal/detect/detect.go
+++ b/internal/detect/detect.go
@@ -1,6 +1,6 @@
 // Package detect decides from real traffic whether a backend server is sick.
 //
-// A Subject is the aggregate of one backend server as one witness sees it. It
+// A Subject is the aggregate of one backend server as one observer sees it. It
 // takes observations and the time and gives verdicts; it has no clock,
 // goroutine or socket. The sidecar keeps one for each of its backend servers
 // (what it does to everyone), the ingress a Group of them for each service (how
@@ -9,7 +9,7 @@
 // # Usage
 //
 //	s := detect.NewSubject(detect.RulesOf(fleet.DetectionSwift))
-//	s.Observe(now, detect.Observation{Outcome: detect.OK, Took: 24 * time.Millisecond}, reference)
+//	s.Observe(now, detect.Observation{Outcome: detect.OK, Took: 24 * time.Millisecond}, baseline)
 //	verdict := s.Verdict(now)
 //	if verdict.Sick { s.Eject(now) }
 //
@@ -17,7 +17,7 @@
 //
 // Each observation is a failure or not, and slow or not. For each of the two a
 // cumulative sum of log-likelihood ratios weighs "as sick as SickShare" against
-// "like the service's others", whose recent rates are the Reference. The sum
+// "like the service's others", whose recent rates are the Baseline. The sum
 // never falls below zero, and above Threshold the backend server is sick.
 //
 // That needs no window to fill: at ten requests a minute three failures in a
@@ -37,7 +37,7 @@
 
 import "time"
 
-// Outcome is how a request ended, as a witness sees it.
+// Outcome is how a request ended, as an observer sees it.
 type Outcome string
 
 // The outcomes.
@@ -86,7 +86,7 @@
 	return o.Outcome != OK && !o.WasOverdue
 }
 
-// Verdict is what a witness concludes.
+// Verdict is what an observer concludes.
 type Verdict struct {
 	// Sick says that the rules would eject the backend server.
 	Sick bool
@@ -96,32 +96,32 @@
 	Severity float64
 }
 
-// Subject is one backend server as one witness sees it.
+// Subject is one backend server as one observer sees it.
 type Subject struct {
-	rules     Rules
-	failure   evidence
-	slow      evidence
-	causes    [causeCount]int
-	latency   latency
-	reference Reference
-	observed  int64
-	failures  int64
-	lastGood  time.Time // when it last gave an answer in good time
-	ejection  ejection
+	rules    Rules
+	failure  evidence
+	slow     evidence
+	causes   [causeCount]int
+	latency  latency
+	baseline Baseline
+	observed int64
+	failures int64
+	lastGood time.Time // when it last gave an answer in good time
+	ejection ejection
 }
 
 // NewSubject returns a subject of which nothing is known.
 func NewSubject(rules Rules) *Subject {
-	return &Subject{rules: rules, reference: unknownReference}
+	return &Subject{rules: rules, baseline: unknownBaseline}
 }
 
 // SetRules changes the rules. What was observed stays.
 func (s *Subject) SetRules(rules Rules) { s.rules = rules }
 
 // Observe takes one observation and how the service's others do.
-func (s *Subject) Observe(now time.Time, o Observation, others Reference) {
+func (s *Subject) Observe(now time.Time, o Observation, others Baseline) {
 	if others.known() {
-		s.reference = others
+		s.baseline = others
 	}
 	s.observed++
 	failed := o.failed()
@@ -130,7 +130,7 @@
 		s.causes[causeIndex(o.Outcome)]++
 	}
 	if !o.WasOverdue {
-		s.failure.add(now, failed, s.reference.failure(), s.rules.SickFailure, s.rules)
+		s.failure.add(now, failed, s.baseline.failure(), s.rules.SickFailure, s.rules)
 	}
 	if o.Outcome == OK {
 		s.observeLatency(now, o.Took)
@@ -142,30 +142,30 @@
 
 func (s *Subject) observeLatency(now time.Time, took time.Duration) {
 	s.latency.add(took)
-	if s.reference.Typical == 0 {
+	if s.baseline.Typical == 0 {
 		s.lastGood = now
 		return
 	}
-	slow := took > s.rules.slowLimit(s.reference.Typical)
+	slow := took > s.rules.slowLimit(s.baseline.Typical)
 	if !slow {
 		s.lastGood = now
 	}
-	s.slow.add(now, slow, s.reference.slow(), s.rules.SickSlow, s.rules)
+	s.slow.add(now, slow, s.baseline.slow(), s.rules.SickSlow, s.rules)
 }
 
 // OverdueLimit is how long a request may take before it counts as overdue;
 // zero means that nothing is known to compare with.
 func (s *Subject) OverdueLimit() time.Duration {
-	return s.rules.OverdueLimit(s.reference.Typical)
+	return s.rules.OverdueLimit(s.baseline.Typical)
 }
 
 // Verdict says what the observations so far amount to.
 func (s *Subject) Verdict(now time.Time) Verdict {
 	severity := s.failure.rate + s.slow.rate
 	switch {
-	case s.failure.convinces(now, s.reference.failure(), s.reference.FailureSum, s.rules):
+	case s.failure.convinces(now, s.baseline.failure(), s.baseline.FailureSum, s.rules):
 		return Verdict{Sick: true, Cause: s.mainCause(), Severity: severity}
-	case s.slow.convinces(now, s.reference.slow(), s.reference.SlowSum, s.rules):
+	case s.slow.convinces(now, s.baseline.slow(), s.baseline.SlowSum, s.rules):
 		return Verdict{Sick: true, Cause: CauseSlow, Severity: severity}
 	default:
 		return Verdict{Severity: severity}
--- a/internal/detect/detect_test.go
+++ b/internal/detect/detect_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// experiment is one service under load, seen by one witness.
+// experiment is one service under load, seen by one observer.
 type experiment struct {
 	rules  detect.Rules
 	perSec float64
@@ -63,7 +63,7 @@
 	seed   uint64
 }
 
-// seen is something that the witness sees at a time.
+// seen is something that the observer sees at a time.
 type seen struct {
 	at          time.Time
 	server      int
@@ -95,7 +95,7 @@
 			compared = s.at
 		}
 		subject, _ := group.Subject(names[s.server])
-		subject.Observe(s.at, s.observation, group.Reference(names[s.server]))
+		subject.Observe(s.at, s.observation, group.Baseline(names[s.server]))
 		if s.at.After(fault) && s.observation.Outcome != detect.OK && !s.observation.WasOverdue {
 			if _, called := result.after[s.server]; !called {
 				result.failures[s.server]++
@@ -118,7 +118,7 @@
 }
 
 // events draws the requests and sorts what is seen of them by time. The limit
-// for overdue ones is that of a warm witness.
+// for overdue ones is that of a warm observer.
 func (x experiment) events(random *rand.Rand, fault time.Time) []seen {
 	limit := x.rules.OverdueLimit(median)
 	var all []seen
--- a/internal/detect/ejection.go
+++ b/internal/detect/ejection.go
@@ -70,11 +70,11 @@
 
 // Try takes the outcome of a probation request and says whether the subject has
 // come back. A failure ejects it again, for longer.
-func (s *Subject) Try(now time.Time, o Observation, others Reference) bool {
+func (s *Subject) Try(now time.Time, o Observation, others Baseline) bool {
 	if others.known() {
-		s.reference = others
+		s.baseline = others
 	}
-	slow := s.reference.Typical > 0 && o.Took > s.rules.slowLimit(s.reference.Typical)
+	slow := s.baseline.Typical > 0 && o.Took > s.rules.slowLimit(s.baseline.Typical)
 	if o.Outcome != OK || slow {
 		s.Eject(now)
 		return false
--- a/internal/detect/explain.go
+++ b/internal/detect/explain.go
@@ -51,11 +51,11 @@
 func (s *Subject) evidenceNow() Explanation {
 	return Explanation{
 		FailureRate:   s.failure.rate,
-		OthersFailure: s.reference.failure(),
+		OthersFailure: s.baseline.failure(),
 		SlowRate:      s.slow.rate,
-		OthersSlow:    s.reference.slow(),
+		OthersSlow:    s.baseline.slow(),
 		Typical:       s.latency.typical(),
-		OthersTypical: s.reference.Typical,
+		OthersTypical: s.baseline.Typical,
 		FailureSum:    s.failure.total(s.rules),
 		SlowSum:       s.slow.total(s.rules),
 		Threshold:     s.rules.Threshold,
--- a/internal/hop/call.go
+++ b/internal/hop/call.go
@@ -51,7 +51,7 @@
 	Body *body.Body
 	// Host is the ingress's host.
 	Host string
-	// Reference is how the service's other backend servers do, as
-	// detect.Reference encodes it; it may be empty.
-	Reference string
+	// Baseline is how the service's other backend servers do, as
+	// detect.Baseline encodes it; it may be empty.
+	Baseline string
 }
--- a/internal/hop/encode.go
+++ b/internal/hop/encode.go
@@ -27,7 +27,7 @@
 	Reservation   string
 	Origin        string
 	Host          string
-	Reference     string
+	Baseline      string
 }
 
 // The flags of a call.
@@ -58,7 +58,7 @@
 		Reservation:   c.Reservation,
 		Origin:        c.Origin,
 		Host:          c.Host,
-		Reference:     c.Reference,
+		Baseline:      c.Baseline,
 	})
 	if err != nil {
 		return errors.Wrap(err, "encode call")
@@ -115,7 +115,7 @@
 		Reservation:      w.Reservation,
 		Origin:           w.Origin,
 		Host:             w.Host,
-		Reference:        w.Reference,
+		Baseline:         w.Baseline,
 		NonIdempotent:    w.Flags&flagNonIdempotent != 0,
 		WantReservation:  w.Flags&flagWantReservation != 0,
 		DespiteSuspicion: w.Flags&flagDespiteSuspicion != 0,
--- a/internal/hop/hop_test.go
+++ b/internal/hop/hop_test.go
@@ -11,7 +11,7 @@
 func TestCallTravels(t *testing.T) {
 	want := hop.Call{
 		BackendServer: "csepel/lookup-1", TimeLeft: 1500 * time.Millisecond, Customer: "county-7", NonIdempotent: true,
-		WantReservation: true, Reservation: "t", Reference: "1,2,3,4,5", Origin: "records", Priority: 2, DespiteSuspicion: true, RefuseIfBusy: true,
+		WantReservation: true, Reservation: "t", Baseline: "1,2,3,4,5", Origin: "records", Priority: 2, DespiteSuspicion: true, RefuseIfBusy: true,
 		RefuseIfHanging: true, Host: "csepel-1", TargetLeft: 500 * time.Millisecond, LatencyTarget: 800 * time.Millisecond, Usual: 700 * time.Millisecond,
 		SlowAfter: 300 * time.Millisecond,
 	}
--- a/internal/ingress/judge.go
+++ b/internal/ingress/judge.go
@@ -161,7 +161,7 @@
 	}
 	if !o.probation {
 		if o.seen && subject.State(now) == detect.Serving {
-			subject.Observe(now, o.saw, j.group.Reference(o.target.Name))
+			subject.Observe(now, o.saw, j.group.Baseline(o.target.Name))
 		}
 		return
 	}
@@ -169,7 +169,7 @@
 	if !o.seen || subject.State(now) != detect.Probation {
 		return
 	}
-	if subject.Try(now, o.saw, j.group.Reference(o.target.Name)) {
+	if subject.Try(now, o.saw, j.group.Baseline(o.target.Name)) {
 		j.log(event.ServerReturned, o.target, "why", "passed its trial on this path")
 	}
 }
@@ -234,8 +234,8 @@
 	if !ok {
 		return
 	}
-	others := j.group.Reference(target.Name)
-	target.SetReference(others.Encode(), others.Typical)
+	others := j.group.Baseline(target.Name)
+	target.SetBaseline(others.Encode(), others.Typical)
 	if j.declared.AdoptionIn(j.config.DataCentre) != fleet.AdoptionSteer {
 		target.SetShare(balance.FullShare)
 		return
--- a/internal/ingress/reservation.go
+++ b/internal/ingress/reservation.go
@@ -53,7 +53,7 @@
 	defer cancel()
 	call.WantReservation = true
 	call.TimeLeft = within
-	call.Reference = "" // is of use to what runs
+	call.Baseline = "" // is of use to what runs
 	ask := &http.Request{Method: http.MethodGet, URL: &url.URL{Path: "/"}, Host: address, Header: http.Header{}}
 	response, err := in.hop(asking, call, ask, address)
 	if err != nil {
--- a/internal/ingress/send.go
+++ b/internal/ingress/send.go
@@ -48,7 +48,7 @@
 		Host:             in.config.Host,
 		Origin:           in.config.Service,
 		Priority:         r.priority,
-		Reference:        c.target.Reference(),
+		Baseline:         c.target.Baseline(),
 	}
 }
 
--- a/internal/operator/describe.go
+++ b/internal/operator/describe.go
@@ -133,53 +133,53 @@
 	}
 }
 
-// ingressWitness says what this daemon sees on the path.
-func (s *server) ingressWitness(placement fleet.Placement) (operatorapi.Witness, bool) {
+// ingressObserver says what this daemon sees on the path.
+func (s *server) ingressObserver(placement fleet.Placement) (operatorapi.Witness, bool) {
 	name := placement.BackendServer.Name
 	seen, floor, ok := s.config.Ingress.Explain(placement.Service.Name, name)
 	if !ok {
 		return operatorapi.Witness{}, false
 	}
-	witness := newWitness(witnessIngress, s.config.Host, seen)
-	witness.Floor = floor
+	observer := newObserver(witnessIngress, s.config.Host, seen)
+	observer.Floor = floor
 	if pool, ok := s.config.Ingress.Pool(placement.Service.Name); ok {
 		for _, target := range pool.Targets() {
 			if target.Name == name {
-				witness.State = pathState(pool, target, seen)
+				observer.State = pathState(pool, target, seen)
 			}
 		}
 	}
-	return witness, true
+	return observer, true
 }
 
-// sidecarWitness says what the backend server's own daemon sees, or that it
+// sidecarObserver says what the backend server's own daemon sees, or that it
 // does not answer.
-func (s *server) sidecarWitness(ctx context.Context, placement fleet.Placement) operatorapi.Witness {
+func (s *server) sidecarObserver(ctx context.Context, placement fleet.Placement) operatorapi.Witness {
 	var report sidecar.Report
 	err := s.ask(ctx, placement.Host, control.MethodReport, control.Name{Name: placement.BackendServer.Name}, &report)
 	if err != nil {
 		return operatorapi.Witness{
-			Witness:  witnessSidecar,
+			Witness: witnessSidecar,
 			Daemon:   placement.Host.Name,
 			State:    stateUnknown,
 			Cause:    result.From(err).Error(),
 			Evidence: []operatorapi.Evidence{},
 		}
 	}
-	witness := newWitness(witnessSidecar, placement.Host.Name, report.Detection)
-	witness.State = string(report.State)
-	witness.Floor = report.Floor
-	witness.Evidence = append(witness.Evidence,
+	observer := newObserver(witnessSidecar, placement.Host.Name, report.Detection)
+	observer.State = string(report.State)
+	observer.Floor = report.Floor
+	observer.Evidence = append(observer.Evidence,
 		operatorapi.Evidence{Name: "running", Value: strconv.Itoa(report.Running)},
 		operatorapi.Evidence{Name: "waiting", Value: strconv.Itoa(report.Waiting)},
 		operatorapi.Evidence{Name: "load", Value: fmt.Sprintf("%.2f", report.Load)},
 	)
-	return witness
+	return observer
 }
 
-func newWitness(kind, daemon string, seen detect.Explanation) operatorapi.Witness {
+func newObserver(kind, daemon string, seen detect.Explanation) operatorapi.Witness {
 	return operatorapi.Witness{
-		Witness:  kind,
+		Witness: kind,
 		Daemon:   daemon,
 		State:    string(seen.State),
 		Cause:    string(seen.Cause),
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -139,7 +139,7 @@
 	return &held, nil
 }
 
-// Why answers with the evidence of both witnesses.
+// Why answers with the evidence of both observers.
 func (s *server) Why(ctx context.Context, params operatorapi.WhyParams) (*operatorapi.Why, error) {
 	placement, err := s.placement(params.BackendServer)
 	if err != nil {
@@ -150,10 +150,10 @@
 		Service:       placement.Service.Name,
 		Asked:         s.config.Host,
 	}
-	if witness, ok := s.ingressWitness(placement); ok {
-		why.Witnesses = append(why.Witnesses, witness)
+	if observer, ok := s.ingressObserver(placement); ok {
+		why.Witnesses = append(why.Witnesses, observer)
 	}
-	why.Witnesses = append(why.Witnesses, s.sidecarWitness(ctx, placement))
+	why.Witnesses = append(why.Witnesses, s.sidecarObserver(ctx, placement))
 	return why, nil
 }
 
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -28,7 +28,7 @@
 	Method, Host, Path string
 }
 
-// End is the end of a backend server. Its sidecar, the only witness, gives it one time for all requests that ran,
+// End is the end of a backend server. Its sidecar, the only observer, gives it one time for all requests that ran,
 // so that both fields together name it: a backend server may start again under the name that it had.
 type End struct {
 	// Server is the backend server's name.
--- a/internal/sidecar/ends.go
+++ b/internal/sidecar/ends.go
@@ -51,7 +51,7 @@
 }
 
 // noteLost takes it that a request failed, and finds out whether that is since its backend server has
-// ended. The sidecar is the nearest witness: to all others a connection that is cut, or a host
+// ended. The sidecar is the nearest observer: to all others a connection that is cut, or a host
 // that is lost, looks the same.
 func (s *Sidecar) noteLost(server *server, failure *result.Error, call hop.Call, in *http.Request, began time.Time) {
 	if failure.Code.Number != result.ConnectionLost.Number || server.isDraining() {
--- a/internal/sidecar/messages.go
+++ b/internal/sidecar/messages.go
@@ -70,7 +70,7 @@
 	}
 	observeMessage struct {
 		observation detect.Observation
-		others      detect.Reference
+		others      detect.Baseline
 	}
 	// slowMessage says that a running request has outlasted nearly all others of its
 	// route, or, if it has ended, that it had.
@@ -83,7 +83,7 @@
 		probation bool
 		seen      bool
 		saw       detect.Observation
-		others    detect.Reference
+		others    detect.Baseline
 	}
 	cancelMessage struct {
 		request admission.Request
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -200,12 +200,12 @@
 	return result.New(result.CancelledBefore)
 }
 
-// slot is the right to run one request, and the witness of how it went. It is
+// slot is the right to run one request, and the observer of how it went. It is
 // used by one goroutine, but for the overdue timer.
 type slot struct {
 	server    *server
 	probation bool
-	others    detect.Reference
+	others    detect.Baseline
 	target    time.Duration // of the request's route; zero if it is not known
 	slowAfter time.Duration // how long it runs before it has outlasted nearly all of its route; zero if that is not known
 	granted   time.Time
@@ -218,7 +218,7 @@
 }
 
 // begin starts the clock of the request, and of its being overdue.
-func (s *slot) begin(others detect.Reference, call hop.Call) {
+func (s *slot) begin(others detect.Baseline, call hop.Call) {
 	s.target = call.LatencyTarget
 	s.slowAfter = call.SlowAfter
 	s.others = others
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -217,7 +217,7 @@
 }
 
 func (s *Sidecar) do(ctx context.Context, call hop.Call, in *http.Request) (Answer, error) {
-	others, err := detect.ParseReference(call.Reference)
+	others, err := detect.ParseBaseline(call.Baseline)
 	if err != nil {
 		return Answer{}, result.Wrap(result.MalformedRequest, err)
 	}
--- a/internal/sidecar/suspicion.go
+++ b/internal/sidecar/suspicion.go
@@ -26,7 +26,7 @@
 }
 
 // weigh takes an outcome for the suspicion, beside how the others do.
-func (t *task) weigh(now time.Time, saw detect.Observation, others detect.Reference) {
+func (t *task) weigh(now time.Time, saw detect.Observation, others detect.Baseline) {
 	if t.config.Off.Has(experiment.Suspicion) {
 		return
 	}
--- a/test/harness/events.go
+++ b/test/harness/events.go
@@ -16,7 +16,7 @@
 	Daemon        string    `json:"daemon"`
 	BackendServer string    `json:"backend_server"`
 	Service       string    `json:"service"`
-	Witness       string    `json:"witness"`
+	Observer      string    `json:"witness"`
 	Cause         string    `json:"cause"`
 	Why           string    `json:"why"`
 }
--- a/test/integration/gray_test.go
+++ b/test/integration/gray_test.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// warm lasts until the witnesses know what is usual.
+// warm lasts until the observers know what is usual.
 func warm(f *harness.Fleet) {
 	end := time.Now().Add(2 * time.Second)
 	search(f, func() bool { return time.Now().After(end) })
--- a/test/lab/evidence.go
+++ b/test/lab/evidence.go
@@ -103,7 +103,7 @@
 		if e.Event == eventStarted {
 			maps.DeleteFunc(ejected, func(_, daemon string) bool { return daemon == e.Daemon })
 		}
-		if e.Witness != "" {
+		if e.Observer != "" {
 			continue // an ingress avoids, which ejects nobody
 		}
 		switch e.Event {
--- a/test/registered/ends_test.go
+++ b/test/registered/ends_test.go
@@ -362,9 +362,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, witness := range why.Witnesses {
-		for _, evidence := range witness.Evidence {
-			if witness.Witness == "sidecar" && evidence.Name == "running" {
+	for _, observer := range why.Witnesses {
+		for _, evidence := range observer.Evidence {
+			if observer.Observer == "sidecar" && evidence.Name == "running" {
 				return evidence.Value
 			}
 		}
