--- a/internal/daemon/limits.go
+++ b/internal/daemon/limits.go
@@ -137,12 +137,12 @@
 	return decision
 }
 
-// standings returns where the customers near their limit stand, and how many requests of each
+// allowances returns where the customers near their limit stand, and how many requests of each
 // were refused here.
-func (l *limits) standings() (map[string]quota.Standing, map[string]int64) {
+func (l *limits) allowances() (map[string]quota.Allowance, map[string]int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return maps.Clone(l.gate.Standings()), maps.Clone(l.refused)
+	return maps.Clone(l.gate.Allowances()), maps.Clone(l.refused)
 }
 
 // giveBack takes back the admission of a request that reached no backend server.
--- a/internal/daemon/listen.go
+++ b/internal/daemon/listen.go
@@ -159,7 +159,7 @@
 // operatorHandler serves the operator API, the metrics and the readiness page.
 func (d *daemon) operatorHandler() (http.Handler, error) {
 	api, err := operator.New(operator.Config{
-		Customers:  d.limits.standings,
+		Customers:  d.limits.allowances,
 		Quarantine: d.quarantines.Records,
 		Lift:       d.quarantines.Lift,
 		Host:       d.config.Settings.Name,
--- a/internal/detect/baseline.go
+++ b/internal/detect/baseline.go
@@ -137,10 +137,10 @@
 		return false
 	}
 	since := suspected.Suspected()
-	var others []Standing
+	var others []Summary
 	for other, s := range g.subjects {
 		if other != name {
-			others = append(others, s.Standing(since))
+			others = append(others, s.Summary(since))
 		}
 	}
 	return suspected.Alone(others)
--- a/internal/detect/standing.go
+++ b/internal/detect/summary.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Standing is how one backend server does while another is suspected.
-type Standing struct {
+// Summary is how one backend server does while another is suspected.
+type Summary struct {
 	// Good says that it gave an answer in good time since the suspicion began.
 	Good bool `json:"good"`
 	// Suspect says that it has gathered half the evidence to be called sick
@@ -29,16 +29,16 @@
 // Suspected returns since when the subject is under suspicion.
 func (s *Subject) Suspected() time.Time { return s.suspicion().since }
 
-// Standing returns how the subject has done since then.
-func (s *Subject) Standing(since time.Time) Standing {
+// Summary returns how the subject has done since then.
+func (s *Subject) Summary(since time.Time) Summary {
 	e := s.suspicion()
-	standing := Standing{Good: s.lastGood.After(since)}
+	summary := Summary{Good: s.lastGood.After(since)}
 	if sum := e.total(s.rules); sum > 0 {
-		standing.Suspect = sum >= s.rules.Threshold/2
-		standing.Count = e.count
-		standing.Bad = e.bad
+		summary.Suspect = sum >= s.rules.Threshold/2
+		summary.Count = e.count
+		summary.Bad = e.bad
 	}
-	return standing
+	return summary
 }
 
 // idleFactor is how many times the usual evidence is needed if none of the
@@ -48,7 +48,7 @@
 // Alone says whether the suspicion is the subject's own: at least one of the
 // others did well meanwhile, more did well than are suspects themselves, and
 // what bad answers they gave would not make the subject's likely.
-func (s *Subject) Alone(others []Standing) bool {
+func (s *Subject) Alone(others []Summary) bool {
 	e := s.suspicion()
 	good, suspect := 0, 0
 	var count, bad float64
--- a/internal/operator/describe.go
+++ b/internal/operator/describe.go
@@ -111,7 +111,7 @@
 	}
 }
 
-func describeCustomer(c fleet.Customer, standings map[string]quota.Standing, refused int64) operatorapi.Customer {
+func describeCustomer(c fleet.Customer, standings map[string]quota.Allowance, refused int64) operatorapi.Customer {
 	described := operatorapi.Customer{Name: c.Name, Keys: len(c.Keys), Rate: c.Rate, Burst: c.Burst, Share: 1, Refused: refused}
 	if c.Priority != nil {
 		described.Priority = operatorapi.NewOptInt(*c.Priority)
@@ -159,7 +159,7 @@
 	err := s.ask(ctx, placement.Host, control.MethodReport, control.Name{Name: placement.BackendServer.Name}, &report)
 	if err != nil {
 		return operatorapi.Witness{
-			Witness: witnessSidecar,
+			Witness:  witnessSidecar,
 			Daemon:   placement.Host.Name,
 			State:    stateUnknown,
 			Cause:    result.From(err).Error(),
@@ -179,7 +179,7 @@
 
 func newObserver(kind, daemon string, seen detect.Explanation) operatorapi.Witness {
 	return operatorapi.Witness{
-		Witness: kind,
+		Witness:  kind,
 		Daemon:   daemon,
 		State:    string(seen.State),
 		Cause:    string(seen.Cause),
@@ -236,7 +236,7 @@
 func describeHeld(record quarantine.Record) operatorapi.HeldRequest {
 	held := operatorapi.HeldRequest{
 		Fingerprint: record.ID,
-		Standing:    string(record.Standing()),
+		Standing:    string(record.Status()),
 		Service:     record.Service,
 		Method:      record.Method,
 		Host:        record.Host,
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -44,7 +44,7 @@
 	InForce func() (InForce, bool)
 	// Customers returns where the customers near their limit stand, and how many requests of
 	// each were refused here.
-	Customers func() (map[string]quota.Standing, map[string]int64)
+	Customers func() (map[string]quota.Allowance, map[string]int64)
 	// Quarantine returns what is held against requests, and Lift lets one of that fingerprint run again.
 	Quarantine func() []quarantine.Record
 	Lift       func(ctx context.Context, fingerprint string) (quarantine.Record, error)
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -32,7 +32,7 @@
 	tests := []struct {
 		name string
 		do   func(*quarantine.Table)
-		want quarantine.Standing
+		want quarantine.Status
 	}{
 		{"nothing is known", func(*quarantine.Table) {}, quarantine.Clear},
 		{"one has ended", func(t *quarantine.Table) { end(t, "a", 1) }, quarantine.Suspected},
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -76,8 +76,8 @@
 // Suspected says whether an answer would tell something of the request.
 func (r Record) Suspected() bool { return len(r.Ends) > 0 }
 
-// Standing returns what is believed of the request.
-func (r Record) Standing() Standing {
+// Status returns what is believed of the request.
+func (r Record) Status() Status {
 	switch {
 	case r.Quarantined():
 		return Quarantined
--- a/internal/quarantine/view.go
+++ b/internal/quarantine/view.go
@@ -7,31 +7,31 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Standing is what is believed of a request.
-type Standing string
+// Status is what is believed of a request.
+type Status string
 
-// The standings.
+// The statuses.
 const (
 	// Clear means that nothing is held against the request.
-	Clear Standing = "clear"
+	Clear Status = "clear"
 	// Suspected means that backend servers ended that ran it, too few yet.
-	Suspected Standing = "suspected"
+	Suspected Status = "suspected"
 	// Quarantined means that no backend server is to be sent it.
-	Quarantined Standing = "quarantined"
+	Quarantined Status = "quarantined"
 )
 
 // View answers lookups. It does not change, so that any number of goroutines may read it.
 type View struct {
-	heads     map[uint64]struct{}
-	standings map[string]Standing
-	triable   map[string]time.Time // from when on requests in quarantine may be tried once more
-	held      []Record             // what was ever quarantined
-	sum       uint64
+	heads    map[uint64]struct{}
+	statuses map[string]Status
+	triable  map[string]time.Time // from when on requests in quarantine may be tried once more
+	held     []Record             // what was ever quarantined
+	sum      uint64
 }
 
 // View returns the present view of the table.
 func (t *Table) View() *View {
-	v := &View{heads: make(map[uint64]struct{}), standings: make(map[string]Standing), triable: make(map[string]time.Time)}
+	v := &View{heads: make(map[uint64]struct{}), statuses: make(map[string]Status), triable: make(map[string]time.Time)}
 	for _, r := range t.records {
 		if r.Held {
 			v.held = append(v.held, r)
@@ -41,7 +41,7 @@
 			continue
 		}
 		v.heads[r.Head] = struct{}{}
-		v.standings[r.ID] = r.Standing()
+		v.statuses[r.ID] = r.Status()
 		if r.Quarantined() && r.Tried == "" {
 			v.triable[r.ID] = r.LastEnd().Add(TrialAfter)
 		}
@@ -60,9 +60,9 @@
 }
 
 // Of returns what is believed of the request.
-func (v *View) Of(id string) Standing {
-	if standing, ok := v.standings[id]; ok {
-		return standing
+func (v *View) Of(id string) Status {
+	if status, ok := v.statuses[id]; ok {
+		return status
 	}
 	return Clear
 }
@@ -81,14 +81,14 @@
 
 // hash is of what a daemon has to know of a quarantine.
 func (r Record) hash() uint64 {
-	return xxhash.Sum64String(r.ID + strconv.FormatInt(r.Epoch, 10) + string(r.Standing()))
+	return xxhash.Sum64String(r.ID + strconv.FormatInt(r.Epoch, 10) + string(r.Status()))
 }
 
-// Count returns how many requests have that standing.
-func (v *View) Count(standing Standing) int {
+// Count returns how many requests have that status.
+func (v *View) Count(status Status) int {
 	count := 0
-	for _, s := range v.standings {
-		if s == standing {
+	for _, s := range v.statuses {
+		if s == status {
 			count++
 		}
 	}
--- a/internal/quarantinesync/quarantinesync.go
+++ b/internal/quarantinesync/quarantinesync.go
@@ -11,8 +11,8 @@
 //
 //	k := quarantinesync.New(quarantinesync.Config{Host: "csepel-1", Store: kv, Prefix: "tidelift/quarantine", Tell: tell, ...})
 //	go k.Run(ctx)
-//	standing, id := k.Standing(request)
-//	if standing == quarantine.Quarantined && !k.Try(ctx, id) { ... } // refuse it
+//	status, id := k.Status(request)
+//	if status == quarantine.Quarantined && !k.Try(ctx, id) { ... } // refuse it
 //	k.Ended(request, "lookup", end) // its backend server ended under it
 //	k.Answered(request)             // or answered it
 //	k.Take(records)                 // what another daemon tells
@@ -179,8 +179,8 @@
 // Quiet says whether nothing is held against any request.
 func (k *Syncer) Quiet() bool { return k.view.Load().Empty() }
 
-// Standing returns what is believed of the request and, if that is something, its id.
-func (k *Syncer) Standing(r fingerprint.Request) (quarantine.Standing, string) {
+// Status returns what is believed of the request and, if that is something, its id.
+func (k *Syncer) Status(r fingerprint.Request) (quarantine.Status, string) {
 	view := k.view.Load()
 	if view.Empty() || !view.Mentions(r.Head()) {
 		return quarantine.Clear, ""
@@ -213,7 +213,7 @@
 
 // Answered takes it that a backend server answered the request.
 func (k *Syncer) Answered(r fingerprint.Request) {
-	if standing, id := k.Standing(r); standing != quarantine.Clear {
+	if status, id := k.Status(r); status != quarantine.Clear {
 		k.send(context.Background(), answeredMessage{id: id})
 	}
 }
--- a/internal/quarantinesync/quarantinesync_test.go
+++ b/internal/quarantinesync/quarantinesync_test.go
@@ -108,9 +108,9 @@
 	}}
 }
 
-// standing returns what the quarantinesync believes of the request.
-func standing(k *quarantinesync.Syncer, body string) quarantine.Standing {
-	s, _ := k.Standing(request(body))
+// status returns what the quarantinesync believes of the request.
+func status(k *quarantinesync.Syncer, body string) quarantine.Status {
+	s, _ := k.Status(request(body))
 	return s
 }
 
@@ -124,11 +124,11 @@
 }
 
 // awaitAll waits until all syncers believe that of the guilty request.
-func (g *group) awaitAll(want quarantine.Standing) {
+func (g *group) awaitAll(want quarantine.Status) {
 	g.t.Helper()
 	g.await(fmt.Sprintf("it is %s everywhere", want), func() bool {
 		for _, k := range g.syncers {
-			if standing(k, "guilty") != want {
+			if status(k, "guilty") != want {
 				return false
 			}
 		}
@@ -160,7 +160,7 @@
 			g.endEach("innocent", 1)
 			g.awaitAll(quarantine.Quarantined)
 			for _, k := range g.syncers {
-				if standing(k, "innocent") == quarantine.Quarantined || standing(k, "other") != quarantine.Clear {
+				if status(k, "innocent") == quarantine.Quarantined || status(k, "other") != quarantine.Clear {
 					t.Fatal("another request is quarantined")
 				}
 			}
@@ -177,7 +177,7 @@
 	time.Sleep(300 * time.Millisecond)
 	g.standin.SetOutage(false)
 	late := g.add()
-	g.await("one that starts later knows it", func() bool { return standing(late, "guilty") == quarantine.Quarantined })
+	g.await("one that starts later knows it", func() bool { return status(late, "guilty") == quarantine.Quarantined })
 }
 
 // TestOneOfAllTriesAQuarantinedRequestOnce asks all at once, twice.
@@ -185,7 +185,7 @@
 	g := newGroup(t, 4)
 	g.endEach("guilty", quarantine.Limit)
 	g.awaitAll(quarantine.Quarantined)
-	_, id := g.syncers[0].Standing(request("guilty"))
+	_, id := g.syncers[0].Status(request("guilty"))
 	if g.syncers[0].Try(context.Background(), id) {
 		t.Fatal("it is tried at once")
 	}
@@ -217,7 +217,7 @@
 	g.awaitAll(quarantine.Quarantined)
 	time.Sleep(quarantine.TrialAfter + 100*time.Millisecond)
 	g.standin.SetOutage(true)
-	_, id := g.syncers[0].Standing(request("guilty"))
+	_, id := g.syncers[0].Status(request("guilty"))
 	if g.syncers[0].Try(context.Background(), id) || g.syncers[1].Try(context.Background(), id) {
 		t.Fatal("a daemon tries it that cannot know whether another does")
 	}
@@ -229,7 +229,7 @@
 	tests := map[string]func(*quarantinesync.Syncer){
 		"an answer": func(k *quarantinesync.Syncer) { k.Answered(request("guilty")) },
 		"an operator's word": func(k *quarantinesync.Syncer) {
-			_, id := k.Standing(request("guilty"))
+			_, id := k.Status(request("guilty"))
 			if _, err := k.Lift(context.Background(), id); err != nil {
 				t.Error(err)
 			}
@@ -245,7 +245,7 @@
 			g.awaitAll(quarantine.Clear)
 			late := g.add()
 			time.Sleep(200 * time.Millisecond)
-			if standing(late, "guilty") != quarantine.Clear {
+			if status(late, "guilty") != quarantine.Clear {
 				t.Fatal("one that starts later takes it for quarantined")
 			}
 			if lines := g.logged("event=507"); lines != 3 {
@@ -286,11 +286,11 @@
 	g.standin.Write(prefix+"/held/other", fmt.Appendf(nil, `{"id":%q,"head":%d,"ends":[{"server":"a"},{"server":"b"},{"server":"c"}]}`, others, request("").Head()))
 	g.endEach("guilty", quarantine.Limit)
 	late := g.add()
-	g.await("the good one is known", func() bool { return standing(late, "guilty") == quarantine.Quarantined })
+	g.await("the good one is known", func() bool { return status(late, "guilty") == quarantine.Quarantined })
 	if g.logged("event=404") < 3 {
 		t.Fatal("no line on the rubbish")
 	}
-	if standing(late, "innocent") != quarantine.Clear {
+	if status(late, "innocent") != quarantine.Clear {
 		t.Fatal("a record under another's key is believed")
 	}
 }
@@ -350,6 +350,6 @@
 	other := request("")
 	other.Path = "/other"
 	for b.Loop() {
-		k.Standing(other)
+		k.Status(other)
 	}
 }
--- a/internal/quota/gate.go
+++ b/internal/quota/gate.go
@@ -22,7 +22,7 @@
 )
 
 const (
-	// allowed is the allowance in parts of the burst that fall to a host. Source: callers are
+	// allowed is mostOpen in parts of the burst that fall to a host. Source: callers are
 	// not spread evenly; a flood gets no more than two bursts before the ledger knows.
 	allowed = 2.0
 	// allowedEarly is the same before the first verdict. Source: where all daemons start
@@ -32,7 +32,7 @@
 
 const (
 	// minRetryAfter and maxRetryAfter bound what a refused caller is told. Source: the
-	// standings are renewed a few times a second, and callers wait seconds at most.
+	// allowances are renewed a few times a second, and callers wait seconds at most.
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 5 * time.Second
 )
@@ -46,22 +46,22 @@
 
 // Gate admits the requests of one daemon's callers.
 type Gate struct {
-	limits   map[string]Limit
-	hosts    int            // that share the limits
-	heard    bool           // a verdict
-	open     map[string]int // admitted since the last verdict
-	counts   map[string]Count
-	standing map[string]Standing
-	credit   map[string]float64 // parts of a request that are left from the shares
-	spent    bool               // some customer has used up its allowance
-	urgent   bool               // some customer has urgentCount unreported requests
-	near     bool               // some customer's share is below one
-	reported time.Time
+	limits     map[string]Limit
+	hosts      int            // that share the limits
+	heard      bool           // a verdict
+	open       map[string]int // admitted since the last verdict
+	counts     map[string]Count
+	allowances map[string]Allowance
+	credit     map[string]float64 // parts of a request that are left from the shares
+	spent      bool               // some customer has mostOpen requests open
+	urgent     bool               // some customer has urgentCount unreported requests
+	near       bool               // some customer's share is below one
+	reported   time.Time
 }
 
 // NewGate returns a gate without limits, which admits everything.
 func NewGate() *Gate {
-	return &Gate{open: make(map[string]int), counts: make(map[string]Count), standing: make(map[string]Standing), credit: make(map[string]float64)}
+	return &Gate{open: make(map[string]int), counts: make(map[string]Count), allowances: make(map[string]Allowance), credit: make(map[string]float64)}
 }
 
 // Reconfigure takes the limits by customer, and how many hosts share them. Customers without
@@ -78,24 +78,24 @@
 	count.Customer = customer
 	count.Asked++
 	g.urgent = g.urgent || count.Asked >= urgentCount
-	standing, near := g.standing[customer]
-	decision := Decision{Admitted: g.admits(customer, limit, standing, near)}
+	allowance, near := g.allowances[customer]
+	decision := Decision{Admitted: g.admits(customer, limit, allowance, near)}
 	if decision.Admitted {
 		count.Admitted++
 	} else {
-		decision.RetryAfter = retryAfter(limit, standing)
+		decision.RetryAfter = retryAfter(limit, allowance)
 	}
 	g.counts[customer] = count
 	return decision
 }
 
-// admits decides by the customer's standing, if there is one, and admits no more than the
-// allowance between two verdicts: the first share that a flood gets is taken from few requests.
-func (g *Gate) admits(customer string, limit Limit, standing Standing, near bool) bool {
-	if near && !g.spend(customer, standing.Share) {
+// admits decides by the customer's allowance, if there is one, and admits no more than the
+// mostOpen between two verdicts: the first share that a flood gets is taken from few requests.
+func (g *Gate) admits(customer string, limit Limit, allowance Allowance, near bool) bool {
+	if near && !g.spend(customer, allowance.Share) {
 		return false
 	}
-	if float64(g.open[customer]) < g.allowance(limit) {
+	if float64(g.open[customer]) < g.mostOpen(limit) {
 		g.open[customer]++
 		return true
 	}
@@ -103,15 +103,15 @@
 	return false
 }
 
-// allowance is how many requests of one customer are admitted between two verdicts: twice this
+// mostOpen is how many requests of one customer are admitted between two verdicts: twice this
 // host's part of the burst, which the bucket holds while the customer is below its limit. It
 // bounds what a flood gets before the ledger knows of it. Three daemons that were asked 13,000
 // times a second for a customer with a limit of 40 ran 612 requests in four seconds without it,
-// 180 being due, and up to 368 while it held only without a standing
+// 180 being due, and up to 368 while it held only without that bound
 // (TestALimitHoldsForTheWholeFleet). Who has used it up
 // reports at once, so that a customer whose callers are all on one host waits for one answer
 // and is held to nothing else.
-func (g *Gate) allowance(limit Limit) float64 {
+func (g *Gate) mostOpen(limit Limit) float64 {
 	part := limit.Burst / float64(max(1, g.hosts))
 	if !g.heard {
 		return max(1, allowedEarly*part)
@@ -133,7 +133,7 @@
 
 // retryAfter is how long the bucket takes to hold a request again, then to let through what is
 // asked within a second beyond the limit, and until what is asked now no longer counts.
-func retryAfter(limit Limit, s Standing) time.Duration {
+func retryAfter(limit Limit, s Allowance) time.Duration {
 	seconds := horizon.Seconds() + max(0, 1-s.Level)/limit.Rate
 	if s.Share > 0 {
 		seconds += 1/s.Share - 1
@@ -193,19 +193,19 @@
 	}
 	g.heard, g.near = true, false
 	clear(g.open)
-	clear(g.standing)
-	for _, s := range v.Standings {
+	clear(g.allowances)
+	for _, s := range v.Allowances {
 		if s.Share < 1 {
-			g.standing[s.Customer] = s
+			g.allowances[s.Customer] = s
 			g.near = true
 		}
 	}
 	for customer := range g.credit {
-		if _, near := g.standing[customer]; !near {
+		if _, near := g.allowances[customer]; !near {
 			delete(g.credit, customer)
 		}
 	}
 }
 
-// Standings returns the customers whose requests are not all admitted.
-func (g *Gate) Standings() map[string]Standing { return g.standing }
+// Allowances returns the customers whose requests are not all admitted.
+func (g *Gate) Allowances() map[string]Allowance { return g.allowances }
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -149,8 +149,8 @@
 	if !heard.Known {
 		return
 	}
-	levels := make(map[string]float64, len(heard.Standings))
-	for _, s := range heard.Standings {
+	levels := make(map[string]float64, len(heard.Allowances))
+	for _, s := range heard.Allowances {
 		levels[s.Customer] = s.Level
 	}
 	for customer, declared := range l.limits {
@@ -221,7 +221,7 @@
 	return max(0, room/asked)
 }
 
-// verdict returns the standings of the customers near their limit.
+// verdict returns the allowances of the customers near their limit.
 func (l *Ledger) verdict(now time.Time, part float64) Verdict {
 	if now.Sub(l.began) < settled {
 		return Verdict{}
@@ -232,7 +232,7 @@
 		b.fill(now, limit)
 		share := b.share(limit)
 		if share < 1 || b.level < echoed*limit.Burst {
-			v.Standings = append(v.Standings, Standing{Customer: customer, Share: round(share), Level: round(b.level)})
+			v.Allowances = append(v.Allowances, Allowance{Customer: customer, Share: round(share), Level: round(b.level)})
 		}
 	}
 	return v
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -90,13 +90,13 @@
 	Known bool `json:"known,omitempty"`
 	// By names the ledger's host.
 	By string `json:"by,omitempty"`
-	// Standings are of the customers near their limit or beyond; those of all others are
+	// Allowances are of the customers near their limit or beyond; those of all others are
 	// admitted whole.
-	Standings []Standing `json:"standings,omitempty"`
+	Allowances []Allowance `json:"standings,omitempty"`
 }
 
-// Standing is where one customer stands.
-type Standing struct {
+// Allowance is where one customer stands.
+type Allowance struct {
 	Customer string `json:"c"`
 	// Share of its requests is admitted.
 	Share float64 `json:"s"`
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -124,7 +124,7 @@
 	}
 	h.pass(after)
 	if admitted, _ := h.ask(1); admitted != 1 {
-		t.Fatalf("refused again after the %s that it was told: %+v", after, h.gate.Standings())
+		t.Fatalf("refused again after the %s that it was told: %+v", after, h.gate.Allowances())
 	}
 }
 
@@ -133,7 +133,7 @@
 func TestAShareOfAFloodIsBoundedToo(t *testing.T) {
 	gate := quota.NewGate()
 	gate.Reconfigure(limitsOf(40, 20), 3)
-	gate.Hear(quota.Verdict{Known: true, Standings: []quota.Standing{{Customer: "a", Share: 0.43, Level: 7}}})
+	gate.Hear(quota.Verdict{Known: true, Allowances: []quota.Allowance{{Customer: "a", Share: 0.43, Level: 7}}})
 	admitted := 0
 	for range 1000 {
 		if gate.Admit("a").Admitted {
@@ -200,7 +200,7 @@
 // that is fresh, a ledger that follows for longer, and nobody long after.
 func TestACollectorForgetsAnOldVerdict(t *testing.T) {
 	c := quota.NewCollector()
-	c.Hear(simStart, quota.Verdict{Known: true, Standings: []quota.Standing{{Customer: "a", Share: 0.1}}})
+	c.Hear(simStart, quota.Verdict{Known: true, Allowances: []quota.Allowance{{Customer: "a", Share: 0.1}}})
 	tests := []struct {
 		later       time.Duration
 		gate, heard bool
@@ -213,7 +213,7 @@
 		now := simStart.Add(test.later)
 		told := c.Add(now, quota.Report{From: "csepel-1", Hosts: 1})
 		heard := c.Drain(now, "csepel-2").Heard
-		if told.Known != test.gate || heard.Known != test.heard || heard.Known && len(heard.Standings) != 1 {
+		if told.Known != test.gate || heard.Known != test.heard || heard.Known && len(heard.Allowances) != 1 {
 			t.Errorf("%s later a gate is told %+v, a ledger %+v", test.later, told, heard)
 		}
 	}
@@ -224,13 +224,13 @@
 func TestALedgerGoesOnWhereAnotherEnded(t *testing.T) {
 	ledger := quota.NewLedger("csepel-1")
 	ledger.Reconfigure(limitsOf(10, 100), 1)
-	heard := quota.Verdict{Known: true, Standings: []quota.Standing{{Customer: "a", Share: 0.2, Level: -50}}}
+	heard := quota.Verdict{Known: true, Allowances: []quota.Allowance{{Customer: "a", Share: 0.2, Level: -50}}}
 	var verdict quota.Verdict
 	for i := range 5 {
 		at := simStart.Add(time.Duration(i) * 100 * time.Millisecond)
 		verdict = ledger.Take(at, quota.Report{From: "csepel-1", Hosts: 1, Heard: heard, Counts: []quota.Count{{Customer: "a", Asked: 5, Admitted: 1}}})
 	}
-	if len(verdict.Standings) != 1 || verdict.Standings[0].Level > -40 || verdict.Standings[0].Share > 0 {
+	if len(verdict.Allowances) != 1 || verdict.Allowances[0].Level > -40 || verdict.Allowances[0].Share > 0 {
 		t.Fatalf("%+v", verdict)
 	}
 }
--- a/internal/sidecar/eject.go
+++ b/internal/sidecar/eject.go
@@ -85,7 +85,7 @@
 		return
 	}
 	t.asking.open = true
-	clear(t.asking.standings)
+	clear(t.asking.summaries)
 	t.askOthers(now, t.declared.others)
 }
 
@@ -111,7 +111,7 @@
 // alone says whether the suspicion is the backend server's own, by how those
 // who answered do themselves.
 func (t *task) alone() bool {
-	return t.subject.Alone(slices.Collect(maps.Values(t.asking.standings)))
+	return t.subject.Alone(slices.Collect(maps.Values(t.asking.summaries)))
 }
 
 // tryEnter ejects the backend server if the leases are enough, or ends the try once
--- a/internal/sidecar/ends.go
+++ b/internal/sidecar/ends.go
@@ -34,8 +34,8 @@
 	if k == nil || k.Quiet() {
 		return nil
 	}
-	standing, id := k.Standing(s.fingerprintOf(in, call.Body.First))
-	if standing != quarantine.Quarantined || !hasSlot && k.MayTry(id) || hasSlot && k.Try(ctx, id) {
+	status, id := k.Status(s.fingerprintOf(in, call.Body.First))
+	if status != quarantine.Quarantined || !hasSlot && k.MayTry(id) || hasSlot && k.Try(ctx, id) {
 		return nil
 	}
 	return result.New(result.Quarantined).WithDetail("fingerprint %s", id)
--- a/internal/sidecar/lease.go
+++ b/internal/sidecar/lease.go
@@ -18,8 +18,8 @@
 	open bool
 	// pending are the requests that have not been answered.
 	pending map[uint64]bool
-	// standings are how those who answered do themselves.
-	standings map[string]detect.Standing
+	// summaries are how those who answered do themselves.
+	summaries map[string]detect.Summary
 	// notBefore is when the next try may begin.
 	notBefore time.Time
 	// renewed is when leases were last asked for.
@@ -31,7 +31,7 @@
 }
 
 func newAsking() asking {
-	return asking{pending: make(map[uint64]bool), standings: make(map[string]detect.Standing)}
+	return asking{pending: make(map[uint64]bool), summaries: make(map[string]detect.Summary)}
 }
 
 // askOthers asks backend servers of the service for leases.
@@ -66,7 +66,7 @@
 // leases are enough.
 func (t *task) takeLease(now time.Time, m leaseMessage) {
 	delete(t.asking.pending, m.number)
-	t.asking.standings[m.from] = m.lease.Standing
+	t.asking.summaries[m.from] = m.lease.Summary
 	if m.lease.Refusal == floor.Granted {
 		t.ledger.Hold(m.number, m.from, m.asked)
 	} else {
@@ -83,7 +83,7 @@
 // trim gives back the leases beyond what the floor needs, those of suspects
 // first.
 func (t *task) trim(now time.Time) {
-	healthy := func(name string) bool { return !t.asking.standings[name].Suspect }
+	healthy := func(name string) bool { return !t.asking.summaries[name].Suspect }
 	t.giveBack(t.ledger.Trim(now, t.declared.Service.Floor, healthy))
 }
 
@@ -110,7 +110,7 @@
 	cold := t.subject.Share(now) < 1
 	t.ledger.SetUnable(t.isDraining(now) || dead || cold)
 	since := now.Add(-time.Duration(r.SuspectedFor) * time.Millisecond)
-	return LeaseAnswer{Refusal: t.ledger.Answer(now, r), Standing: t.subject.Standing(since)}
+	return LeaseAnswer{Refusal: t.ledger.Answer(now, r), Summary: t.subject.Summary(since)}
 }
 
 // Ask answers a request for a lease to a backend server of this host.
--- a/internal/sidecar/messages.go
+++ b/internal/sidecar/messages.go
@@ -28,8 +28,8 @@
 type LeaseAnswer struct {
 	// Refusal says why not; floor.Granted means that it was given.
 	Refusal floor.Refusal `json:"refusal"`
-	// Standing is how the one asked does itself.
-	Standing detect.Standing `json:"standing"`
+	// Summary is how the one asked does itself.
+	Summary detect.Summary `json:"standing"`
 }
 
 // State is what the sidecar does with a backend server.
--- a/test/registered/ends_test.go
+++ b/test/registered/ends_test.go
@@ -364,7 +364,7 @@
 	}
 	for _, observer := range why.Witnesses {
 		for _, evidence := range observer.Evidence {
-			if observer.Observer == "sidecar" && evidence.Name == "running" {
+			if observer.Witness == "sidecar" && evidence.Name == "running" {
 				return evidence.Value
 			}
 		}
