--- a/internal/control/hosts_test.go
+++ b/internal/control/hosts_test.go
@@ -20,7 +20,7 @@
 		address := fmt.Sprintf("10.1.%d.%d", n/250, n%250)
 		hosts = append(hosts, member.Host{
 			Name: fmt.Sprintf("csepel-%d", n), DataCentre: "csepel", Peers: address + ":8146", Control: address + ":7380",
-			Start: fmt.Sprintf("%016x", uint64(n)*0x9e3779b97f4a7c15), Life: int64(n%3 + 1), Version: int64(n%7 + 1),
+			Start: fmt.Sprintf("%016x", uint64(n)*0x9e3779b97f4a7c15), Incarnation: int64(n%3 + 1), Version: int64(n%7 + 1),
 			Servers: []member.Server{{Name: fmt.Sprintf("i-%08x", uint32(n)*2654435761), Service: "lookup", Address: address + ":8145", Slots: 4}},
 		})
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -251,7 +251,7 @@
 	d.source = d.newSource()
 }
 
-// buildMembers makes the table of hosts, in which this one begins a new life.
+// buildMembers makes the table of hosts, in which this one begins a new incarnation.
 func (d *daemon) buildMembers() {
 	s := d.config.Settings
 	d.members = newMembers(member.Host{
--- a/internal/daemon/gone.go
+++ b/internal/daemon/gone.go
@@ -25,7 +25,7 @@
 		return
 	}
 	if gone, ok := d.members.setGone(known); ok {
-		event.Log(d.config.Logger, event.HostGone, "host", host.Name, "life", known.Life, "version", known.Version)
+		event.Log(d.config.Logger, event.HostGone, "host", host.Name, "life", known.Incarnation, "version", known.Version)
 		d.retake()
 		d.tell("", []member.Host{gone})
 	}
--- a/internal/daemon/gossip_test.go
+++ b/internal/daemon/gossip_test.go
@@ -30,7 +30,7 @@
 	d := &daemon{members: newMembers(member.Host{Name: "csepel-1"}), quarantines: quarantinesync.New(quarantinesync.Config{Scope: tally.NoopScope})}
 	d.peers, cleanUp = control.NewClient(control.ClientConfig{})
 	defer cleanUp()
-	d.members.merge([]member.Host{{Name: "csepel-2", Control: listener.Addr().String(), Start: "a", Life: 1, Version: 1}})
+	d.members.merge([]member.Host{{Name: "csepel-2", Control: listener.Addr().String(), Start: "a", Incarnation: 1, Version: 1}})
 	d.receiveNotice(control.Notice{Host: "csepel-2", Revision: 7})
 	select {
 	case method := <-asked:
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -106,7 +106,7 @@
 func (m *members) setGone(known member.Host) (member.Host, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.table.SetGone(known.Name, known.Life, known.Version)
+	return m.table.SetGone(known.Name, known.Incarnation, known.Version)
 }
 
 // checkIn takes what a backend server says of itself, and says whether that
@@ -143,7 +143,7 @@
 }
 
 // merge takes what others told and returns what is news, and which backend servers
-// of this host left in an earlier life of the daemon, as the others remember.
+// of this host left in an earlier incarnation of the daemon, as the others remember.
 func (m *members) merge(told []member.Host) (news []member.Host, forbidden []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/daemon/news.go
+++ b/internal/daemon/news.go
@@ -33,7 +33,7 @@
 		return
 	}
 	for _, h := range news {
-		event.Log(d.config.Logger, event.HostLearned, "host", h.Name, "from", from, "life", h.Life, "version", h.Version,
+		event.Log(d.config.Logger, event.HostLearned, "host", h.Name, "from", from, "life", h.Incarnation, "version", h.Version,
 			"gone", h.Gone, "stopping", h.Stopping, "servers", len(h.Servers))
 	}
 	d.retake()
--- a/internal/daemon/part_test.go
+++ b/internal/daemon/part_test.go
@@ -13,7 +13,7 @@
 	"github.com/tideliftd/tidelift/internal/store"
 )
 
-// TestOnlyAFirstStartHasItsPartAtOnce writes a host's record to a store that has one of an earlier life,
+// TestOnlyAFirstStartHasItsPartAtOnce writes a host's record to a store that has one of an earlier incarnation,
 // or not, or whose answer is lost.
 func TestOnlyAFirstStartHasItsPartAtOnce(t *testing.T) {
 	errLost := errors.New("the answer is lost")
--- a/internal/daemon/record.go
+++ b/internal/daemon/record.go
@@ -130,9 +130,9 @@
 	return lease, nil
 }
 
-// commitRecord writes the record. The first of this life finds out whether the store still has that of
+// commitRecord writes the record. The first of this incarnation finds out whether the store still has that of
 // an earlier one. In the first start of a fleet, if not, nobody has used what the hosts share: neither
-// that life, which had not been heard of for as long as records last, nor hosts that are gone by now.
+// that incarnation, which had not been heard of for as long as records last, nor hosts that are gone by now.
 func (d *daemon) commitRecord(ctx context.Context, put store.Put) error {
 	change := store.Change{Puts: []store.Put{put}}
 	if !d.followsRecord.Load() {
--- a/internal/daemon/record_test.go
+++ b/internal/daemon/record_test.go
@@ -13,7 +13,7 @@
 // left out it would stay so: what the host itself tells has the same version.
 func TestARecordIsTakenWhole(t *testing.T) {
 	want := member.Host{
-		Name: "csepel-1", DataCentre: "csepel", Start: "s", Life: 2, Version: 5,
+		Name: "csepel-1", DataCentre: "csepel", Start: "s", Incarnation: 2, Version: 5,
 		Servers: []member.Server{{Name: "i-1", Service: "lookup", Address: "127.0.0.1:1", Slots: 4}},
 		Left:    []string{"i-0"},
 	}
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -15,8 +15,8 @@
 // # Rules
 //
 //   - Only a host's own daemon changes what is told of it. A record of a higher
-//     life replaces one of a lower, and within a life the higher version does.
-//   - A daemon that starts anew takes life 1, and one above any that it hears
+//     incarnation replaces one of a lower, and within an incarnation the higher version does.
+//   - A daemon that starts anew takes incarnation 1, and one above any that it hears
 //     told of itself by an earlier start, so that it needs no clock and no disk.
 //   - Others may say that a host is gone. That counts against the same version,
 //     and the host takes it back by telling a higher one.
@@ -60,12 +60,12 @@
 	// Peers and Control are the daemon's addresses for other daemons.
 	Peers   string `json:"peers"`
 	Control string `json:"control"`
-	// Start is a random name of the daemon's start. It tells two lives of the
+	// Start is a random name of the daemon's start. It tells two incarnations of the
 	// same number apart until the later one has heard of the earlier.
 	Start string `json:"start"`
-	// Life rises with each start of the daemon, Version with each change in one.
-	Life    int64 `json:"life"`
-	Version int64 `json:"version"`
+	// Incarnation rises with each start of the daemon, Version with each change in one.
+	Incarnation int64 `json:"life"`
+	Version     int64 `json:"version"`
 	// Stopping says that the daemon is in a planned stop.
 	Stopping bool `json:"stopping,omitempty"`
 	// Gone says that another daemon found the host gone.
@@ -78,8 +78,8 @@
 
 // newer says whether h replaces other.
 func (h Host) newer(other Host) bool {
-	if h.Life != other.Life {
-		return h.Life > other.Life
+	if h.Incarnation != other.Incarnation {
+		return h.Incarnation > other.Incarnation
 	}
 	if h.Version != other.Version {
 		return h.Version > other.Version
@@ -99,7 +99,7 @@
 
 // NewTable returns a table that knows the daemon's own host.
 func NewTable(self Host) *Table {
-	self.Life, self.Version = 1, 1
+	self.Incarnation, self.Version = 1, 1
 	t := &Table{self: self.Name, hosts: make(map[string]Host)}
 	t.put(self)
 	return t
@@ -161,12 +161,12 @@
 // told, or by which another daemon says that the host is gone.
 func (t *Table) answer(told Host) (Host, bool) {
 	self := t.Self()
-	earlierStart := told.Start != self.Start && told.Life >= self.Life
-	saidGone := told.Gone && told.Life == self.Life && told.Version >= self.Version
+	earlierStart := told.Start != self.Start && told.Incarnation >= self.Incarnation
+	saidGone := told.Gone && told.Incarnation == self.Incarnation && told.Version >= self.Version
 	if !earlierStart && !saidGone {
 		return Host{}, false
 	}
-	self.Life = told.Life + 1
+	self.Incarnation = told.Incarnation + 1
 	self.Version = 1
 	t.put(self)
 	return self, true
@@ -174,9 +174,9 @@
 
 // SetGone says that a host was found gone. It returns the record to tell, or
 // false if a newer one is known.
-func (t *Table) SetGone(name string, life, version int64) (Host, bool) {
+func (t *Table) SetGone(name string, incarnation, version int64) (Host, bool) {
 	h, ok := t.hosts[name]
-	if !ok || name == t.self || h.Gone || h.Life != life || h.Version != version {
+	if !ok || name == t.self || h.Gone || h.Incarnation != incarnation || h.Version != version {
 		return Host{}, false
 	}
 	h.Gone = true
@@ -248,6 +248,6 @@
 
 // hash is of what orders records; the rest follows from it.
 func (h Host) hash() uint64 {
-	text, _ := json.Marshal([]any{h.Name, h.Start, h.Life, h.Version, h.Gone}) // strings, numbers and a flag always encode
+	text, _ := json.Marshal([]any{h.Name, h.Start, h.Incarnation, h.Version, h.Gone}) // strings, numbers and a flag always encode
 	return xxhash.Sum64(text)
 }
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -19,8 +19,8 @@
 
 func TestNewsReplacesWhatIsOlder(t *testing.T) {
 	table := newTable("a", "1")
-	b := member.Host{Name: "b", Start: "1", Life: 2, Version: 5}
-	older := member.Host{Name: "b", Start: "0", Life: 1, Version: 9}
+	b := member.Host{Name: "b", Start: "1", Incarnation: 2, Version: 5}
+	older := member.Host{Name: "b", Start: "0", Incarnation: 1, Version: 9}
 	gone := b
 	gone.Gone = true
 	steps := []struct {
@@ -33,7 +33,7 @@
 		{"an earlier life", older, false},
 		{"that it is gone", gone, true},
 		{"the same without that", b, false},
-		{"its answer", member.Host{Name: "b", Start: "1", Life: 3, Version: 1}, true},
+		{"its answer", member.Host{Name: "b", Start: "1", Incarnation: 3, Version: 1}, true},
 	}
 	for _, step := range steps {
 		if news := table.Merge([]member.Host{step.told}); (len(news) > 0) != step.news {
@@ -43,7 +43,7 @@
 }
 
 // TestAStartTakesALifeAboveTheEarlier lets a daemon that starts anew hear of its
-// earlier life, at every point at which their numbers may meet.
+// earlier incarnation, at every point at which their numbers may meet.
 func TestAStartTakesALifeAboveTheEarlier(t *testing.T) {
 	for changes := range 4 {
 		peer := newTable("peer", "p")
@@ -69,10 +69,10 @@
 	a, b := newTable("a", "1"), newTable("b", "1")
 	told(a, b)
 	known, _ := b.Host("a")
-	if _, ok := b.SetGone("a", known.Life, known.Version+1); ok {
+	if _, ok := b.SetGone("a", known.Incarnation, known.Version+1); ok {
 		t.Fatal("a record that nobody told was found gone")
 	}
-	if _, ok := b.SetGone("a", known.Life, known.Version); !ok {
+	if _, ok := b.SetGone("a", known.Incarnation, known.Version); !ok {
 		t.Fatal("a silent host was not found gone")
 	}
 	told(b, a)
@@ -107,7 +107,7 @@
 			"gone": func(t *rapid.T) {
 				table := tables[name.Draw(t, "by")]
 				if h, ok := table.Host(name.Draw(t, "name")); ok {
-					table.SetGone(h.Name, h.Life, h.Version)
+					table.SetGone(h.Name, h.Incarnation, h.Version)
 				}
 			},
 			"": func(*rapid.T) {},
@@ -138,7 +138,7 @@
 	table := member.NewTable(member.Host{Name: "csepel-0"})
 	told := make([]member.Host, 0, 92)
 	for i := range cap(told) {
-		told = append(told, member.Host{Name: fmt.Sprintf("csepel-%d", i+1), Start: "3f2a9c", Life: 1, Version: 2})
+		told = append(told, member.Host{Name: fmt.Sprintf("csepel-%d", i+1), Start: "3f2a9c", Incarnation: 1, Version: 2})
 	}
 	table.Merge(told)
 	for b.Loop() {
--- a/internal/quarantine/simulation_test.go
+++ b/internal/quarantine/simulation_test.go
@@ -205,20 +205,20 @@
 
 // run runs a request, which ends its backend server if it is the guilty one.
 func (s *simulation) run(id string, from, to *simulated, left int) {
-	life := to.starts
+	incarnation := to.starts
 	if id == guilty && s.known > 0 && s.now > s.known && s.storeSteady() && s.steady(from) && s.steady(to) {
 		s.outcome.late++
 	}
 	s.at(time.Duration((0.5+s.random.Float64())*float64(runsFor)), func() {
-		alive := to.starts == life && !to.away
+		alive := to.starts == incarnation && !to.away
 		switch {
 		case alive && id == guilty:
 			s.endServer(to)
-			s.blame(id, from, to, life, left)
+			s.blame(id, from, to, incarnation, left)
 		case alive:
 			s.answer(id, to)
 		default: // it ended while this one ran
-			s.blame(id, from, to, life, left)
+			s.blame(id, from, to, incarnation, left)
 		}
 	})
 }
@@ -234,8 +234,8 @@
 }
 
 // blame takes it that a backend server ended under the request, which is sent to another if it may.
-func (s *simulation) blame(id string, from, to *simulated, life, left int) {
-	ended := quarantine.End{Server: fmt.Sprintf("server-%d-%d", to.number, life), At: start.Add(to.ended).UnixMilli()}
+func (s *simulation) blame(id string, from, to *simulated, incarnation, left int) {
+	ended := quarantine.End{Server: fmt.Sprintf("server-%d-%d", to.number, incarnation), At: start.Add(to.ended).UnixMilli()}
 	if record, ok := to.table.Ended(s.wall(), quarantine.Sighting{ID: id, Service: "lookup"}, ended); ok {
 		s.spread(to, record)
 	}
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -13,13 +13,13 @@
 //
 // # Rules
 //
-//   - Each start of a backend server is a lifetime with a name of its own.
+//   - Each start of a backend server is an incarnation with a name of its own.
 //   - Draining is final: whoever has said that it leaves never serves again under
 //     that name, whatever late check-in still comes.
 //   - A check-in whose sequence number is not above the last one is late and
 //     changes nothing.
-//   - Of two lifetimes at one address the one that checked in last serves. But a
-//     lifetime that a younger one has replaced, by its lower sequence number, is taken
+//   - Of two incarnations at one address the one that checked in last serves. But an
+//     incarnation that a younger one has replaced, by its lower sequence number, is taken
 //     back only once it has checked in twice with no word of the younger one between:
 //     a check-in of it may come seconds after its end.
 //   - Silence removes nobody. A backend server that cannot reach the daemon may
@@ -37,13 +37,13 @@
 // seconds late.
 const keptLeft = 64
 
-// keptReplaced bounds how many lifetimes are remembered that others replaced at their
+// keptReplaced bounds how many incarnations are remembered that others replaced at their
 // addresses.
 const keptReplaced = 64
 
 // CheckIn is what a backend server says of itself.
 type CheckIn struct {
-	// Name is that of this lifetime.
+	// Name is that of this incarnation.
 	Name string
 	// Service is the service it belongs to.
 	Service string
@@ -53,7 +53,7 @@
 	Slots int
 	// Draining says that it is about to end.
 	Draining bool
-	// Sequence rises with each check-in of a lifetime.
+	// Sequence rises with each check-in of an incarnation.
 	Sequence int64
 }
 
@@ -103,7 +103,7 @@
 	return r.holders[c.Address].name == c.Name && last != c
 }
 
-// hold says whether the check-in makes its lifetime the one that serves at its address.
+// hold says whether the check-in makes its incarnation the one that serves at its address.
 func (r *Registry) hold(c CheckIn, known bool) bool {
 	h, held := r.holders[c.Address]
 	if held && h.name == c.Name {
@@ -125,7 +125,7 @@
 	return true
 }
 
-// replace remembers that a lifetime was replaced, and forgets the oldest such.
+// replace remembers that an incarnation was replaced, and forgets the oldest such.
 func (r *Registry) replace(name string) {
 	r.replaced = append(r.replaced, name)
 	if len(r.replaced) <= keptReplaced {
@@ -138,7 +138,7 @@
 	}
 }
 
-// Serves says whether the lifetime serves at an address.
+// Serves says whether the incarnation serves at an address.
 func (r *Registry) Serves(name string) bool {
 	server, ok := r.servers[name]
 	return ok && r.holders[server.Address].name == name
@@ -153,7 +153,7 @@
 	return true
 }
 
-// Forbid takes names that left in an earlier life of the daemon.
+// Forbid takes names that left in an earlier incarnation of the daemon.
 func (r *Registry) Forbid(names []string) bool {
 	changed := false
 	for _, name := range names {
@@ -185,5 +185,5 @@
 // Left returns the names that left, the oldest first.
 func (r *Registry) Left() []string { return slices.Clone(r.left) }
 
-// Known returns how many lifetimes are remembered that have not left.
+// Known returns how many incarnations are remembered that have not left.
 func (r *Registry) Known() int { return len(r.servers) }
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -47,7 +47,7 @@
 }
 
 // NewBudget returns the budget of a daemon that began then. One that starts again gets no part of the
-// slack before all that it spent of it in its last life is out of the window.
+// slack before all that it spent of it in its last incarnation is out of the window.
 func NewBudget(began time.Time) *Budget { return &Budget{began: began} }
 
 // Clear takes it that nobody used this host's part of the slack for that long before the daemon began,
--- a/test/registered/fleet_test.go
+++ b/test/registered/fleet_test.go
@@ -67,7 +67,7 @@
 	stop     context.CancelFunc
 	ended    chan struct{}
 	backend  *httptest.Server
-	name     string // of the backend server's lifetime
+	name     string // of the backend server's incarnation
 	sequence int64
 	unready  time.Duration // how long its daemon serves on when it is told to stop
 	served   atomic.Int64
@@ -192,9 +192,9 @@
 	<-h.ended
 }
 
-// begin starts a lifetime of the backend server.
-func (h *host) begin(lifetime string) {
-	h.name = fmt.Sprintf("i-%s-%d", lifetime, h.number)
+// begin starts an incarnation of the backend server.
+func (h *host) begin(incarnation string) {
+	h.name = fmt.Sprintf("i-%s-%d", incarnation, h.number)
 	h.sequence = 0
 	h.checkIn("ready")
 }
