--- a/internal/cli/daemon.go
+++ b/internal/cli/daemon.go
@@ -107,20 +107,20 @@
 }
 
 // DaemonConfig returns what a daemon with these settings needs to meet the users'
-// platform: its store, the desired state there, check-ins and readiness.
+// platform: its store, the desired state there, registrations and readiness.
 func DaemonConfig(s settings.Settings, kv store.Store) daemon.Config {
 	return daemon.Config{
-		Settings:     s,
-		Store:        kv,
-		Desired:      newDesired(),
-		CheckIns:     newCheckIns,
-		ReadyPattern: platform.ReadyPattern,
+		Settings:          s,
+		Store:             kv,
+		StoredDeclaration: newStoredDeclaration(),
+		Registrations:     newRegistrations,
+		ReadyPattern:      platform.ReadyPattern,
 	}
 }
 
-// newDesired reads the declaration that the platform's operator writes.
-func newDesired() daemon.Desired {
-	return daemon.Desired{
+// newStoredDeclaration reads the declaration that the platform's operator writes.
+func newStoredDeclaration() daemon.StoredDeclaration {
+	return daemon.StoredDeclaration{
 		Key:    platform.DesiredKey,
 		Number: platform.DesiredVersion,
 		Hide:   platform.HideKeys,
@@ -135,9 +135,9 @@
 	}
 }
 
-// newCheckIns returns the handler for the check-ins of the platform's format.
-func newCheckIns(c daemon.CheckIns) http.Handler {
-	return platform.NewCheckIns(platform.CheckInsConfig{CheckIn: c.CheckIn, Leave: c.Leave, OnError: c.OnError})
+// newRegistrations returns the handler for the registrations of the platform's format.
+func newRegistrations(c daemon.Registrations) http.Handler {
+	return platform.NewCheckIns(platform.CheckInsConfig{CheckIn: c.Register, Leave: c.Leave, OnError: c.OnError})
 }
 
 // newLogger returns the daemon's logger and what sets its level.
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -32,7 +32,7 @@
 //	ask.go      one such question, which also finds what is known of hosts
 //	hosts.go    the list of draining hosts in the store
 //	members.go  what is known of hosts and of the own backend servers
-//	checkins.go check-ins of the own backend servers
+//	registrations.go registrations of the own backend servers
 //	join.go     the order in which a daemon that registers itself joins
 //	record.go   this host's record in the store, and the others' at the start
 //	first.go    whether this is the first start of a declared host
@@ -91,17 +91,17 @@
 	Reloads <-chan settings.Settings
 	// Store is the platform's key-value store.
 	Store store.Store
-	// Desired reads what the platform's operator writes; it is used if the
+	// StoredDeclaration reads what the platform's operator writes; it is used if the
 	// settings say that the platform declares.
-	Desired Desired
-	// CheckIns makes the handler for check-ins of this host's backend servers.
-	CheckIns func(CheckIns) http.Handler
+	StoredDeclaration StoredDeclaration
+	// Registrations makes the handler for registrations of this host's backend servers.
+	Registrations func(Registrations) http.Handler
 	// ReadyPattern is the pattern under which readiness is asked.
 	ReadyPattern string
 }
 
-// Desired reads a declaration that somebody else keeps in the store.
-type Desired struct {
+// StoredDeclaration reads a declaration that somebody else keeps in the store.
+type StoredDeclaration struct {
 	// Key holds it.
 	Key string
 	// Number reads its revision, Hide takes out what must not be kept, and Parse reads the rest.
@@ -110,12 +110,12 @@
 	Parse  func(data []byte, s settings.Source) (fleet.Declaration, error)
 }
 
-// CheckIns takes what backend servers of this host say of themselves. Each
+// Registrations takes what backend servers of this host say of themselves. Each
 // returns once that is in force here.
-type CheckIns struct {
-	CheckIn func(registry.CheckIn) error
-	Leave   func(name string)
-	OnError func(error)
+type Registrations struct {
+	Register func(registry.Registration) error
+	Leave    func(name string)
+	OnError  func(error)
 }
 
 // daemon holds the parts while they run.
--- a/internal/daemon/listen.go
+++ b/internal/daemon/listen.go
@@ -110,7 +110,7 @@
 	s := d.config.Settings.Listen
 	mux := http.NewServeMux()
 	mux.HandleFunc(d.config.ReadyPattern, d.serveReady)
-	handlers := map[string]http.Handler{s.CheckIns: d.config.CheckIns(d.checkIns()), s.Ready: mux}
+	handlers := map[string]http.Handler{s.Registrations: d.config.Registrations(d.registrations()), s.Ready: mux}
 	for address, handler := range handlers {
 		if address == "" {
 			continue
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -109,12 +109,12 @@
 	return m.table.SetGone(known.Name, known.Incarnation, known.Version)
 }
 
-// checkIn takes what a backend server says of itself, and says whether that
+// register takes what a backend server says of itself, and says whether that
 // changes what others should know.
-func (m *members) checkIn(c registry.CheckIn) bool {
+func (m *members) register(c registry.Registration) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.registry.CheckIn(c) && m.publish()
+	return m.registry.Register(c) && m.publish()
 }
 
 // serves says whether the backend server of that name serves on this host.
--- a/internal/daemon/checkins.go
+++ b/internal/daemon/registrations.go
@@ -11,14 +11,14 @@
 	"github.com/tideliftd/tidelift/internal/registry"
 )
 
-// checkIns returns who takes the check-ins of this host's backend servers.
-func (d *daemon) checkIns() CheckIns {
-	return CheckIns{
-		CheckIn: func(c registry.CheckIn) error {
+// registrations returns who takes the registrations of this host's backend servers.
+func (d *daemon) registrations() Registrations {
+	return Registrations{
+		Register: func(c registry.Registration) error {
 			if !d.serviceKnown(c) {
 				return errors.Errorf("check-in of %s names service %q, which is not declared", c.Name, c.Service)
 			}
-			if d.members.checkIn(c) {
+			if d.members.register(c) {
 				d.registered("check-in", c.Name, c.Sequence)
 			}
 			return nil
@@ -28,14 +28,14 @@
 				d.registered("leave", name, 0)
 			}
 		},
-		OnError: func(err error) { event.Log(d.config.Logger, event.CheckInRefused, "error", err) },
+		OnError: func(err error) { event.Log(d.config.Logger, event.RegistrationRefused, "error", err) },
 	}
 }
 
-// serviceKnown says whether the check-in's service is declared. One that is not names no backend
+// serviceKnown says whether the registration's service is declared. One that is not names no backend
 // server: it may come from anybody, and must not take the address of another's. Before a declaration
 // is known any is taken, and that a known backend server leaves is taken whatever its service.
-func (d *daemon) serviceKnown(c registry.CheckIn) bool {
+func (d *daemon) serviceKnown(c registry.Registration) bool {
 	current := d.inForce.Load()
 	if current == nil || c.Draining && d.members.serves(c.Name) {
 		return true
--- a/internal/daemon/source.go
+++ b/internal/daemon/source.go
@@ -24,12 +24,12 @@
 			parse:  func(text string) (fleet.Declaration, error) { return fleet.Parse("declaration", []byte(text)) },
 		}
 	}
-	desired := d.config.Desired
+	declaration := d.config.StoredDeclaration
 	config := revision.KeyConfig{
 		Store:    d.config.Store,
-		Key:      desired.Key,
-		Number:   desired.Number,
-		Hide:     desired.Hide,
+		Key:      declaration.Key,
+		Number:   declaration.Number,
+		Hide:     declaration.Hide,
 		OnBad:    func(err error) { event.Log(d.config.Logger, event.DeclarationRefused, "error", err) },
 		OnError:  d.platformFailed,
 		OnAnswer: d.platformAnswered,
@@ -38,6 +38,8 @@
 		follow: func(ctx context.Context, above int64, take func(revision.Revision)) {
 			revision.FollowKey(ctx, config, above, take)
 		},
-		parse: func(text string) (fleet.Declaration, error) { return desired.Parse([]byte(text), d.live.Load().Source) },
+		parse: func(text string) (fleet.Declaration, error) {
+			return declaration.Parse([]byte(text), d.live.Load().Source)
+		},
 	}
 }
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -63,15 +63,15 @@
 
 // The events of hosts and backend servers that register themselves.
 var (
-	ServersRegistered = Event{401, slog.LevelInfo, "backend servers registered", "A backend server of this host checked in with news or left; the line says which of them serve now."}
-	CheckInRefused    = Event{402, slog.LevelWarn, "check-in refused", "A check-in could not be read, or names a service that is not declared, and changed nothing."}
-	HostLearned       = Event{403, slog.LevelInfo, "host learned", "Another daemon or the store told of a host something new."}
-	RecordRefused     = Event{404, slog.LevelWarn, "record refused", "A record of a host or of a quarantine in the store could not be read, or stands under another's key, and was passed over."}
-	HostAway          = Event{406, slog.LevelWarn, "host away", "A request could not reach another host's daemon; the host is passed over until it answers."}
-	HostBack          = Event{407, slog.LevelInfo, "host back", "The other host's daemon answers again, or its time of being passed over is up."}
-	HostGone          = Event{408, slog.LevelWarn, "host gone", "A host was silent for long and its record in the store has lapsed; others are told that it is gone."}
-	NewsDropped       = Event{409, slog.LevelWarn, "news dropped", "So much news of hosts came at once that some was not told on; other daemons ask for it."}
-	PeerSilent        = Event{405, slog.LevelDebug, "peer silent", "Another daemon did not answer a control call; it learns the news from the next."}
+	ServersRegistered   = Event{401, slog.LevelInfo, "backend servers registered", "A backend server of this host checked in with news or left; the line says which of them serve now."}
+	RegistrationRefused = Event{402, slog.LevelWarn, "check-in refused", "A check-in could not be read, or names a service that is not declared, and changed nothing."}
+	HostLearned         = Event{403, slog.LevelInfo, "host learned", "Another daemon or the store told of a host something new."}
+	RecordRefused       = Event{404, slog.LevelWarn, "record refused", "A record of a host or of a quarantine in the store could not be read, or stands under another's key, and was passed over."}
+	HostAway            = Event{406, slog.LevelWarn, "host away", "A request could not reach another host's daemon; the host is passed over until it answers."}
+	HostBack            = Event{407, slog.LevelInfo, "host back", "The other host's daemon answers again, or its time of being passed over is up."}
+	HostGone            = Event{408, slog.LevelWarn, "host gone", "A host was silent for long and its record in the store has lapsed; others are told that it is gone."}
+	NewsDropped         = Event{409, slog.LevelWarn, "news dropped", "So much news of hosts came at once that some was not told on; other daemons ask for it."}
+	PeerSilent          = Event{405, slog.LevelDebug, "peer silent", "Another daemon did not answer a control call; it learns the news from the next."}
 )
 
 // The events of callers' requests.
@@ -93,7 +93,7 @@
 		DeclarationInForce, DeclarationRefused, PlatformUnreachable, PlatformReachable, DeclarationAccepted, DeclarationFromPeers,
 		ServerAvoided, ServerEjected, ServerReturned, FloorHeld, ServerDraining, ServerBack, ServerSuspected, ServerTrusted, ServerProbed, ServerEnded,
 		RequestFailed, AttemptFailed, RequestRefused, RequestHedged, RouteSubrequest, RequestQuarantined, QuarantineEnded, QuarantineTrial,
-		ServersRegistered, CheckInRefused, HostLearned, RecordRefused, PeerSilent, HostAway, HostBack, HostGone, NewsDropped,
+		ServersRegistered, RegistrationRefused, HostLearned, RecordRefused, PeerSilent, HostAway, HostBack, HostGone, NewsDropped,
 	}
 }
 
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,13 +1,13 @@
 // Package registry keeps the backend servers that register themselves with the
 // daemon on their host.
 //
-// A Registry is the aggregate of one host. It takes check-ins and says who
+// A Registry is the aggregate of one host. It takes registrations and says who
 // serves; it has no clock, goroutine or socket. The daemon owns it.
 //
 // # Usage
 //
 //	r := registry.New()
-//	changed := r.CheckIn(registry.CheckIn{Name: "i-7f3a", Service: "lookup", Address: "10.1.0.38:8145", Slots: 4, Sequence: 1})
+//	changed := r.Register(registry.Registration{Name: "i-7f3a", Service: "lookup", Address: "10.1.0.38:8145", Slots: 4, Sequence: 1})
 //	changed = r.Leave("i-7f3a")
 //	for _, server := range r.Serving() { ... }
 //
@@ -15,13 +15,13 @@
 //
 //   - Each start of a backend server is an incarnation with a name of its own.
 //   - Draining is final: whoever has said that it leaves never serves again under
-//     that name, whatever late check-in still comes.
-//   - A check-in whose sequence number is not above the last one is late and
+//     that name, whatever late registration still comes.
+//   - A registration whose sequence number is not above the last one is late and
 //     changes nothing.
-//   - Of two incarnations at one address the one that checked in last serves. But an
+//   - Of two incarnations at one address the one that registered last serves. But an
 //     incarnation that a younger one has replaced, by its lower sequence number, is taken
-//     back only once it has checked in twice with no word of the younger one between:
-//     a check-in of it may come seconds after its end.
+//     back only once it has registered twice with no word of the younger one between:
+//     a registration of it may come seconds after its end.
 //   - Silence removes nobody. A backend server that cannot reach the daemon may
 //     still serve; one that is gone refuses connections, which its requests show.
 package registry
@@ -33,7 +33,7 @@
 )
 
 // keptLeft bounds how many names that left are remembered. Source: a host has
-// one backend server, restarted a few times an hour; a late check-in comes
+// one backend server, restarted a few times an hour; a late registration comes
 // seconds late.
 const keptLeft = 64
 
@@ -41,8 +41,8 @@
 // addresses.
 const keptReplaced = 64
 
-// CheckIn is what a backend server says of itself.
-type CheckIn struct {
+// Registration is what a backend server says of itself.
+type Registration struct {
 	// Name is that of this incarnation.
 	Name string
 	// Service is the service it belongs to.
@@ -53,16 +53,16 @@
 	Slots int
 	// Draining says that it is about to end.
 	Draining bool
-	// Sequence rises with each check-in of an incarnation.
+	// Sequence rises with each registration of an incarnation.
 	Sequence int64
 }
 
 // Registry is the backend servers of one host.
 type Registry struct {
-	servers  map[string]CheckIn // by name, the last check-in of each
-	holders  map[string]holder  // who serves at an address
-	left     []string           // names that said that they leave, the oldest first
-	replaced []string           // names that others replaced, the oldest first
+	servers  map[string]Registration // by name, the last registration of each
+	holders  map[string]holder       // who serves at an address
+	left     []string                // names that said that they leave, the oldest first
+	replaced []string                // names that others replaced, the oldest first
 }
 
 // holder is who serves at an address.
@@ -70,17 +70,17 @@
 	name string
 	// young says that it is younger than the one before it there.
 	young bool
-	// challenger is one before it that has checked in since it last did.
+	// challenger is one before it that has registered since it last did.
 	challenger string
 }
 
 // New returns an empty registry.
 func New() *Registry {
-	return &Registry{servers: make(map[string]CheckIn), holders: make(map[string]holder)}
+	return &Registry{servers: make(map[string]Registration), holders: make(map[string]holder)}
 }
 
-// CheckIn takes a check-in and says whether Serving or Left changed.
-func (r *Registry) CheckIn(c CheckIn) bool {
+// Register takes a registration and says whether Serving or Left changed.
+func (r *Registry) Register(c Registration) bool {
 	if slices.Contains(r.left, c.Name) {
 		return false
 	}
@@ -103,8 +103,8 @@
 	return r.holders[c.Address].name == c.Name && last != c
 }
 
-// hold says whether the check-in makes its incarnation the one that serves at its address.
-func (r *Registry) hold(c CheckIn, known bool) bool {
+// hold says whether the registration makes its incarnation the one that serves at its address.
+func (r *Registry) hold(c Registration, known bool) bool {
 	h, held := r.holders[c.Address]
 	if held && h.name == c.Name {
 		h.challenger = ""
@@ -173,12 +173,12 @@
 }
 
 // Serving returns those that serve, in the order of their names.
-func (r *Registry) Serving() []CheckIn {
-	var serving []CheckIn
+func (r *Registry) Serving() []Registration {
+	var serving []Registration
 	for h := range maps.Values(r.holders) {
 		serving = append(serving, r.servers[h.name])
 	}
-	slices.SortFunc(serving, func(a, b CheckIn) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(serving, func(a, b Registration) int { return cmp.Compare(a.Name, b.Name) })
 	return serving
 }
 
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -9,8 +9,8 @@
 	"github.com/tideliftd/tidelift/internal/registry"
 )
 
-func checkIn(name, address string, sequence int64) registry.CheckIn {
-	return registry.CheckIn{Name: name, Service: "lookup", Address: address, Slots: 4, Sequence: sequence}
+func registration(name, address string, sequence int64) registry.Registration {
+	return registry.Registration{Name: name, Service: "lookup", Address: address, Slots: 4, Sequence: sequence}
 }
 
 func serving(r *registry.Registry) []string {
@@ -23,10 +23,10 @@
 }
 
 func TestWhoServes(t *testing.T) {
-	draining := checkIn("a", "x", 9)
+	draining := registration("a", "x", 9)
 	draining.Draining = true
 	type step func(*registry.Registry) bool
-	in := func(c registry.CheckIn) step { return func(r *registry.Registry) bool { return r.CheckIn(c) } }
+	in := func(c registry.Registration) step { return func(r *registry.Registry) bool { return r.Register(c) } }
 	out := func(name string) step { return func(r *registry.Registry) bool { return r.Leave(name) } }
 	tests := []struct {
 		name    string
@@ -34,20 +34,20 @@
 		changed bool // by the last step
 		want    string
 	}{
-		{"a first check-in", []step{in(checkIn("a", "x", 1))}, true, "a"},
-		{"the same again", []step{in(checkIn("a", "x", 1)), in(checkIn("a", "x", 2))}, false, "a"},
-		{"one that is leaving", []step{in(checkIn("a", "x", 1)), in(draining)}, true, ""},
-		{"a late one after it left", []step{in(draining), in(checkIn("a", "x", 10))}, false, ""},
-		{"a late one after it ended", []step{in(checkIn("a", "x", 3)), out("a"), in(checkIn("a", "x", 4))}, false, ""},
-		{"one that only ends", []step{in(checkIn("a", "x", 1)), out("a")}, true, ""},
-		{"one that ends and was never seen", []step{out("a"), in(checkIn("a", "x", 1))}, false, ""},
-		{"a new lifetime at the address", []step{in(checkIn("a", "x", 7)), in(checkIn("b", "x", 1))}, true, "b"},
-		{"a late one of the lifetime before", []step{in(checkIn("a", "x", 7)), in(checkIn("b", "x", 1)), in(checkIn("a", "x", 6))}, false, "b"},
-		{"a late one of the lifetime before, sent at its end", []step{in(checkIn("a", "x", 7)), in(checkIn("b", "x", 1)), in(checkIn("a", "x", 8))}, false, "b"},
-		{"the lifetime before, which goes on", []step{in(checkIn("a", "x", 7)), in(checkIn("b", "x", 1)), in(checkIn("a", "x", 8)), in(checkIn("a", "x", 9))}, true, "a"},
-		{"two late ones of it with the new one between", []step{in(checkIn("a", "x", 7)), in(checkIn("b", "x", 1)), in(checkIn("a", "x", 8)), in(checkIn("b", "x", 2)), in(checkIn("a", "x", 9))}, false, "b"},
-		{"the new one again after a late one that nobody knew", []step{in(checkIn("b", "x", 1)), in(checkIn("a", "x", 6)), in(checkIn("b", "x", 2))}, true, "b"},
-		{"the end of the lifetime before", []step{in(checkIn("a", "x", 7)), in(checkIn("b", "x", 1)), out("a")}, true, "b"},
+		{"a first check-in", []step{in(registration("a", "x", 1))}, true, "a"},
+		{"the same again", []step{in(registration("a", "x", 1)), in(registration("a", "x", 2))}, false, "a"},
+		{"one that is leaving", []step{in(registration("a", "x", 1)), in(draining)}, true, ""},
+		{"a late one after it left", []step{in(draining), in(registration("a", "x", 10))}, false, ""},
+		{"a late one after it ended", []step{in(registration("a", "x", 3)), out("a"), in(registration("a", "x", 4))}, false, ""},
+		{"one that only ends", []step{in(registration("a", "x", 1)), out("a")}, true, ""},
+		{"one that ends and was never seen", []step{out("a"), in(registration("a", "x", 1))}, false, ""},
+		{"a new lifetime at the address", []step{in(registration("a", "x", 7)), in(registration("b", "x", 1))}, true, "b"},
+		{"a late one of the lifetime before", []step{in(registration("a", "x", 7)), in(registration("b", "x", 1)), in(registration("a", "x", 6))}, false, "b"},
+		{"a late one of the lifetime before, sent at its end", []step{in(registration("a", "x", 7)), in(registration("b", "x", 1)), in(registration("a", "x", 8))}, false, "b"},
+		{"the lifetime before, which goes on", []step{in(registration("a", "x", 7)), in(registration("b", "x", 1)), in(registration("a", "x", 8)), in(registration("a", "x", 9))}, true, "a"},
+		{"two late ones of it with the new one between", []step{in(registration("a", "x", 7)), in(registration("b", "x", 1)), in(registration("a", "x", 8)), in(registration("b", "x", 2)), in(registration("a", "x", 9))}, false, "b"},
+		{"the new one again after a late one that nobody knew", []step{in(registration("b", "x", 1)), in(registration("a", "x", 6)), in(registration("b", "x", 2))}, true, "b"},
+		{"the end of the lifetime before", []step{in(registration("a", "x", 7)), in(registration("b", "x", 1)), out("a")}, true, "b"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -72,7 +72,7 @@
 	if !r.Forbid([]string{"a"}) || r.Forbid([]string{"a"}) {
 		t.Fatal("the news is not told once")
 	}
-	if r.CheckIn(checkIn("a", "x", 1)); len(r.Serving()) != 0 {
+	if r.Register(registration("a", "x", 1)); len(r.Serving()) != 0 {
 		t.Fatal("one that left in an earlier life serves again")
 	}
 }
@@ -86,9 +86,9 @@
 		name := rapid.SampledFrom([]string{"a", "b", "c", "d"})
 		t.Repeat(map[string]func(*rapid.T){
 			"check in": func(t *rapid.T) {
-				c := checkIn(name.Draw(t, "name"), rapid.SampledFrom([]string{"x", "y"}).Draw(t, "address"), rapid.Int64Range(0, 9).Draw(t, "sequence"))
+				c := registration(name.Draw(t, "name"), rapid.SampledFrom([]string{"x", "y"}).Draw(t, "address"), rapid.Int64Range(0, 9).Draw(t, "sequence"))
 				c.Draining = rapid.IntRange(0, 4).Draw(t, "leaving") == 0
-				r.CheckIn(c)
+				r.Register(c)
 				left[c.Name] = left[c.Name] || c.Draining
 			},
 			"leave": func(t *rapid.T) {
@@ -118,7 +118,7 @@
 	r := registry.New()
 	const starts = 1000
 	for n := range starts {
-		r.CheckIn(checkIn(fmt.Sprintf("i-%d", n), "x", 1))
+		r.Register(registration(fmt.Sprintf("i-%d", n), "x", 1))
 	}
 	if got := serving(r); len(got) != 1 || got[0] != fmt.Sprintf("i-%d", starts-1) {
 		t.Fatalf("%v serve", got)
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -32,7 +32,7 @@
 	}
 	s.Log.check(c)
 	s.Experiments.check(c)
-	if s.Listen.CheckIns != "" && s.Listen.CheckIns == s.Listen.Ready {
+	if s.Listen.Registrations != "" && s.Listen.Registrations == s.Listen.Ready {
 		c.Add("$.listen.ready", fmt.Sprintf("is %q, as check-ins is", s.Listen.Ready), "an address of its own")
 	}
 	return c.Err()
@@ -43,8 +43,8 @@
 	address(c, "$.listen.peers", l.Peers)
 	address(c, "$.listen.control", l.Control)
 	address(c, "$.listen.operators", l.Operators)
-	if l.CheckIns != "" {
-		address(c, "$.listen.check-ins", l.CheckIns)
+	if l.Registrations != "" {
+		address(c, "$.listen.check-ins", l.Registrations)
 	}
 	if l.Ready != "" {
 		address(c, "$.listen.ready", l.Ready)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -61,12 +61,12 @@
 
 // Listen holds the daemon's addresses, each an IP and port.
 type Listen struct {
-	Callers   string `yaml:"callers" json:"callers" jsonschema:"description=Takes callers' requests."`
-	Peers     string `yaml:"peers" json:"peers" jsonschema:"description=Takes requests from other daemons."`
-	Control   string `yaml:"control" json:"control" jsonschema:"description=Takes control calls from other daemons."`
-	CheckIns  string `yaml:"check-ins" json:"check-ins,omitempty" jsonschema:"description=Takes the check-ins of this host's backend servers; left out if they are declared."`
-	Ready     string `yaml:"ready" json:"ready,omitempty" jsonschema:"description=Answers whether the daemon takes callers' requests; left out if the operators' address is enough."`
-	Operators string `yaml:"operators" json:"operators" jsonschema:"description=Serves the operator API and the metrics page."`
+	Callers       string `yaml:"callers" json:"callers" jsonschema:"description=Takes callers' requests."`
+	Peers         string `yaml:"peers" json:"peers" jsonschema:"description=Takes requests from other daemons."`
+	Control       string `yaml:"control" json:"control" jsonschema:"description=Takes control calls from other daemons."`
+	Registrations string `yaml:"check-ins" json:"check-ins,omitempty" jsonschema:"description=Takes the check-ins of this host's backend servers; left out if they are declared."`
+	Ready         string `yaml:"ready" json:"ready,omitempty" jsonschema:"description=Answers whether the daemon takes callers' requests; left out if the operators' address is enough."`
+	Operators     string `yaml:"operators" json:"operators" jsonschema:"description=Serves the operator API and the metrics page."`
 }
 
 // Declared names who writes the declaration.
