--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -115,7 +115,7 @@
 type Queue struct {
 	config      Config
 	running     int
-	stuck       int // of the running ones, those that have outlasted nearly all others
+	stalled     int // of the running ones, those that have outlasted nearly all others
 	waiting     int
 	lines       []*line                // the most urgent first
 	seen        [bucketCount]time.Time // when a customer of the bucket last asked
@@ -202,21 +202,21 @@
 }
 
 // wait returns how long the request at that place in the queue waits. Nobody knows when a
-// slot that is stuck comes free, so the others alone are counted on.
+// slot that is stalled comes free, so the others alone are counted on.
 func (q *Queue) wait(place int) time.Duration {
 	over := q.running + place - q.config.Slots
 	if over <= 0 {
 		return 0
 	}
-	moving := max(1, q.config.Slots-q.stuck)
+	moving := max(1, q.config.Slots-q.stalled)
 	return time.Duration(over) * q.serviceTime / time.Duration(moving)
 }
 
-// Stuck takes it that a running request has outlasted nearly all others of its kind.
-func (q *Queue) Stuck() { q.stuck++ }
+// Stalled takes it that a running request has outlasted nearly all others of its kind.
+func (q *Queue) Stalled() { q.stalled++ }
 
-// Unstuck takes it that one of these has ended.
-func (q *Queue) Unstuck() { q.stuck = max(0, q.stuck-1) }
+// Unstalled takes it that one of these has ended.
+func (q *Queue) Unstalled() { q.stalled = max(0, q.stalled-1) }
 
 // push adds a request to the line of its priority.
 func (q *Queue) push(now time.Time, bucket int, r Request) {
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -245,14 +245,14 @@
 		q.Offer(now, admission.Request{ID: id + 1, Deadline: now.Add(time.Minute)})
 	}
 	all := q.RetryAfter()
-	q.Stuck()
-	q.Stuck()
+	q.Stalled()
+	q.Stalled()
 	if half := q.RetryAfter(); half != 2*all {
 		t.Fatalf("with half of the slots stuck a wait takes %v, %v before", half, all)
 	}
-	q.Unstuck()
-	q.Unstuck()
-	q.Unstuck() // one more than there are
+	q.Unstalled()
+	q.Unstalled()
+	q.Unstalled() // one more than there are
 	if again := q.RetryAfter(); again != all {
 		t.Fatalf("a wait takes %v once none is stuck, %v before", again, all)
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -36,7 +36,7 @@
 //	join.go     the order in which a daemon that registers itself joins
 //	record.go   this host's record in the store, and the others' at the start
 //	first.go    whether this is the first start of a declared host
-//	news.go     tells others of hosts
+//	updates.go tells others of hosts
 //	digest.go   finds what two daemons know differently of hosts
 //	subrequest.go   tells others which routes backend servers call
 //	quarantine.go   tells others what is held against requests
@@ -137,10 +137,10 @@
 	source           source
 	members          *members
 	limits           *limits
-	retries          *retry.Book
+	retries          *retry.Budgets
 	lending          lending
 	quarantines      *quarantinesync.Syncer
-	news             chan news
+	updates          chan update
 	plan             atomic.Pointer[gossip.Plan]
 	watching         atomic.Bool
 	counted          atomic.Bool   // the store has listed the hosts once this daemon had been there for a while
@@ -157,7 +157,7 @@
 
 // Run runs a daemon until ctx ends and its planned stop is done.
 func Run(ctx context.Context, config Config) error {
-	d := &daemon{config: config, started: time.Now(), news: make(chan news, newsWaiting), joined: make(chan struct{})}
+	d := &daemon{config: config, started: time.Now(), updates: make(chan update, updatesWaiting), joined: make(chan struct{})}
 	d.live.Store(&config.Settings)
 	defer d.cleanUp()
 	d.setPlatform(platformUnknown)
@@ -201,7 +201,7 @@
 	d.peers, cleanUp = control.NewClient(control.ClientConfig{TLS: d.clientTLS(), Far: d.isFar})
 	d.atEnd(cleanUp)
 	known := runs.New()
-	d.retries = retry.NewBook(retry.Config{Began: d.started, Borrows: true})
+	d.retries = retry.NewBudgets(retry.Config{Began: d.started, Borrows: true})
 	d.lending = newLending(metrics.Scope)
 	d.quarantines = d.newQuarantines()
 	d.sidecar, cleanUp = sidecar.New(sidecar.Config{
--- a/internal/daemon/inforce.go
+++ b/internal/daemon/inforce.go
@@ -51,7 +51,7 @@
 	d.planWith(d.members.complete(fleet.Declaration{}).Hosts)
 }
 
-// planWith makes the plan of whom to tell of news.
+// planWith makes the plan of whom to tell of updates.
 func (d *daemon) planWith(hosts []fleet.Host) {
 	d.plan.Store(gossip.NewPlan(gossip.Config{
 		Host:       d.config.Settings.Name,
--- a/internal/daemon/join.go
+++ b/internal/daemon/join.go
@@ -40,7 +40,7 @@
 // says is told from daemon to daemon; in the store it only lets a daemon that
 // knows nobody find some.
 func (d *daemon) join(ctx context.Context) {
-	go d.tellNews(ctx)
+	go d.tellUpdates(ctx)
 	lease := d.writeRecord(ctx)
 	d.readRecords(ctx)
 	d.notePlatform(time.Now())
--- a/internal/daemon/limits.go
+++ b/internal/daemon/limits.go
@@ -43,9 +43,9 @@
 // limits keeps the customers' limits with the other daemons: it is this daemon's gate, and
 // a collector or the ledger when others report here.
 type limits struct {
-	d     *daemon
-	spent chan struct{} // holds one while the gate should report at once
-	onWay sync.Mutex    // held while a data centre's report is on its way
+	d         *daemon
+	spent     chan struct{} // holds one while the gate should report at once
+	reporting sync.Mutex    // held while a data centre's report is on its way
 
 	mu        sync.Mutex // guards what follows
 	gate      *quota.Gate
@@ -231,8 +231,8 @@
 // passOnNow does so at once, but for the time that another report is on its way: what was
 // counted meanwhile goes with one report.
 func (l *limits) passOnNow(ctx context.Context) {
-	l.onWay.Lock()
-	defer l.onWay.Unlock()
+	l.reporting.Lock()
+	defer l.reporting.Unlock()
 	l.mu.Lock()
 	now := time.Now()
 	if !l.collector.Added() {
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -75,7 +75,7 @@
 
 const (
 	// quietFor is how long nothing was learned before a daemon exchanges what it
-	// knows with another. Source: news is told within some hundred milliseconds, and
+	// knows with another. Source: updates are told within some hundred milliseconds, and
 	// while it is under way any two daemons differ.
 	quietFor = 500 * time.Millisecond
 	// exchangeEvery is how long a daemon waits for such a time at most.
@@ -142,23 +142,23 @@
 	return true
 }
 
-// merge takes what others told and returns what is news, and which backend servers
+// merge takes what others told and returns what is new, and which backend servers
 // of this host left in an earlier incarnation of the daemon, as the others remember.
-func (m *members) merge(told []member.Host) (news []member.Host, forbidden []string) {
+func (m *members) merge(told []member.Host) (updates []member.Host, forbidden []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	news = m.table.Merge(told)
-	if len(news) > 0 {
+	updates = m.table.Merge(told)
+	if len(updates) > 0 {
 		m.changed = time.Now()
 	}
 	for _, h := range told {
 		if h.Name == m.table.Self().Name && m.registry.Forbid(h.Left) {
 			m.publish()
-			news = append(news, m.table.Self())
+			updates = append(updates, m.table.Self())
 			forbidden = append(forbidden, h.Left...)
 		}
 	}
-	return news, forbidden
+	return updates, forbidden
 }
 
 // complete returns the declaration with the hosts that are not gone and the
--- a/internal/daemon/part_test.go
+++ b/internal/daemon/part_test.go
@@ -46,8 +46,8 @@
 			d := &daemon{config: Config{Store: store.Store{Commit: commit}}}
 			d.config.Settings.FirstStart = test.fleets
 			now := time.Now()
-			d.retries = retry.NewBook(retry.Config{Began: now})
-			d.retries.Resize(now, map[string]retry.Size{"names": {Slack: 56, Window: 10 * time.Second, Parts: 1}})
+			d.retries = retry.NewBudgets(retry.Config{Began: now})
+			d.retries.Resize(now, map[string]retry.Size{"names": {Slack: 56, Window: 10 * time.Second, Hosts: 1}})
 			for d.commitRecord(context.Background(), store.Put{Key: "hosts/a"}) != nil {
 				continue
 			}
@@ -87,8 +87,8 @@
 			d.setPlatform(platformUnknown)
 			d.config.Settings.FirstStart = test.fleets
 			now := time.Now()
-			d.retries = retry.NewBook(retry.Config{Began: now})
-			d.retries.Resize(now, map[string]retry.Size{"names": {Slack: 56, Window: 10 * time.Second, Parts: 1}})
+			d.retries = retry.NewBudgets(retry.Config{Began: now})
+			d.retries.Resize(now, map[string]retry.Size{"names": {Slack: 56, Window: 10 * time.Second, Hosts: 1}})
 			d.claimFirstStart(context.Background())
 			if has := d.retries.Left(now, "names"); has != test.wantHas {
 				t.Fatalf("it has its part: %t", has)
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -70,7 +70,7 @@
 	HostAway            = Event{406, slog.LevelWarn, "host away", "A request could not reach another host's daemon; the host is passed over until it answers."}
 	HostBack            = Event{407, slog.LevelInfo, "host back", "The other host's daemon answers again, or its time of being passed over is up."}
 	HostGone            = Event{408, slog.LevelWarn, "host gone", "A host was silent for long and its record in the store has lapsed; others are told that it is gone."}
-	NewsDropped         = Event{409, slog.LevelWarn, "news dropped", "So much news of hosts came at once that some was not told on; other daemons ask for it."}
+	UpdatesDropped      = Event{409, slog.LevelWarn, "news dropped", "So much news of hosts came at once that some was not told on; other daemons ask for it."}
 	PeerSilent          = Event{405, slog.LevelDebug, "peer silent", "Another daemon did not answer a control call; it learns the news from the next."}
 )
 
@@ -93,7 +93,7 @@
 		DeclarationInForce, DeclarationRefused, PlatformUnreachable, PlatformReachable, DeclarationAccepted, DeclarationFromPeers,
 		ServerAvoided, ServerEjected, ServerReturned, FloorHeld, ServerDraining, ServerBack, ServerSuspected, ServerTrusted, ServerProbed, ServerEnded,
 		RequestFailed, AttemptFailed, RequestRefused, RequestHedged, RouteSubrequest, RequestQuarantined, QuarantineEnded, QuarantineTrial,
-		ServersRegistered, RegistrationRefused, HostLearned, RecordRefused, PeerSilent, HostAway, HostBack, HostGone, NewsDropped,
+		ServersRegistered, RegistrationRefused, HostLearned, RecordRefused, PeerSilent, HostAway, HostBack, HostGone, UpdatesDropped,
 	}
 }
 
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,4 +1,4 @@
-// Package gossip decides how a revision of the declaration and news of hosts
+// Package gossip decides how a revision of the declaration and updates of hosts
 // reach every daemon: who watches the platform, whom a daemon tells of what is new,
 // and whom it asks now and then for what it missed.
 //
@@ -10,7 +10,7 @@
 //	plan := gossip.NewPlan(gossip.Config{Host: "csepel-1", DataCentre: "csepel", Random: rand.Uint64}, hosts)
 //	if plan.Watches(freshAt, now) { ... }   // watch the platform oneself
 //	for _, host := range plan.Notify() { ... } // a new revision: tell these
-//	for _, host := range plan.Near() { ... }   // news of hosts: tell these,
+//	for _, host := range plan.Near() { ... }   // updates of hosts: tell these,
 //	for _, host := range plan.OneOfEach() { ... } // and these of the own host
 //	host, ok := plan.Poll()                    // every PollEvery or so
 //
@@ -56,11 +56,11 @@
 	// StaleAfter is how long a daemon relies on others' watching. Source: all
 	// watchers may be lost at once, and a change has to be in force within seconds.
 	StaleAfter = 5 * time.Second
-	// newsNear is how many others of its own data centre a daemon tells news of hosts.
+	// updatesNear is how many others of its own data centre a daemon tells updates of hosts.
 	// Source: each record comes so many times to each daemon; what is missed is asked
 	// for within a second.
-	newsNear = 2
-	// maxFarTold bounds how many other data centres a host tells of its own news.
+	updatesNear = 2
+	// maxFarTold bounds how many other data centres a host tells of its own updates.
 	// Source: what is left out is asked for within seconds.
 	maxFarTold = 8
 	// farOneIn is how often a daemon asks one of another data centre.
@@ -75,7 +75,7 @@
 	Random func() uint64
 }
 
-// Plan is what one daemon does to spread revisions and news of hosts.
+// Plan is what one daemon does to spread revisions and updates of hosts.
 type Plan struct {
 	config  Config
 	near    []fleet.Host
@@ -127,11 +127,11 @@
 	return append(p.some(p.near, NotifyNear), p.some(p.far, NotifyFar)...)
 }
 
-// Near returns whom to tell of news of hosts in the own data centre.
-func (p *Plan) Near() []fleet.Host { return p.some(p.near, newsNear) }
+// Near returns whom to tell of updates of hosts in the own data centre.
+func (p *Plan) Near() []fleet.Host { return p.some(p.near, updatesNear) }
 
 // OneOfEach returns one host of each of a few other data centres, to whom a host
-// tells news of its own. They tell it on to those near them.
+// tells updates of its own. They tell it on to those near them.
 func (p *Plan) OneOfEach() []fleet.Host {
 	byDataCentre := make(map[string][]fleet.Host)
 	for _, h := range p.far {
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -104,8 +104,8 @@
 	GiveBack      func(customer string)
 	// Runs knows what the backend servers of this host run; nil if nothing is known of that.
 	Runs *runs.Table
-	// Retries is the host's book of retries; nil keeps one for the ingress alone.
-	Retries *retry.Book
+	// Retries is the host's budgets of retries; nil keeps one for the ingress alone.
+	Retries *retry.Budgets
 	// HostsCounted says whether the declaration has the hosts that the platform's store listed, so
 	// that they can share what all of them may do together; nil if it always has.
 	HostsCounted func() bool
@@ -154,7 +154,7 @@
 		config.Runs = runs.New()
 	}
 	if config.Retries == nil {
-		config.Retries = retry.NewBook(retry.Config{Began: time.Now()})
+		config.Retries = retry.NewBudgets(retry.Config{Began: time.Now()})
 	}
 	in := &Ingress{
 		config: config,
--- a/internal/ingress/limit.go
+++ b/internal/ingress/limit.go
@@ -21,7 +21,7 @@
 
 // retryLimit is a service's retry limit, as far as this host answers for it.
 type retryLimit struct {
-	book    *retry.Book
+	budgets *retry.Budgets
 	service string
 	borrow  func(ctx context.Context, service string) bool // nil if no other host is asked
 }
@@ -29,11 +29,11 @@
 // left says whether a retry is likely to be had now. Every request asks it, and whether others may
 // be asked is the cheaper question of the two by far.
 func (l *retryLimit) left(now time.Time) bool {
-	return l.book.MayBorrow(now, l.service) || l.book.Left(now, l.service)
+	return l.budgets.MayBorrow(now, l.service) || l.budgets.Left(now, l.service)
 }
 
 // takeOwn takes a retry of this host, or says that none is left.
-func (l *retryLimit) takeOwn() bool { return l.book.Take(time.Now(), l.service) }
+func (l *retryLimit) takeOwn() bool { return l.budgets.Take(time.Now(), l.service) }
 
 // takeAny takes a retry of this host, or else of another if that has one to spare.
 func (l *retryLimit) takeAny(ctx context.Context) retryGrant {
@@ -54,6 +54,6 @@
 // backend server, or may have.
 func (l *retryLimit) end(r retryGrant, reached bool) {
 	if r == grantOwn {
-		l.book.End(time.Now(), l.service, reached)
+		l.budgets.End(time.Now(), l.service, reached)
 	}
 }
--- a/internal/ingress/limit_test.go
+++ b/internal/ingress/limit_test.go
@@ -37,7 +37,7 @@
 type limited struct {
 	in      *Ingress
 	runs    *runs.Table
-	book    *retry.Book
+	budgets *retry.Budgets
 	sent    atomic.Int64 // that reached a backend server
 	retries atomic.Int64 // of them, those that say that they are retries
 	reject  *result.Code // what a retry meets in place of a backend server, if that is not nil
@@ -57,10 +57,10 @@
 
 func newLimited(t *testing.T, reject *result.Code) *limited {
 	t.Helper()
-	l := &limited{runs: runs.New(), book: retry.NewBook(retry.Config{Began: time.Now()}), reject: reject}
+	l := &limited{runs: runs.New(), budgets: retry.NewBudgets(retry.Config{Began: time.Now()}), reject: reject}
 	in, cleanUp := New(Config{
 		Host: "h1", DataCentre: "dc", Logger: slog.New(slog.DiscardHandler), Scope: tally.NoopScope, HeaderBytes: 1 << 16,
-		Local: l.do, Runs: l.runs, Retries: l.book,
+		Local: l.do, Runs: l.runs, Retries: l.budgets,
 	})
 	t.Cleanup(cleanUp)
 	declaration, err := fleet.Parse("fleet.yaml", []byte(limitedServers))
@@ -89,7 +89,7 @@
 	if sent, retries := l.sent.Load(), l.retries.Load(); sent != 105 || retries != 5 {
 		t.Fatalf("%d sendings of 100 requests, %d of them repeats", sent, retries)
 	}
-	if l.book.Left(time.Now(), "names") {
+	if l.budgets.Left(time.Now(), "names") {
 		t.Fatal("repeats are left")
 	}
 }
@@ -100,14 +100,14 @@
 		t.Run(code.Name, func(t *testing.T) {
 			l := newLimited(t, &code)
 			for range 39 {
-				l.book.Request(time.Now(), "names")
+				l.budgets.Request(time.Now(), "names")
 			}
 			l.ask(1, "a")
 			if l.sent.Load() != 1 {
 				t.Fatalf("%d sendings", l.sent.Load())
 			}
 			for n := range 2 {
-				if !l.book.Take(time.Now(), "names") {
+				if !l.budgets.Take(time.Now(), "names") {
 					t.Fatalf("%d of two repeats are left", n)
 				}
 			}
--- a/internal/ingress/service.go
+++ b/internal/ingress/service.go
@@ -56,13 +56,13 @@
 // retrySizes returns the limits of the services' retries, whose slack all hosts share once they have
 // been counted.
 func (in *Ingress) retrySizes(d fleet.Declaration) map[string]retry.Size {
-	parts := len(d.Hosts)
+	hosts := len(d.Hosts)
 	if in.config.HostsCounted != nil && !in.config.HostsCounted() {
-		parts = 0
+		hosts = 0
 	}
 	sizes := make(map[string]retry.Size, len(d.Services))
 	for _, s := range d.Services {
-		sizes[s.Name] = retry.Size{Share: s.RetryShare, Slack: s.RetrySlack, Window: s.RetryWindow, Parts: parts}
+		sizes[s.Name] = retry.Size{Share: s.RetryShare, Slack: s.RetrySlack, Window: s.RetryWindow, Hosts: hosts}
 	}
 	return sizes
 }
@@ -81,7 +81,7 @@
 func (in *Ingress) reconfigureService(declared fleet.Service, index *fleet.Index) *service {
 	s := &service{
 		pool:  balance.NewPool(balance.Config{DataCentre: in.config.DataCentre, Random: rand.Uint64, Start: in.start}),
-		limit: &retryLimit{book: in.config.Retries, service: declared.Name, borrow: in.config.BorrowRetry},
+		limit: &retryLimit{budgets: in.config.Retries, service: declared.Name, borrow: in.config.BorrowRetry},
 		rules: detect.RulesOf(declared.Detection),
 		calls: newCallCounters(in.config.Scope, declared.Name),
 	}
--- a/internal/ingress/subrequest.go
+++ b/internal/ingress/subrequest.go
@@ -59,9 +59,9 @@
 // ServerAnswered takes an answer of a backend server of this host: a good one, or one that
 // says that it failed.
 func (in *Ingress) ServerAnswered(good bool) {
-	news := in.subrequest.Answered(time.Now(), good)
-	if len(news) > 0 && in.config.Subrequest != nil {
-		in.config.Subrequest(news)
+	updates := in.subrequest.Answered(time.Now(), good)
+	if len(updates) > 0 && in.config.Subrequest != nil {
+		in.config.Subrequest(updates)
 	}
 }
 
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -137,14 +137,14 @@
 	t.put(self)
 }
 
-// Merge takes what was told and returns what is news. Of the own host it
+// Merge takes what was told and returns what is new. Of the own host it
 // returns the new record if what was told had to be answered with one.
 func (t *Table) Merge(told []Host) []Host {
-	var news []Host
+	var updates []Host
 	for _, h := range told {
 		if h.Name == t.self {
 			if self, ok := t.answer(h); ok {
-				news = append(news, self)
+				updates = append(updates, self)
 			}
 			continue
 		}
@@ -152,9 +152,9 @@
 			continue
 		}
 		t.put(h)
-		news = append(news, h)
+		updates = append(updates, h)
 	}
-	return news
+	return updates
 }
 
 // answer replaces a record of the own host that an earlier start of the daemon
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -24,9 +24,9 @@
 	gone := b
 	gone.Gone = true
 	steps := []struct {
-		name string
-		told member.Host
-		news bool
+		name    string
+		told    member.Host
+		updates bool
 	}{
 		{"a host not known", b, true},
 		{"the same again", b, false},
@@ -36,8 +36,8 @@
 		{"its answer", member.Host{Name: "b", Start: "1", Incarnation: 3, Version: 1}, true},
 	}
 	for _, step := range steps {
-		if news := table.Merge([]member.Host{step.told}); (len(news) > 0) != step.news {
-			t.Fatalf("%s: news %t, want %t", step.name, len(news) > 0, step.news)
+		if updates := table.Merge([]member.Host{step.told}); (len(updates) > 0) != step.updates {
+			t.Fatalf("%s: news %t, want %t", step.name, len(updates) > 0, step.updates)
 		}
 	}
 }
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -10,7 +10,7 @@
 //
 //	table := quarantine.New()
 //	changed, ok := table.Ended(now, quarantine.Sighting{ID: id, Head: head, Service: "lookup"}, quarantine.End{Server: "i-7f3a", At: millis})
-//	news := table.Take(told)                       // records of other daemons or of the store
+//	updates := table.Take(told)                       // records of other daemons or of the store
 //	changed, ok = table.Answered(now, id)          // a backend server answered it
 //	changed, ok = table.Try(now, id, "csepel-1")   // may this daemon send it once more?
 //	changed, ok = table.Lift(now, id)              // an operator's word
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -81,8 +81,8 @@
 	late := here.Records()
 	cleared, _ := here.Answered(start, "a")
 	there.Take([]quarantine.Record{cleared})
-	if news := there.Take(late); len(news) > 0 || there.View().Of("a") != quarantine.Clear {
-		t.Fatalf("%v, %s", news, there.View().Of("a"))
+	if updates := there.Take(late); len(updates) > 0 || there.View().Of("a") != quarantine.Clear {
+		t.Fatalf("%v, %s", updates, there.View().Of("a"))
 	}
 }
 
@@ -130,8 +130,8 @@
 	others.Lift(last, "a")
 	back := last.Add(quarantine.ClearedFor / 2)
 	others.Forget(back)
-	if news := others.Take(cutOff.Records()); len(news) > 0 || others.View().Of("a") != quarantine.Clear {
-		t.Fatalf("it is back: %+v", news)
+	if updates := others.Take(cutOff.Records()); len(updates) > 0 || others.View().Of("a") != quarantine.Clear {
+		t.Fatalf("it is back: %+v", updates)
 	}
 	if cutOff.Take(others.Records()); cutOff.View().Of("a") != quarantine.Clear {
 		t.Fatal("the daemon that was cut off keeps it")
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -64,18 +64,18 @@
 	return r, true
 }
 
-// Take takes records that others tell, and returns what is news, as it is known now.
+// Take takes records that others tell, and returns what is new, as it is known now.
 func (t *Table) Take(told []Record) []Record {
-	var news []Record
+	var updates []Record
 	for _, r := range told {
 		if known, ok := t.records[r.ID]; ok {
 			r = Merge(known, r)
 		}
 		if changed, ok := t.put(r); ok {
-			news = append(news, changed)
+			updates = append(updates, changed)
 		}
 	}
-	return news
+	return updates
 }
 
 // put keeps the record and says whether it tells more than the one before.
--- a/internal/quarantinesync/task.go
+++ b/internal/quarantinesync/task.go
@@ -20,7 +20,7 @@
 	resume  time.Time   // until then the store is left alone
 	retry   *time.Timer // fires when something is to be written
 	pause   *backoff.ExponentialBackOff
-	news    []quarantine.Record // what is to be told to daemons of the service
+	updates []quarantine.Record // what is to be told to daemons of the service
 	spread  []quarantine.Record // what is to be told to all
 }
 
@@ -100,7 +100,7 @@
 		return after, false
 	}
 	t.writeLater(now, before, after)
-	t.news = append(t.news, after)
+	t.updates = append(t.updates, after)
 	t.changed(before, after)
 	return after, true
 }
@@ -164,10 +164,10 @@
 // tell tells the daemons of the services what has changed here, and a few of all what is quarantined.
 func (t *task) tell() {
 	byService := make(map[string][]quarantine.Record)
-	for _, record := range t.news {
+	for _, record := range t.updates {
 		byService[record.Service] = append(byService[record.Service], record)
 	}
-	t.news = nil
+	t.updates = nil
 	if len(t.spread) > 0 {
 		t.syncer.config.Spread(t.spread)
 		t.spread = nil
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	// banked is the part of their share that requests earn for the window after the one in which they
+	// carriedOver is the part of their share that requests earn for the window after the one in which they
 	// are sent; the rest they earn for that one. Source: budgets of different daemons spend at
 	// different times of a window, so each part must be counted in the same way by all; then their
-	// sum is at most the share of the better of both windows. What is banked pays for what fails all
+	// sum is at most the share of the better of both windows. What is carried over pays for what fails all
 	// at once after a calm; the rest is there when everything has just started: in the seconds 6 to 12
-	// of a day, with a half banked, 20 to 23 of 26 hosts had no retry left of a service whose limit
+	// of a day, with a half carried over, 20 to 23 of 26 hosts had no retry left of a service whose limit
 	// was half used. Callers got no more of a quarter in place of a half on six days by three seeds.
-	banked = 0.25
+	carriedOver = 0.25
 	// slackPart is the part of the slack that hosts may use without a request that earned it. Source:
 	// the rest is for hosts that have not been heard of, a third of those that have, and for calls
 	// that nobody expected.
@@ -30,20 +30,20 @@
 	Slack float64
 	// Window is the time over which both are counted, more than zero.
 	Window time.Duration
-	// Parts is how many hosts share the slack; zero if they have not been counted, so that there is
+	// Hosts is how many hosts share the slack; zero if they have not been counted, so that there is
 	// none.
-	Parts int
+	Hosts int
 }
 
 // Budget bounds the retries of one service that one daemon answers for. It allows nothing until
 // Resize.
 type Budget struct {
-	size    Size
-	parts   int // the most that were ever known
-	began   time.Time
-	clear   time.Duration // before that nobody used this host's part of the slack
-	counted window
-	onWay   int // retries that were taken and have not ended
+	size     Size
+	hosts    int // the most that were ever known
+	began    time.Time
+	clear    time.Duration // before that nobody used this host's part of the slack
+	counted  window
+	inFlight int // retries that were taken and have not ended
 }
 
 // NewBudget returns the budget of a daemon that began then. One that starts again gets no part of the
@@ -63,7 +63,7 @@
 		b.began, b.clear = now, 0
 	}
 	b.size = size
-	b.parts = max(b.parts, size.Parts)
+	b.hosts = max(b.hosts, size.Hosts)
 }
 
 // Suspend allows nothing until Resize; what was counted stays.
@@ -71,7 +71,7 @@
 
 // Empty says whether nothing was counted for two windows, and nothing is on its way.
 func (b *Budget) Empty(now time.Time) bool {
-	return b.onWay == 0 && (b.counted.current(now) == nil || b.counted.empty())
+	return b.inFlight == 0 && (b.counted.current(now) == nil || b.counted.empty())
 }
 
 // Earn counts a request that is sent for the first time.
@@ -88,18 +88,18 @@
 	}
 	slack := b.slack(now)
 	least := b.counted.least(func(c counts) float64 {
-		earned := banked*float64(c.before) + (1-banked)*float64(c.since)
+		earned := carriedOver*float64(c.before) + (1-carriedOver)*float64(c.since)
 		return b.size.Share*earned + slack - float64(c.retries)
 	})
-	return max(0, int(math.Floor(least))-b.onWay)
+	return max(0, int(math.Floor(least))-b.inFlight)
 }
 
 // slack is this budget's part of the slack.
 func (b *Budget) slack(now time.Time) float64 {
-	if b.size.Parts == 0 || now.Before(b.began.Add(b.size.Window-b.clear)) {
+	if b.size.Hosts == 0 || now.Before(b.began.Add(b.size.Window-b.clear)) {
 		return 0
 	}
-	return slackPart * b.size.Slack / float64(b.parts)
+	return slackPart * b.size.Slack / float64(b.hosts)
 }
 
 // Take takes a retry, or says that none is left. It must be ended.
@@ -107,17 +107,17 @@
 	if b.Left(now) < oneRetry {
 		return false
 	}
-	b.onWay++
+	b.inFlight++
 	return true
 }
 
 // Charge takes a retry that is made whether one is left or not. It must be ended.
-func (b *Budget) Charge() { b.onWay++ }
+func (b *Budget) Charge() { b.inFlight++ }
 
 // End ends a retry that was taken. One that was sent counts for a window from now on, since it
 // arrived at the latest now; one that was not costs nothing.
 func (b *Budget) End(now time.Time, sent bool) {
-	b.onWay--
+	b.inFlight--
 	if c := b.counted.current(now); c != nil && sent {
 		c.retries++
 	}
--- a/internal/retry/budget_test.go
+++ b/internal/retry/budget_test.go
@@ -18,7 +18,7 @@
 	now      time.Time
 	requests []time.Time
 	retries  []time.Time // when they arrived
-	onWay    []time.Time // when those that have not ended arrived, or were taken
+	inFlight []time.Time // when those that have not ended arrived, or were taken
 }
 
 // newBudgetPlay plays a drawn size.
@@ -27,7 +27,7 @@
 		Share:  rapid.Float64Range(0, 1).Draw(t, "share"),
 		Slack:  rapid.Float64Range(0, 100).Draw(t, "slack"),
 		Window: time.Duration(rapid.IntRange(1, 10).Draw(t, "window")) * time.Second,
-		Parts:  rapid.IntRange(1, 40).Draw(t, "parts"),
+		Hosts:  rapid.IntRange(1, 40).Draw(t, "parts"),
 	}}
 	p.budget = retry.NewBudget(epoch)
 	p.budget.Resize(p.now, p.size)
@@ -51,14 +51,14 @@
 }
 
 // TestBudget takes retries as often as it can, lets each arrive and end at any time after that, and
-// some not be sent, while the number of parts changes. In the window that ends at any moment there
+// some not be sent, while the number of hosts changes. In the window that ends at any moment there
 // are no more than the share of its requests and of those of the window before, each by its part, and
 // the budget's part of the slack. So there are no more than the share of the best of three windows:
 // this one, the one before and the one half a window ago.
 func TestBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newBudgetPlay(t)
-		part := p.size.Slack / float64(p.size.Parts) * 3 / 4
+		part := p.size.Slack / float64(p.size.Hosts) * 3 / 4
 		t.Repeat(map[string]func(*rapid.T){
 			"wait": func(t *rapid.T) {
 				p.now = p.now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond)
@@ -71,18 +71,18 @@
 			},
 			"more parts": func(t *rapid.T) {
 				more := p.size
-				more.Parts += rapid.IntRange(0, 9).Draw(t, "more")
+				more.Hosts += rapid.IntRange(0, 9).Draw(t, "more")
 				p.budget.Resize(p.now, more)
 			},
 			"a repeat": func(*rapid.T) {
 				if p.budget.Take(p.now) {
-					p.onWay = append(p.onWay, p.now)
+					p.inFlight = append(p.inFlight, p.now)
 					p.retries = append(p.retries, p.now)
 				}
 			},
 			"an end": func(*rapid.T) {
-				if len(p.onWay) > 0 {
-					p.onWay = p.onWay[1:]
+				if len(p.inFlight) > 0 {
+					p.inFlight = p.inFlight[1:]
 					p.budget.End(p.now, true)
 				}
 			},
@@ -109,12 +109,12 @@
 // newKovacsBudget returns a budget of a host among 21 that has been there for a window.
 func newKovacsBudget() (*retry.Budget, time.Time) {
 	b := retry.NewBudget(epoch)
-	b.Resize(epoch, retry.Size{Share: 0.2, Slack: 56, Window: 10 * time.Second, Parts: 21})
+	b.Resize(epoch, retry.Size{Share: 0.2, Slack: 56, Window: 10 * time.Second, Hosts: 21})
 	return b, epoch.Add(10 * time.Second)
 }
 
 // TestABurstIsPaidFromTheWindow lets one that took no retry for a window take what its requests
-// banked at once, with its part of the slack, and all that they earn within a window.
+// carried over at once, with its part of the slack, and all that they earn within a window.
 func TestABurstIsPaidFromTheWindow(t *testing.T) {
 	b, now := newKovacsBudget()
 	ask := func(requests int) (taken int) {
@@ -159,7 +159,7 @@
 	now := epoch
 	for range 20 {
 		b := retry.NewBudget(now)
-		b.Resize(epoch, retry.Size{Share: 0.2, Slack: 56, Window: 10 * time.Second, Parts: 1})
+		b.Resize(epoch, retry.Size{Share: 0.2, Slack: 56, Window: 10 * time.Second, Hosts: 1})
 		now = now.Add(9 * time.Second)
 		if b.Left(now) > 0 {
 			t.Fatal("a start has a part of the slack")
@@ -172,7 +172,7 @@
 	for before, wait := range map[time.Duration]time.Duration{0: 10 * time.Second, 4 * time.Second: 6 * time.Second, time.Minute: 0} {
 		b := retry.NewBudget(epoch)
 		b.Clear(before)
-		b.Resize(epoch, retry.Size{Share: 0.2, Slack: 56, Window: 10 * time.Second, Parts: 21})
+		b.Resize(epoch, retry.Size{Share: 0.2, Slack: 56, Window: 10 * time.Second, Hosts: 21})
 		if wait > 0 && b.Left(epoch.Add(wait-time.Second)) > 0 {
 			t.Errorf("cleared for %v: it has a part within %v", before, wait)
 		}
@@ -186,7 +186,7 @@
 func TestThePartOfTheSlack(t *testing.T) {
 	tests := []struct {
 		name  string
-		parts []int // as they are heard of
+		hosts []int // as they are heard of
 		want  int
 	}{
 		{"nobody has counted", []int{0}, 0},
@@ -199,8 +199,8 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			b := retry.NewBudget(epoch)
-			for _, parts := range test.parts {
-				b.Resize(epoch, retry.Size{Share: 0.2, Slack: 56, Window: 10 * time.Second, Parts: parts})
+			for _, hosts := range test.hosts {
+				b.Resize(epoch, retry.Size{Share: 0.2, Slack: 56, Window: 10 * time.Second, Hosts: hosts})
 			}
 			if taken := takeAll(b, epoch.Add(time.Minute)); taken != test.want {
 				t.Fatalf("%d repeats without a request, want %d", taken, test.want)
@@ -211,7 +211,7 @@
 
 func TestWithoutASizeNothingIsAllowed(t *testing.T) {
 	b := retry.NewBudget(epoch)
-	b.Resize(epoch, retry.Size{Share: 1, Slack: 1, Window: time.Nanosecond, Parts: 1})
+	b.Resize(epoch, retry.Size{Share: 1, Slack: 1, Window: time.Nanosecond, Hosts: 1})
 	b.Earn(epoch)
 	b.End(epoch, false)
 	if b.Left(epoch) > 0 || b.Take(epoch.Add(time.Hour)) {
--- a/internal/retry/book.go
+++ b/internal/retry/budgets.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Config says whose book it is.
+// Config says whose budgets it is.
 type Config struct {
 	// Began is when the daemon began.
 	Began time.Time
@@ -13,9 +13,9 @@
 	Borrows bool
 }
 
-// Book is the budgets of one host, by service. It answers for the requests that begin on the host,
+// Budgets is the budgets of one host, by service. It answers for the requests that begin on the host,
 // and for what its backend servers call. It is safe for concurrent use.
-type Book struct {
+type Budgets struct {
 	config Config
 
 	mu      sync.Mutex
@@ -28,12 +28,12 @@
 	// learned before are in callsBefore, which is forgotten when they turn.
 	calls, callsBefore map[callPath]int
 	turned             time.Time
-	clear              time.Duration // before the daemon began nobody used this host's parts of the slack
+	clear              time.Duration // before the daemon began nobody used this host's part of the slack
 }
 
-// NewBook returns a daemon's book. It allows nothing until Resize.
-func NewBook(config Config) *Book {
-	return &Book{
+// NewBudgets returns the budgets of one host. It allows nothing until Resize.
+func NewBudgets(config Config) *Budgets {
+	return &Budgets{
 		config: config, budgets: make(map[string]*Budget), running: make(map[string]*running), refused: make(map[string]time.Time),
 		calls: make(map[callPath]int), callsBefore: make(map[callPath]int), turned: config.Began,
 	}
@@ -41,7 +41,7 @@
 
 // Resize takes the limits of the services. One that is no longer declared has no retries; its budget
 // is kept until it is empty, so that a service that is declared again has nothing twice.
-func (b *Book) Resize(now time.Time, sizes map[string]Size) {
+func (b *Budgets) Resize(now time.Time, sizes map[string]Size) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.sizes = sizes
@@ -58,9 +58,9 @@
 	}
 }
 
-// Clear takes it that no daemon of this host used its parts of the slack for that long before this one
+// Clear takes it that no daemon of this host used its part of the slack for that long before this one
 // began.
-func (b *Book) Clear(before time.Duration) {
+func (b *Budgets) Clear(before time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.clear = before
@@ -70,7 +70,7 @@
 }
 
 // budget returns the budget of a service. The caller holds mu.
-func (b *Book) budget(service string) *Budget {
+func (b *Budgets) budget(service string) *Budget {
 	budget, ok := b.budgets[service]
 	if !ok {
 		budget = NewBudget(b.config.Began)
@@ -82,14 +82,14 @@
 }
 
 // Request counts a request to the service that begins on the host.
-func (b *Book) Request(now time.Time, service string) {
+func (b *Budgets) Request(now time.Time, service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.budget(service).Earn(now)
 }
 
 // Left says whether a retry may be taken.
-func (b *Book) Left(now time.Time, service string) bool {
+func (b *Budgets) Left(now time.Time, service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.endLent(now)
@@ -97,7 +97,7 @@
 }
 
 // Take takes a retry of a request to the service, or says that none is left. It must be ended.
-func (b *Book) Take(now time.Time, service string) bool {
+func (b *Budgets) Take(now time.Time, service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.endLent(now)
@@ -105,7 +105,7 @@
 }
 
 // End ends a retry that was taken, or a call of a retried run: sent says whether it was sent.
-func (b *Book) End(now time.Time, service string, sent bool) {
+func (b *Budgets) End(now time.Time, service string, sent bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.budget(service).End(now, sent)
--- a/internal/retry/book_test.go
+++ b/internal/retry/budgets_test.go
@@ -8,11 +8,11 @@
 	"github.com/tideliftd/tidelift/internal/runs"
 )
 
-// newTestBook returns the book of a host on which two hundred requests to each service have begun, so
+// newTestBudgets returns the budgets of a host on which two hundred requests to each service have begun, so
 // that each has ten retries.
-func newTestBook() *retry.Book {
-	b := retry.NewBook(retry.Config{Began: epoch})
-	size := retry.Size{Share: 0.2, Window: 10 * time.Second, Parts: 1}
+func newTestBudgets() *retry.Budgets {
+	b := retry.NewBudgets(retry.Config{Began: epoch})
+	size := retry.Size{Share: 0.2, Window: 10 * time.Second, Hosts: 1}
 	b.Resize(epoch, map[string]retry.Size{"search": size, "names": size, "prices": size})
 	for range 200 {
 		b.Request(epoch, "search")
@@ -22,7 +22,7 @@
 }
 
 // left counts the retries that are left, by taking them all and giving them back.
-func left(b *retry.Book, service string) int {
+func left(b *retry.Budgets, service string) int {
 	count := 0
 	for b.Take(epoch, service) {
 		count++
@@ -37,7 +37,7 @@
 func TestCallsOfARepeat(t *testing.T) {
 	first := runs.Run{ID: "first", Service: "search"}
 	retried := runs.Run{ID: "repeat", Service: "search", Retry: true}
-	b := newTestBook()
+	b := newTestBudgets()
 	step := func(what string, want int) {
 		t.Helper()
 		if got := left(b, "names"); got != want {
@@ -68,7 +68,7 @@
 // TestCallsOfAnotherService lets runs call a service to which no other requests begin here: the
 // first retry calls without room for it, and no other runs before that is paid back.
 func TestCallsOfAnotherService(t *testing.T) {
-	b := newTestBook()
+	b := newTestBudgets()
 	retried := runs.Run{ID: "r", Service: "search", Retry: true}
 	if !b.Begin(epoch, retried, nil) {
 		t.Fatal("a repeat of which nobody knows that it calls was refused")
@@ -92,7 +92,7 @@
 
 // TestLend lends what can be spared: it counts here from the last moment at which the other may make it.
 func TestLend(t *testing.T) {
-	b := newTestBook()
+	b := newTestBudgets()
 	lent := 0
 	for b.Lend(epoch, "names") {
 		lent++
@@ -120,7 +120,7 @@
 
 // TestWhatRunsCallIsForgotten waits until what was learned is out of date.
 func TestWhatRunsCallIsForgotten(t *testing.T) {
-	b := newTestBook()
+	b := newTestBudgets()
 	run := runs.Run{ID: "a", Service: "search"}
 	b.Begin(epoch, run, nil)
 	b.Call(epoch, run, "prices")
@@ -134,9 +134,9 @@
 // TestAServiceThatIsDeclaredAgainHasNothingTwice takes a service out of the declaration and back, within a
 // window and after two.
 func TestAServiceThatIsDeclaredAgainHasNothingTwice(t *testing.T) {
-	size := retry.Size{Share: 0.2, Slack: 8, Window: 10 * time.Second, Parts: 1}
+	size := retry.Size{Share: 0.2, Slack: 8, Window: 10 * time.Second, Hosts: 1}
 	both, one := map[string]retry.Size{"search": size, "names": size}, map[string]retry.Size{"search": size}
-	b := retry.NewBook(retry.Config{Began: epoch})
+	b := retry.NewBudgets(retry.Config{Began: epoch})
 	b.Resize(epoch, both)
 	now := epoch.Add(10 * time.Second)
 	const slack = 6 // three quarters
@@ -174,8 +174,8 @@
 // TestAnotherWindowBeginsAnew changes the window's length: nobody has a part of the slack before a
 // window is over.
 func TestAnotherWindowBeginsAnew(t *testing.T) {
-	b := retry.NewBook(retry.Config{Began: epoch})
-	size := retry.Size{Slack: 8, Window: 10 * time.Second, Parts: 1}
+	b := retry.NewBudgets(retry.Config{Began: epoch})
+	size := retry.Size{Slack: 8, Window: 10 * time.Second, Hosts: 1}
 	b.Resize(epoch, map[string]retry.Size{"names": size})
 	now := epoch.Add(time.Minute)
 	if !b.Left(now, "names") {
--- a/internal/retry/calls.go
+++ b/internal/retry/calls.go
@@ -25,7 +25,7 @@
 
 // MayRun says whether a retry may run at a backend server of the service on this host: whether
 // the retries that its calls will be are left or may be borrowed.
-func (b *Book) MayRun(now time.Time, service string) bool {
+func (b *Budgets) MayRun(now time.Time, service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, called := range b.missing(now, service) {
@@ -38,14 +38,14 @@
 
 // Missing returns the services of which a retry has to be borrowed before one of that service runs
 // here, each as often as that.
-func (b *Book) Missing(now time.Time, service string) []string {
+func (b *Budgets) Missing(now time.Time, service string) []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.missing(now, service)
 }
 
 // missing is Missing. The caller holds mu.
-func (b *Book) missing(now time.Time, service string) []string {
+func (b *Budgets) missing(now time.Time, service string) []string {
 	b.turn(now)
 	b.endLent(now)
 	var missing []string
@@ -59,7 +59,7 @@
 
 // expected returns how many calls a run of the service may make, by the service called. The caller
 // holds mu.
-func (b *Book) expected(service string) map[string]int {
+func (b *Budgets) expected(service string) map[string]int {
 	expected := make(map[string]int)
 	for _, calls := range []map[callPath]int{b.calls, b.callsBefore} {
 		for path, count := range calls {
@@ -72,7 +72,7 @@
 }
 
 // turn forgets what was learned long ago. The caller holds mu.
-func (b *Book) turn(now time.Time) {
+func (b *Budgets) turn(now time.Time) {
 	if now.Sub(b.turned) < learnedFor {
 		return
 	}
@@ -82,7 +82,7 @@
 // Begin takes it that a backend server of the host is sent the request. For a retry it keeps the
 // retries that its calls will be, the borrowed ones among them, or says that they are not left; then it
 // must not be sent. One that was begun must be ended with Finish.
-func (b *Book) Begin(now time.Time, run runs.Run, borrowed []string) bool {
+func (b *Budgets) Begin(now time.Time, run runs.Run, borrowed []string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if run.Retry && len(b.missing(now, run.Service)) > len(borrowed) {
@@ -104,7 +104,7 @@
 }
 
 // keep keeps the expected calls' retries for the run. The caller holds mu.
-func (b *Book) keep(now time.Time, r *running, expected map[string]int, borrowed []string) {
+func (b *Budgets) keep(now time.Time, r *running, expected map[string]int, borrowed []string) {
 	for _, service := range borrowed {
 		r.borrowed[service] = append(r.borrowed[service], now.Add(LentFor(b.sizes[service].Window)))
 		expected[service]--
@@ -118,7 +118,7 @@
 }
 
 // Finish takes it that a run has ended, and gives back what was kept for its calls and not used.
-func (b *Book) Finish(now time.Time, run runs.Run) {
+func (b *Budgets) Finish(now time.Time, run runs.Run) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r, ok := b.running[run.ID]
@@ -140,7 +140,7 @@
 // Call takes it that a run of the host calls the service, and says whether the call must be ended
 // with End. That of a retry draws on what was kept for it, or on what is left, and is made also if
 // nothing is. That of a first run counts as a request.
-func (b *Book) Call(now time.Time, from runs.Run, service string) (charged bool) {
+func (b *Budgets) Call(now time.Time, from runs.Run, service string) (charged bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r, ok := b.running[from.ID]
@@ -163,7 +163,7 @@
 }
 
 // learn takes it that the run makes a call. The caller holds mu.
-func (b *Book) learn(now time.Time, path callPath, r *running) {
+func (b *Budgets) learn(now time.Time, path callPath, r *running) {
 	b.turn(now)
 	r.made[path.to]++
 	b.calls[path] = max(b.calls[path], r.made[path.to])
--- a/internal/retry/daemon_test.go
+++ b/internal/retry/daemon_test.go
@@ -11,10 +11,10 @@
 // simDaemon keeps the retry limit as a daemon does: it answers for the requests that begin on its
 // host, and for what the backend server beside it calls.
 type simDaemon struct {
-	fleet *simFleet
-	host  *simHost
-	book  *retry.Book
-	delay time.Duration // after which it hears of hosts
+	fleet   *simFleet
+	host    *simHost
+	budgets *retry.Budgets
+	delay   time.Duration // after which it hears of hosts
 	// counted is how many hosts the platform's store listed once the daemon had been there for a
 	// while; the store does not answer each.
 	counted *int
@@ -24,7 +24,7 @@
 }
 
 func newSimDaemon(f *simFleet, h *simHost) simDaemon {
-	d := simDaemon{fleet: f, host: h, book: retry.NewBook(retry.Config{Began: f.now, Borrows: true}), counted: new(int), open: make(map[*simRequest]int), called: make(map[*simRequest]bool)}
+	d := simDaemon{fleet: f, host: h, budgets: retry.NewBudgets(retry.Config{Began: f.now, Borrows: true}), counted: new(int), open: make(map[*simRequest]int), called: make(map[*simRequest]bool)}
 	if f.trouble.hearsLate {
 		d.delay = time.Duration(f.random.IntN(5000)) * time.Millisecond
 	}
@@ -40,9 +40,9 @@
 func (d simDaemon) resize() {
 	size := fleetSize(0)
 	if *d.counted > 0 {
-		size.Parts = max(*d.counted, d.known())
+		size.Hosts = max(*d.counted, d.known())
 	}
-	d.book.Resize(d.fleet.now, map[string]retry.Size{string(search): size, string(names): size})
+	d.budgets.Resize(d.fleet.now, map[string]retry.Size{string(search): size, string(names): size})
 }
 
 // known returns how many hosts the daemon hears of.
@@ -70,14 +70,14 @@
 // begin takes a request that begins on the host.
 func (d simDaemon) begin(r *simRequest) {
 	if !d.called[r] {
-		d.book.Request(d.fleet.now, string(r.service))
+		d.budgets.Request(d.fleet.now, string(r.service))
 	}
 }
 
 // mayRepeat says whether the request may be sent again, to that host.
 func (d simDaemon) mayRetry(r *simRequest, to *simHost) bool {
 	now := d.fleet.now
-	own := d.book.Take(now, string(r.service))
+	own := d.budgets.Take(now, string(r.service))
 	if !own && !d.borrows(r.service) {
 		return false
 	}
@@ -86,7 +86,7 @@
 	case own && began:
 		d.open[r]++
 	case own:
-		d.book.End(now, string(r.service), false)
+		d.budgets.End(now, string(r.service), false)
 	}
 	return began
 }
@@ -94,20 +94,20 @@
 // begins takes it that the backend server of the host is sent a retry, and borrows what its calls
 // will need.
 func (d simDaemon) begins(run runs.Run) bool {
-	missing := d.book.Missing(d.fleet.now, run.Service)
+	missing := d.budgets.Missing(d.fleet.now, run.Service)
 	for _, service := range missing {
 		if !d.borrows(serviceName(service)) {
 			return false
 		}
 	}
-	return d.book.Begin(d.fleet.now, run, missing)
+	return d.budgets.Begin(d.fleet.now, run, missing)
 }
 
 // borrows asks three other hosts for a retry.
 func (d simDaemon) borrows(service serviceName) bool {
 	for range 3 {
 		other := d.fleet.hosts[d.fleet.random.IntN(len(d.fleet.hosts))]
-		if other != d.host && other.daemon.book.Lend(d.fleet.now, string(service)) {
+		if other != d.host && other.daemon.budgets.Lend(d.fleet.now, string(service)) {
 			return true
 		}
 	}
@@ -124,15 +124,15 @@
 func (d simDaemon) run(r *simRequest, again bool) (end func()) {
 	run := runOf(r, again)
 	if !again {
-		d.book.Begin(d.fleet.now, run, nil)
+		d.budgets.Begin(d.fleet.now, run, nil)
 	}
-	return func() { d.book.Finish(d.fleet.now, run) }
+	return func() { d.budgets.Finish(d.fleet.now, run) }
 }
 
 // calls takes it that the run calls a service.
 func (d simDaemon) calls(from, call *simRequest) {
 	d.called[call] = true
-	if d.book.Call(d.fleet.now, runOf(from, call.ofRetry), string(call.service)) {
+	if d.budgets.Call(d.fleet.now, runOf(from, call.ofRetry), string(call.service)) {
 		d.open[call]++
 	}
 }
@@ -141,6 +141,6 @@
 func (d simDaemon) arrived(r *simRequest, again bool) {
 	if (again || r.ofRetry) && d.open[r] > 0 {
 		d.open[r]--
-		d.book.End(d.fleet.now, string(r.service), true)
+		d.budgets.End(d.fleet.now, string(r.service), true)
 	}
 }
--- a/internal/retry/fleet_test.go
+++ b/internal/retry/fleet_test.go
@@ -14,7 +14,7 @@
 // Users saw more retries at a service than its limit allows, ten seconds long, while backend
 // servers of two services broke connections and others came and went. Every daemon kept to its
 // own part. What was missing in the sum: calls of runs that were retries themselves (a third of
-// what counted, on a day that was played with a line for each sending), and parts that did not
+// what counted, on a day that was played with a line for each sending), and hosts that did not
 // add up, since each start had one of its own and daemons knew of between three and six.
 
 const (
@@ -256,7 +256,7 @@
 	}
 }
 
-// fleetSize is what the limit of a service is, with so many parts.
-func fleetSize(parts int) retry.Size {
-	return retry.Size{Share: fleetShare, Slack: fleetSlack, Window: fleetWindow, Parts: parts}
+// fleetSize is what the limit of a service is, with so many hosts.
+func fleetSize(hosts int) retry.Size {
+	return retry.Size{Share: fleetShare, Slack: fleetSlack, Window: fleetWindow, Hosts: hosts}
 }
--- a/internal/retry/lend.go
+++ b/internal/retry/lend.go
@@ -15,7 +15,7 @@
 
 // Lend takes a retry for another host, or says that there is none to spare. The other may make it
 // within LentFor; it counts here as if it were made at the end of that time.
-func (b *Book) Lend(now time.Time, service string) bool {
+func (b *Budgets) Lend(now time.Time, service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.endLent(now)
@@ -27,7 +27,7 @@
 }
 
 // endLent ends the retries that were lent and must have been made. The caller holds mu.
-func (b *Book) endLent(now time.Time) {
+func (b *Budgets) endLent(now time.Time) {
 	for len(b.lent) > 0 && now.After(b.lent[0].until) {
 		b.budget(b.lent[0].service).End(now, true)
 		b.lent = b.lent[1:]
@@ -35,20 +35,20 @@
 }
 
 // Refused takes it that no other host had a retry of the service to spare.
-func (b *Book) Refused(now time.Time, service string) {
+func (b *Budgets) Refused(now time.Time, service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.refused[service] = now
 }
 
 // MayBorrow says whether it is worth while to ask another host for a retry of the service.
-func (b *Book) MayBorrow(now time.Time, service string) bool {
+func (b *Budgets) MayBorrow(now time.Time, service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.mayBorrow(now, service)
 }
 
 // mayBorrow is MayBorrow. The caller holds mu.
-func (b *Book) mayBorrow(now time.Time, service string) bool {
+func (b *Budgets) mayBorrow(now time.Time, service string) bool {
 	return b.config.Borrows && now.Sub(b.refused[service]) >= refusedFor
 }
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -4,31 +4,31 @@
 // The limit is on what all daemons together do to a service: in any window of time its backend
 // servers get at most a share of its requests, and a slack, as retries. A retry is a request that is
 // sent to a backend server once more, and each call of a run that was a retry itself. Nobody counts
-// the sum. A Book is what one daemon answers for: the requests that begin on its host, and what
+// the sum. A Budgets is what one daemon answers for: the requests that begin on its host, and what
 // the backend servers of its host call. It takes a retry only from what those requests earned, so
 // that the sum holds whatever else happens: no daemon needs to know how many there are, one
 // that starts again has earned nothing yet, and one that is cut off earns no more than before.
 //
-// Whether an attempt may be tried again is in retry.go, a host's budgets in book.go, one of them in
+// Whether an attempt may be tried again is in retry.go, a host's budgets in budgets.go, one of them in
 // budget.go, and what it counts over time in window.go.
 //
 // # Usage
 //
-//	book := retry.NewBook(retry.Config{Began: now})
-//	book.Resize(now, map[string]retry.Size{"lookup": {Share: 0.2, Slack: 56, Window: 10 * time.Second, Parts: 21}})
-//	book.Request(now, "lookup") // for each request that begins here
+//	budgets := retry.NewBudgets(retry.Config{Began: now})
+//	budgets.Resize(now, map[string]retry.Size{"lookup": {Share: 0.2, Slack: 56, Window: 10 * time.Second, Hosts: 21}})
+//	budgets.Request(now, "lookup") // for each request that begins here
 //	switch retry.Decide(retry.Attempt{Sent: 1, Most: 2, NonIdempotent: true, Err: refusal}) {
 //	case retry.Again:
-//		if book.Take(now, "lookup") {
+//		if budgets.Take(now, "lookup") {
 //			// send it
-//			book.End(now, "lookup", reached)
+//			budgets.End(now, "lookup", reached)
 //		}
 //	}
 //	...
-//	if book.Begin(now, run, nil) { // the backend server of the host is sent a request
-//		defer book.Finish(now, run)
+//	if budgets.Begin(now, run, nil) { // the backend server of the host is sent a request
+//		defer budgets.Finish(now, run)
 //	}
-//	book.Call(now, run, "records") // the run calls another service
+//	budgets.Call(now, run, "records") // the run calls another service
 //
 // # Rules
 //
--- a/internal/retry/window.go
+++ b/internal/retry/window.go
@@ -8,7 +8,7 @@
 	cellCount = 40
 	// lateCells is how much later than it was taken a retry may arrive, in cells, and still count
 	// in the right window: 0.75 s for a window of ten seconds. Source: the way there and the wait
-	// for a slot; retries look for one that is free. It gives away a thirteenth of what is banked.
+	// for a slot; retries look for one that is free. It gives away a thirteenth of what is carried over.
 	lateCells = 3
 )
 
--- a/internal/sidecar/retries_test.go
+++ b/internal/sidecar/retries_test.go
@@ -12,19 +12,19 @@
 )
 
 // newCallingTask returns a task whose backend server makes two calls of names for each request, and
-// its host's book, in which no request to names has been counted but these.
-func newCallingTask(now time.Time) (*task, *retry.Book) {
+// its host's budgets, in which no request to names has been counted but these.
+func newCallingTask(now time.Time) (*task, *retry.Budgets) {
 	t := newTestTask()
-	book := retry.NewBook(retry.Config{Began: now})
-	size := retry.Size{Share: 0.2, Window: 10 * time.Second, Parts: 1}
-	book.Resize(now, map[string]retry.Size{t.declared.Service.Name: size, "names": size})
+	budgets := retry.NewBudgets(retry.Config{Began: now})
+	size := retry.Size{Share: 0.2, Window: 10 * time.Second, Hosts: 1}
+	budgets.Resize(now, map[string]retry.Size{t.declared.Service.Name: size, "names": size})
 	run := runs.Run{ID: "a", Service: t.declared.Service.Name}
-	book.Begin(now, run, nil)
-	book.Call(now, run, "names")
-	book.Call(now, run, "names")
-	book.Finish(now, run)
-	t.config.Retries = book
-	return t, book
+	budgets.Begin(now, run, nil)
+	budgets.Call(now, run, "names")
+	budgets.Call(now, run, "names")
+	budgets.Finish(now, run)
+	t.config.Retries = budgets
+	return t, budgets
 }
 
 // offer offers the task a request and returns what it says.
@@ -38,7 +38,7 @@
 // beyond the limit of the service that it calls.
 func TestARepeatNeedsRoomForItsCalls(t *testing.T) {
 	now := time.Now()
-	calling, book := newCallingTask(now)
+	calling, budgets := newCallingTask(now)
 	if g := offer(calling, now, 1, hop.Call{}); g.err != nil {
 		t.Fatalf("a first sending was refused: %v", g.err)
 	}
@@ -48,7 +48,7 @@
 	}
 	const requests = 40 // a quarter of a fifth of them is two retries
 	for range requests {
-		book.Request(now, "names")
+		budgets.Request(now, "names")
 	}
 	if g := offer(calling, now, 3, hop.Call{Retry: true}); g.err != nil {
 		t.Fatalf("a repeat with room for its calls was refused: %v", g.err)
@@ -59,18 +59,18 @@
 // ends it: they are left again.
 func TestARepeatThatIsNotSentKeepsNothing(t *testing.T) {
 	now := time.Now()
-	calling, book := newCallingTask(now)
+	calling, budgets := newCallingTask(now)
 	for range 40 {
-		book.Request(now, "names")
+		budgets.Request(now, "names")
 	}
 	run := runs.Run{ID: "b", Service: calling.declared.Service.Name, Retry: true}
-	if !book.Begin(now, run, nil) || book.Left(now, "names") {
+	if !budgets.Begin(now, run, nil) || budgets.Left(now, "names") {
 		t.Fatal("what a repeat may call is not kept for it")
 	}
 	if g := offer(calling, now, 1, hop.Call{Retry: true}); g.err == nil {
 		t.Fatal("another repeat got what is kept")
 	}
-	book.Finish(now, run)
+	budgets.Finish(now, run)
 	if g := offer(calling, now, 2, hop.Call{Retry: true}); g.err != nil {
 		t.Fatalf("what was kept is not left again: %v", g.err)
 	}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -77,8 +77,8 @@
 	Answered func(good bool)
 	// Runs learns what the backend servers of this host run; nil keeps it to the sidecar.
 	Runs *runs.Table
-	// Retries is the host's book of retries; nil allows those that call nothing.
-	Retries *retry.Book
+	// Retries is the host's budgets of retries; nil allows those that call nothing.
+	Retries *retry.Budgets
 	// BorrowRetry takes a retry of a request to the service from another host, for a call to be made
 	// soon; nil if others are not asked.
 	BorrowRetry func(ctx context.Context, service string) bool
@@ -120,7 +120,7 @@
 		config.Runs = runs.New()
 	}
 	if config.Retries == nil {
-		config.Retries = retry.NewBook(retry.Config{Began: time.Now()})
+		config.Retries = retry.NewBudgets(retry.Config{Began: time.Now()})
 	}
 	s := &Sidecar{
 		config:       config,
--- a/internal/sidecar/slots.go
+++ b/internal/sidecar/slots.go
@@ -117,11 +117,11 @@
 // the backend server may hang.
 func (t *task) noteSlow(now time.Time, m slowMessage) {
 	if m.ended {
-		t.queue.Unstuck()
+		t.queue.Unstalled()
 		t.suspicion.LateEnded(now, m.began)
 		return
 	}
-	t.queue.Stuck()
+	t.queue.Stalled()
 	t.suspicion.Late(m.began)
 }
 
--- a/internal/subrequest/subrequest.go
+++ b/internal/subrequest/subrequest.go
@@ -26,7 +26,7 @@
 //
 //	tracker := subrequest.New(subrequest.Config{Changed: log})
 //	tracker.Failed(now, route)          // a request that began here got no answer
-//	news := tracker.Answered(now, false) // a backend server of the host answered; false: that it failed
+//	updates := tracker.Answered(now, false) // a backend server of the host answered; false: that it failed
 //	known := tracker.Hear(evidence)     // what another host of the same service saw
 //	if tracker.Is(route) { ... }
 package subrequest
@@ -186,20 +186,20 @@
 	if good {
 		return nil
 	}
-	var news []Evidence
+	var updates []Evidence
 	chance := t.chance(now) // without this answer
 	for _, r := range t.routes {
 		t.expire(now, r)
 		if r.opened.IsZero() {
 			continue
 		}
-		news = append(news, t.follow(now, r, math.Log(followed/chance))...)
+		updates = append(updates, t.follow(now, r, math.Log(followed/chance))...)
 	}
 	if !t.began.IsZero() {
 		t.rate = t.rateAt(now) + 1/t.averaged(now)
 		t.rated = now
 	}
-	return news
+	return updates
 }
 
 // follow ends a trial that a failed answer followed, and returns what to tell of it: nothing
--- a/internal/subrequest/subrequest_test.go
+++ b/internal/subrequest/subrequest_test.go
@@ -41,9 +41,9 @@
 	for i := range 3 {
 		now = now.Add(10 * time.Second)
 		tracker.Failed(now, called)
-		news := tracker.Answered(now.Add(5*time.Millisecond), false)
-		if len(news) != 1 || news[0] != seenOnce() {
-			t.Fatalf("failure %d is told as %v", i+1, news)
+		updates := tracker.Answered(now.Add(5*time.Millisecond), false)
+		if len(updates) != 1 || updates[0] != seenOnce() {
+			t.Fatalf("failure %d is told as %v", i+1, updates)
 		}
 		if tracker.Is(called) != (i == 2) {
 			t.Fatalf("after %d failures: known %t", i+1, tracker.Is(called))
@@ -190,7 +190,7 @@
 	for range 20 {
 		now = now.Add(time.Second)
 		tracker.Failed(now, called)
-		if news := tracker.Answered(now.Add(time.Millisecond), false); len(news) > 0 && len(changes) > 0 && now.Sub(epoch) > 10*time.Second {
+		if updates := tracker.Answered(now.Add(time.Millisecond), false); len(updates) > 0 && len(changes) > 0 && now.Sub(epoch) > 10*time.Second {
 			t.Fatal("other hosts are told of what has long been known")
 		}
 	}
