--- a/internal/daemon/listen.go
+++ b/internal/daemon/listen.go
@@ -14,6 +14,7 @@
 	"github.com/tideliftd/tidelift/internal/framing"
 	"github.com/tideliftd/tidelift/internal/operator"
 	"github.com/tideliftd/tidelift/internal/result"
+	"github.com/tideliftd/tidelift/internal/retryafter"
 )
 
 const (
@@ -190,6 +191,6 @@
 	case status.Stopping:
 		result.Write(w, result.New(result.Stopping))
 	default:
-		result.Write(w, result.New(result.NotReady).WithRetryAfter(time.Second))
+		result.Write(w, result.New(result.NotReady).WithRetryAfter(retryafter.NotReady))
 	}
 }
--- a/internal/ingress/admit.go
+++ b/internal/ingress/admit.go
@@ -13,12 +13,10 @@
 	"github.com/tideliftd/tidelift/internal/fleet"
 	"github.com/tideliftd/tidelift/internal/latency"
 	"github.com/tideliftd/tidelift/internal/result"
+	"github.com/tideliftd/tidelift/internal/retryafter"
 	"github.com/tideliftd/tidelift/internal/route"
 )
 
-// notReadyRetry is when to come back to a daemon without a declaration.
-const notReadyRetry = time.Second
-
 // request is a caller's request with what the declaration says of it.
 type request struct {
 	*http.Request
@@ -127,10 +125,10 @@
 func (in *Ingress) ready() (*state, *result.Error) {
 	current := in.state.Load()
 	if in.stopping.Load() {
-		return nil, result.New(result.Stopping).WithRetryAfter(notReadyRetry)
+		return nil, result.New(result.Stopping).WithRetryAfter(retryafter.NotReady)
 	}
 	if current == nil {
-		return nil, result.New(result.NotReady).WithRetryAfter(notReadyRetry)
+		return nil, result.New(result.NotReady).WithRetryAfter(retryafter.NotReady)
 	}
 	return current, nil
 }
--- a/internal/ingress/attempts.go
+++ b/internal/ingress/attempts.go
@@ -9,12 +9,11 @@
 	"github.com/tideliftd/tidelift/internal/experiment"
 	"github.com/tideliftd/tidelift/internal/result"
 	"github.com/tideliftd/tidelift/internal/retry"
+	"github.com/tideliftd/tidelift/internal/retryafter"
 	"github.com/tideliftd/tidelift/internal/wait"
 )
 
 const (
-	// noneAbleRetry is when to come back to a service that nobody can serve.
-	noneAbleRetry = time.Second
 	// lookAgainAfter is the pause before a request that finds only suspected backend
 	// servers, or none, looks again. Source: one is trusted again within some tens
 	// of milliseconds of the first proof.
@@ -136,7 +135,7 @@
 // was none or the last one asked gets no work.
 func noneAble(r *request, trace *attemptTrace) *result.Error {
 	if trace.last == nil || takesNoWork(trace.last) {
-		return result.New(result.NoneAble).WithRetryAfter(noneAbleRetry).
+		return result.New(result.NoneAble).WithRetryAfter(retryafter.NoneAble).
 			WithDetail("%d backend servers known, %d tried (%s)", len(r.service.pool.Targets()), len(trace.tried), trace.passedOver)
 	}
 	return trace.last
--- a/internal/ingress/refuse.go
+++ b/internal/ingress/refuse.go
@@ -11,19 +11,15 @@
 	"github.com/tideliftd/tidelift/internal/event"
 	"github.com/tideliftd/tidelift/internal/fleet"
 	"github.com/tideliftd/tidelift/internal/result"
+	"github.com/tideliftd/tidelift/internal/retryafter"
 )
 
-// refusedRetry is when to come back after a refusal of which nothing better is known.
-// Source: a backend server that takes no work for a moment has a free slot after
-// one request, some hundreds of milliseconds.
-const refusedRetry = 250 * time.Millisecond
-
 // fail answers with the failure, and leaves a line on it. A refusal always says when to
 // come back, unless that is of no use.
 func (in *Ingress) fail(w http.ResponseWriter, r *http.Request, started time.Time, err error) {
 	e := result.From(err)
 	if isRefusal(e.Code) && e.RetryAfter == 0 {
-		e = e.WithRetryAfter(refusedRetry)
+		e = e.WithRetryAfter(retryafter.Unspecified)
 	}
 	in.metrics.refused.Inc(e.Code)
 	event.Log(in.config.Logger, event.RequestFailed,
--- a/internal/ingress/serve.go
+++ b/internal/ingress/serve.go
@@ -9,6 +9,7 @@
 
 	"github.com/tideliftd/tidelift/internal/hop"
 	"github.com/tideliftd/tidelift/internal/result"
+	"github.com/tideliftd/tidelift/internal/retryafter"
 )
 
 // ServeHTTP serves one caller's request.
@@ -77,5 +78,5 @@
 	if failure.Code.Ran != result.RanNo {
 		return result.Wrap(result.StoppedWhileRunning, failure)
 	}
-	return result.Wrap(result.Stopping, err).WithRetryAfter(refusedRetry)
+	return result.Wrap(result.Stopping, err).WithRetryAfter(retryafter.Unspecified)
 }
--- a/internal/sidecar/slots.go
+++ b/internal/sidecar/slots.go
@@ -7,15 +7,7 @@
 	"github.com/tideliftd/tidelift/internal/admission"
 	"github.com/tideliftd/tidelift/internal/detect"
 	"github.com/tideliftd/tidelift/internal/result"
-)
-
-const (
-	// longestRefusal is the longest that a refusal for being ejected tells an
-	// ingress to stay away. The floor may call the backend server back at any
-	// time, and it should then get work soon.
-	longestRefusal = time.Second
-	// probationRefusal is how long one stays away while a probation request runs.
-	probationRefusal = 200 * time.Millisecond
+	"github.com/tideliftd/tidelift/internal/retryafter"
 )
 
 // offer decides on one request: first whether the backend server takes work at
@@ -79,10 +71,10 @@
 		return false, nil
 	}
 	if t.subject.State(now) == detect.Ejected {
-		return false, refusal(result.Ejected, min(t.subject.EjectedFor(now), longestRefusal))
+		return false, refusal(result.Ejected, retryafter.Ejected(t.subject.EjectedFor(now)))
 	}
 	if m.call.NonIdempotent || t.trying {
-		return false, refusal(result.Ejected, probationRefusal)
+		return false, refusal(result.Ejected, retryafter.Probation)
 	}
 	return true, nil
 }
--- a/internal/sidecar/suspicion.go
+++ b/internal/sidecar/suspicion.go
@@ -22,7 +22,7 @@
 		return nil
 	}
 	t.turnedAway[m.call.Host] = true
-	return refusal(result.Suspected, t.suspicion.EjectedFor(now))
+	return refusal(result.Suspected, t.suspicion.AvoidedFor(now))
 }
 
 // weigh takes an outcome for the suspicion, beside how the others do.
@@ -57,7 +57,7 @@
 // elsewhere.
 func (t *task) turnAwayWaiting(now time.Time) {
 	for _, id := range t.queue.Clear() {
-		t.reply(id, grant{err: refusal(result.Suspected, t.suspicion.EjectedFor(now))})
+		t.reply(id, grant{err: refusal(result.Suspected, t.suspicion.AvoidedFor(now))})
 	}
 }
 
--- a/internal/suspicion/suspicion.go
+++ b/internal/suspicion/suspicion.go
@@ -207,5 +207,5 @@
 	d.probed = now
 }
 
-// EjectedFor returns when to come back with a request.
-func (d *Suspicion) EjectedFor(now time.Time) time.Duration { return max(firstPause, d.next.Sub(now)) }
+// AvoidedFor returns when to come back with a request.
+func (d *Suspicion) AvoidedFor(now time.Time) time.Duration { return max(firstPause, d.next.Sub(now)) }
