--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,22 +1,41 @@
 // Package admission decides which requests a backend server runs, which wait
 // for a slot, and which are refused at once.
 //
-// A Queue is the aggregate of one backend server. It takes messages and the
-// time and gives decisions back; it has no clock, goroutine or socket. The
-// sidecar's task for the backend server owns it.
+// A Queue is the slots and the queue of one backend server. It is given what is known of
+// the backend server, a request and the time, and returns a decision; it has no clock,
+// goroutine or socket. The sidecar's task for the backend server owns it, and carries the
+// decision out.
 //
 // # Usage
 //
 //	q := admission.NewQueue(admission.Config{Slots: 10, Depth: 20})
-//	decision := q.Offer(now, admission.Request{ID: 1, Customer: "county-7", Deadline: now.Add(time.Second)})
+//	decision := q.Admit(now, &admission.Server{State: detect.Serving, Size: size}, admission.Request{ID: 1, Customer: "county-7"})
 //	switch decision.Verdict { ... }
 //	granted, late := q.Done(now, took)
 //
-// The queue and an offer to it are in admission.go, what happens when the places
-// run short in crowded.go, who gets a slot that is freed in grant.go, who is taken
-// out in remove.go, and the requests of one priority in line.go.
+// Whether the backend server takes a request at all is in admit.go, the queue and an offer
+// to it in admission.go, what happens when the places run short in crowded.go, who gets a
+// slot that is freed in grant.go, who is taken out in remove.go, and the requests of one
+// priority in line.go.
 //
-// # Rules
+// # Order
+//
+// The first that applies decides (Queue.Admit, then Queue.Offer):
+//
+//  1. The backend server is draining: refused.
+//  2. It is suspected: refused, but for a request that nobody else takes, one that finds out
+//     how it does, and an idempotent one if what is held against it was mostly slow. An
+//     ejection is not looked at then.
+//  3. It is ejected: refused. In probation it takes one idempotent request at a time.
+//  4. It seems to hang, and the request asks not to be taken then: refused.
+//  5. The request is a retry, and retries for the calls that it will make are neither left
+//     nor lent: refused.
+//  6. No slot is free, and the request asks not to wait: refused.
+//  7. A slot is free: granted.
+//  8. It would start too late, or the queue or its customer's share of it is full: refused.
+//  9. Else it waits.
+//
+// # Rules of the queue
 //
 //   - A free slot is given at once.
 //   - A request that could not start before its deadline, by the time that
@@ -65,6 +84,18 @@
 	RefusedLate Verdict = "refused-late"
 	// RefusedShare means that the customer already has its share of a full queue.
 	RefusedShare Verdict = "refused-share"
+	// RefusedDraining means that the backend server takes nothing new.
+	RefusedDraining Verdict = "refused-draining"
+	// RefusedSuspected means that it is suspected.
+	RefusedSuspected Verdict = "refused-suspected"
+	// RefusedEjected means that it is ejected, or in probation with a request.
+	RefusedEjected Verdict = "refused-ejected"
+	// RefusedHanging means that it seems to hang.
+	RefusedHanging Verdict = "refused-hanging"
+	// RefusedRetry means that no retry is left for what the request would call.
+	RefusedRetry Verdict = "refused-retry"
+	// RefusedBusy means that the request does not wait and no slot is free.
+	RefusedBusy Verdict = "refused-busy"
 )
 
 const (
@@ -100,11 +131,23 @@
 	Usual time.Duration
 	// Deadline is when the answer has to be there.
 	Deadline time.Time
+	// NonIdempotent says that it must not run more than once.
+	NonIdempotent bool
+	// Retry says that it is an attempt beyond its caller's first.
+	Retry bool
+	// DespiteSuspicion says that nobody else takes it.
+	DespiteSuspicion bool
+	// RefuseIfHanging asks for a refusal if the backend server seems to hang, RefuseIfBusy in
+	// place of a wait.
+	RefuseIfHanging, RefuseIfBusy bool
 }
 
-// Decision answers an offer.
+// Decision says what becomes of a request.
 type Decision struct {
 	Verdict Verdict
+	// Probation says that a granted request shows whether an ejected backend server has
+	// recovered.
+	Probation bool
 	// RetryAfter is when a refused request may find a slot.
 	RetryAfter time.Duration
 	// Evicted is a request that lost its place in the queue to this one; zero if none did.
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -168,6 +168,9 @@
 				case admission.Queued:
 					waiting[nextID] = customer
 				case admission.RefusedFull, admission.RefusedLate, admission.RefusedShare:
+				case admission.RefusedDraining, admission.RefusedSuspected, admission.RefusedEjected,
+					admission.RefusedHanging, admission.RefusedRetry, admission.RefusedBusy:
+					t.Fatalf("the queue decided %s", decision.Verdict)
 				}
 			},
 			"done": func(t *rapid.T) {
--- /dev/null
+++ b/internal/admission/admit_test.go
@@ -0,0 +1,121 @@
+package admission_test
+
+import (
+	"testing"
+	"time"
+
+	"github.com/tideliftd/tidelift/internal/admission"
+	"github.com/tideliftd/tidelift/internal/detect"
+	"github.com/tideliftd/tidelift/internal/retryafter"
+)
+
+// admitCase is a request, what is known of the backend server, and what is to become of it.
+type admitCase struct {
+	name       string
+	server     admission.Server
+	request    admission.Request
+	running    int // of two slots
+	want       admission.Verdict
+	retryAfter time.Duration // not looked at where the queue decides
+	probation  bool
+}
+
+func admitCases() []admitCase {
+	const suspectedFor = 300 * time.Millisecond
+	suspected := admission.Suspicion{Suspected: true, RetryAfter: suspectedFor}
+	slow := admission.Suspicion{Suspected: true, MostlySlow: true}
+	probed := admission.Suspicion{Suspected: true, MayProbe: true}
+	risked := admission.Suspicion{Suspected: true, MayProbe: true, MayRisk: true}
+	once := admission.Request{NonIdempotent: true}
+	return []admitCase{
+		{name: "nothing is known", want: admission.Granted},
+		{
+			name: "draining goes before all", server: admission.Server{Draining: true, Suspicion: suspected, State: detect.Ejected},
+			request: admission.Request{DespiteSuspicion: true}, want: admission.RefusedDraining,
+		},
+		{name: "suspected", server: admission.Server{Suspicion: suspected}, want: admission.RefusedSuspected, retryAfter: suspectedFor},
+		{
+			name: "suspected, and nobody else takes it", server: admission.Server{Suspicion: suspected},
+			request: admission.Request{NonIdempotent: true, DespiteSuspicion: true}, want: admission.Granted,
+		},
+		{name: "suspected as slow, idempotent", server: admission.Server{Suspicion: slow}, want: admission.Granted},
+		{name: "suspected as slow, not idempotent", server: admission.Server{Suspicion: slow}, request: once, want: admission.RefusedSuspected},
+		{name: "a probe is due, idempotent", server: admission.Server{Suspicion: probed}, want: admission.Granted},
+		{name: "a probe is due, not idempotent", server: admission.Server{Suspicion: probed}, request: once, want: admission.RefusedSuspected},
+		{name: "a probe is long due, not idempotent", server: admission.Server{Suspicion: risked}, request: once, want: admission.Granted},
+		{name: "suspicion goes before ejection", server: admission.Server{Suspicion: probed, State: detect.Ejected}, want: admission.Granted},
+		{
+			name: "ejected", server: admission.Server{State: detect.Ejected, EjectedFor: 400 * time.Millisecond},
+			request: admission.Request{DespiteSuspicion: true}, want: admission.RefusedEjected, retryAfter: 400 * time.Millisecond,
+		},
+		{name: "in probation", server: admission.Server{State: detect.Probation}, want: admission.Granted, probation: true},
+		{
+			name: "in probation, not idempotent", server: admission.Server{State: detect.Probation}, request: once,
+			want: admission.RefusedEjected, retryAfter: retryafter.Probation,
+		},
+		{
+			name: "in probation with a request", server: admission.Server{State: detect.Probation, ProbationRuns: true},
+			want: admission.RefusedEjected, retryAfter: retryafter.Probation,
+		},
+		{name: "in probation, no slot", server: admission.Server{State: detect.Probation}, running: 2, want: admission.Queued},
+		{name: "hanging", server: admission.Server{Hanging: true}, want: admission.Granted},
+		{
+			name: "hanging, and it asks not to be taken", server: admission.Server{Hanging: true},
+			request: admission.Request{RefuseIfHanging: true, Retry: true}, want: admission.RefusedHanging,
+		},
+		{name: "no retry is left, a first attempt", want: admission.Granted},
+		{name: "no retry is left, a retry", request: admission.Request{Retry: true, RefuseIfBusy: true}, running: 2, want: admission.RefusedRetry},
+		{name: "a retry is left", server: admission.Server{RetryLeft: true}, request: admission.Request{Retry: true}, want: admission.Granted},
+		{name: "busy", running: 2, want: admission.Queued},
+		{
+			name: "busy, and it does not wait", running: 2, request: admission.Request{RefuseIfBusy: true},
+			want: admission.RefusedBusy, retryAfter: 5 * time.Millisecond,
+		},
+	}
+}
+
+// TestTheFirstRuleThatAppliesDecides holds the order of the rules and what each refuses.
+func TestTheFirstRuleThatAppliesDecides(t *testing.T) {
+	for _, test := range admitCases() {
+		t.Run(test.name, func(t *testing.T) {
+			size := admission.Config{Slots: 2, Depth: 4}
+			q := admission.NewQueue(size)
+			for id := range test.running {
+				q.Offer(start, request(uint64(id+1), "county-7"))
+			}
+			server := test.server
+			server.Size = size
+			if server.State == "" {
+				server.State = detect.Serving
+			}
+			asked := test.request
+			asked.ID, asked.Deadline = 9, start.Add(time.Minute)
+			got := q.Admit(start, &server, asked)
+			if got.Verdict != test.want || got.Probation != test.probation || got.RetryAfter != test.retryAfter {
+				t.Fatalf("got %+v, want %s in %v, probation %t", got, test.want, test.retryAfter, test.probation)
+			}
+		})
+	}
+}
+
+// TestAReturnedBackendServerGetsItsSizeOfNow holds that an offer is decided by the slots that
+// the backend server has then.
+func TestAReturnedBackendServerGetsItsSizeOfNow(t *testing.T) {
+	q := admission.NewQueue(admission.Config{Slots: 4, Depth: 4})
+	q.Offer(start, request(1, "county-7"))
+	ramping := admission.Server{State: detect.Serving, Size: admission.Config{Slots: 1, Depth: 4}}
+	if got := q.Admit(start, &ramping, request(2, "county-7")); got.Verdict != admission.Queued {
+		t.Fatalf("a second request at one slot: %s", got.Verdict)
+	}
+}
+
+func BenchmarkAdmit(b *testing.B) {
+	size := admission.Config{Slots: 10, Depth: 20}
+	q := admission.NewQueue(size)
+	server := admission.Server{State: detect.Serving, Size: size}
+	b.ReportAllocs()
+	for b.Loop() {
+		q.Admit(start, &server, request(1, "county-7"))
+		q.Done(start, time.Millisecond)
+	}
+}
--- a/internal/admission/many_test.go
+++ b/internal/admission/many_test.go
@@ -84,6 +84,9 @@
 			figures.refused++
 		case admission.RefusedFull, admission.RefusedLate:
 			figures.refused++
+		case admission.RefusedDraining, admission.RefusedSuspected, admission.RefusedEjected,
+			admission.RefusedHanging, admission.RefusedRetry, admission.RefusedBusy:
+			panic("the queue decided " + decision.Verdict)
 		}
 	}
 	figures.held = held / time.Duration(max(1, figures.refused))
--- a/internal/sidecar/acquire.go
+++ b/internal/sidecar/acquire.go
@@ -11,52 +11,64 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// acquire waits for a slot until the task refuses or ctx ends.
-func (s *server) acquire(ctx context.Context, id uint64, call hop.Call, deadline time.Time) (*slot, error) {
-	request := admission.Request{
-		ID:       id,
-		Customer: call.Customer,
-		Priority: call.Priority,
-		TargetAt: deadline.Add(call.TargetLeft - call.TimeLeft),
-		Usual:    call.Usual,
-		Deadline: deadline,
+// newRequest returns what the call asks of admission.
+func newRequest(id uint64, call hop.Call, deadline time.Time) admission.Request {
+	return admission.Request{
+		ID:               id,
+		Customer:         call.Customer,
+		Priority:         call.Priority,
+		TargetAt:         deadline.Add(call.TargetLeft - call.TimeLeft),
+		Usual:            call.Usual,
+		Deadline:         deadline,
+		NonIdempotent:    call.NonIdempotent,
+		Retry:            call.Retry,
+		DespiteSuspicion: call.DespiteSuspicion,
+		RefuseIfHanging:  call.RefuseIfHanging,
+		RefuseIfBusy:     call.RefuseIfBusy,
 	}
+}
+
+// acquire waits for a slot until the task refuses or ctx ends.
+func (s *server) acquire(ctx context.Context, id uint64, call hop.Call) (*slot, error) {
+	asked := time.Now()
+	request := newRequest(id, call, asked.Add(call.TimeLeft))
 	reply := make(chan grant, 1)
-	if !s.send(offerMessage{request: request, call: call, reply: reply}) {
+	if !s.send(offerMessage{request: request, host: call.Host, reply: reply}) {
 		return nil, result.New(result.Draining)
 	}
 	select {
 	case g := <-reply:
-		return s.granted(ctx, g)
+		return s.granted(ctx, g, asked)
 	case <-ctx.Done():
-		s.withdraw(request, reply)
+		s.withdraw(request, reply, asked)
 		return nil, cancelled(ctx)
 	case <-s.ended:
 		return nil, result.New(result.Draining)
 	}
 }
 
-// granted checks that the request is still wanted.
-func (s *server) granted(ctx context.Context, g grant) (*slot, error) {
+// granted returns the slot that was granted a moment ago, if the request is still wanted.
+func (s *server) granted(ctx context.Context, g grant, asked time.Time) (*slot, error) {
 	if g.err != nil {
 		return nil, g.err
 	}
-	granted := s.newSlot(g)
+	slot := s.newSlot(g, asked)
 	if ctx.Err() != nil {
-		granted.release()
+		slot.release()
 		return nil, cancelled(ctx)
 	}
-	return granted, nil
+	return slot, nil
 }
 
 // newSlot returns the slot that was granted a moment ago.
-func (s *server) newSlot(g grant) *slot {
-	return &slot{server: s, granted: time.Now(), probation: g.probation}
+func (s *server) newSlot(g grant, asked time.Time) *slot {
+	now := time.Now()
+	return &slot{server: s, granted: now, waited: now.Sub(asked), probation: g.probation}
 }
 
 // withdraw takes a request out of the queue, or gives its slot back if it was
 // granted one in the meantime.
-func (s *server) withdraw(request admission.Request, reply chan grant) {
+func (s *server) withdraw(request admission.Request, reply chan grant, asked time.Time) {
 	wasWaiting := make(chan bool, 1)
 	if !s.send(cancelMessage{request: request, reply: wasWaiting}) {
 		return
@@ -70,7 +82,7 @@
 		return
 	}
 	if g := <-reply; g.err == nil {
-		s.newSlot(g).release()
+		s.newSlot(g, asked).release()
 	}
 }
 
--- /dev/null
+++ b/internal/sidecar/admit.go
@@ -0,0 +1,93 @@
+package sidecar
+
+import (
+	"time"
+
+	"github.com/tideliftd/tidelift/internal/admission"
+	"github.com/tideliftd/tidelift/internal/detect"
+	"github.com/tideliftd/tidelift/internal/result"
+)
+
+// offer has admission decide on one request and carries the decision out.
+func (t *task) offer(now time.Time, m *offerMessage) {
+	known := t.known(now, m)
+	decision := t.queue.Admit(now, &known, m.request)
+	if decision.Evicted != 0 {
+		t.reply(decision.Evicted, refused(result.PlaceLost, t.queue.RetryAfter()))
+	}
+	if decision.Verdict == admission.Queued {
+		t.waiting[m.request.ID] = m.reply
+		return
+	}
+	if decision.Verdict == admission.Granted {
+		t.trying = t.trying || decision.Probation
+		t.began(now)
+		m.reply <- grant{probation: decision.Probation}
+		return
+	}
+	if decision.Verdict == admission.RefusedSuspected {
+		t.turnedAway[m.host] = true
+	}
+	m.reply <- refused(codeOf(decision.Verdict), decision.RetryAfter)
+}
+
+// known returns what the decision on the request needs to know of the backend server.
+func (t *task) known(now time.Time, m *offerMessage) admission.Server {
+	if t.isDraining(now) {
+		return admission.Server{Draining: true}
+	}
+	s := admission.Server{State: detect.Serving}
+	t.noteSurvived(now)
+	switch {
+	case t.suspicion.Suspected():
+		s.Suspicion = t.suspicionNow(now)
+	case t.isEjected(now):
+		s.State = t.subject.State(now)
+		s.EjectedFor = t.subject.EjectedFor(now)
+		s.ProbationRuns = t.trying
+	}
+	s.Hanging = m.request.RefuseIfHanging && t.suspicion.Hanging(now)
+	s.RetryLeft = m.request.Retry && t.config.Retries.MayRun(now, t.declared.Service.Name)
+	s.Size = t.size(now)
+	return s
+}
+
+// suspicionNow returns what is held against a backend server that is suspected.
+func (t *task) suspicionNow(now time.Time) admission.Suspicion {
+	return admission.Suspicion{
+		Suspected:  true,
+		MostlySlow: t.suspicion.MostlyLate(),
+		MayProbe:   t.suspicion.MayProbe(now),
+		MayRisk:    t.suspicion.MayRisk(now),
+		RetryAfter: t.suspicion.AvoidedFor(now),
+	}
+}
+
+// codeOf returns the result code of a refusal.
+func codeOf(verdict admission.Verdict) result.Code {
+	switch verdict {
+	case admission.RefusedDraining:
+		return result.Draining
+	case admission.RefusedSuspected:
+		return result.Suspected
+	case admission.RefusedEjected:
+		return result.Ejected
+	case admission.RefusedHanging:
+		return result.Unproven
+	case admission.RefusedRetry:
+		return result.RetryLimit
+	case admission.RefusedBusy:
+		return result.Busy
+	case admission.RefusedLate:
+		return result.QueueTooSlow
+	case admission.RefusedShare:
+		return result.CustomerShare
+	case admission.RefusedFull, admission.Granted, admission.Queued:
+	}
+	return result.QueueFull
+}
+
+// refused answers an offer with a refusal and, unless it is zero, when to come back.
+func refused(code result.Code, after time.Duration) grant {
+	return grant{err: result.New(code).WithRetryAfter(after)}
+}
--- a/internal/sidecar/messages.go
+++ b/internal/sidecar/messages.go
@@ -8,7 +8,6 @@
 	"github.com/tideliftd/tidelift/internal/detect"
 	"github.com/tideliftd/tidelift/internal/fleet"
 	"github.com/tideliftd/tidelift/internal/floor"
-	"github.com/tideliftd/tidelift/internal/hop"
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
@@ -65,7 +64,7 @@
 type (
 	offerMessage struct {
 		request admission.Request
-		call    hop.Call
+		host    string // the ingress's
 		reply   chan grant
 	}
 	observeMessage struct {
--- a/internal/sidecar/reservation.go
+++ b/internal/sidecar/reservation.go
@@ -20,9 +20,7 @@
 // so that a request that was held up on its way, or in the buffer of a process
 // that stood still, is refused when it comes at last.
 type reservation struct {
-	server  *server
 	slot    *slot
-	waited  time.Duration
 	expires time.Time
 	lapse   *time.Timer
 }
@@ -38,12 +36,12 @@
 // Reserve waits for a slot, keeps it for the request for ReservationLife and returns the
 // leave to run it.
 func (s *Sidecar) Reserve(ctx context.Context, call hop.Call) (string, error) {
-	server, slot, waited, err := s.acquire(ctx, call)
+	slot, err := s.acquire(ctx, call)
 	if err != nil {
 		return "", err
 	}
 	id := uuid.NewString()
-	t := &reservation{server: server, slot: slot, waited: waited, expires: time.Now().Add(ReservationLife)}
+	t := &reservation{slot: slot, expires: time.Now().Add(ReservationLife)}
 	t.lapse = time.AfterFunc(ReservationLife, func() { s.reservations.drop(id) })
 	s.reservations.mu.Lock()
 	defer s.reservations.mu.Unlock()
@@ -66,19 +64,19 @@
 	return t, ok
 }
 
-// redeem returns the reservation if it is good for the call. After that it is not
-// good for any.
-func (x *reservations) redeem(call hop.Call, now time.Time) (*reservation, error) {
+// redeem returns the slot that was kept if the reservation is good for the call. After that
+// it is not good for any.
+func (x *reservations) redeem(call hop.Call, now time.Time) (*slot, error) {
 	t, ok := x.take(call.Reservation)
 	if !ok {
 		return nil, result.New(result.ReservationExpired)
 	}
 	t.lapse.Stop()
-	if now.After(t.expires) || t.server.declared.Load().BackendServer.Name != call.BackendServer {
+	if now.After(t.expires) || t.slot.server.declared.Load().BackendServer.Name != call.BackendServer {
 		t.slot.release()
 		return nil, result.New(result.ReservationExpired)
 	}
-	return t, nil
+	return t.slot, nil
 }
 
 // serveReservation answers an ingress that asks for a reservation.
--- a/internal/sidecar/retries_test.go
+++ b/internal/sidecar/retries_test.go
@@ -4,7 +4,6 @@
 	"testing"
 	"time"
 
-	"github.com/tideliftd/tidelift/internal/admission"
 	"github.com/tideliftd/tidelift/internal/hop"
 	"github.com/tideliftd/tidelift/internal/result"
 	"github.com/tideliftd/tidelift/internal/retry"
@@ -29,8 +28,8 @@
 
 // offer offers the task a request and returns what it says.
 func offer(t *task, now time.Time, id uint64, call hop.Call) grant {
-	m := offerMessage{request: admission.Request{ID: id, Deadline: now.Add(time.Minute)}, call: call, reply: make(chan grant, 1)}
-	t.offer(now, m)
+	m := offerMessage{request: newRequest(id, call, now.Add(time.Minute)), reply: make(chan grant, 1)}
+	t.offer(now, &m)
 	return <-m.reply
 }
 
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -5,20 +5,25 @@
 // was run facts of one process. One task for each backend server owns them and
 // talks by messages. What it does is in files by theme:
 //
-//	task.go        takes the messages
-//	slots.go       gives, queues or refuses a slot
-//	draining.go     takes no new work while the backend server leaves
+//	sidecar.go     runs a request: slot, quarantine, sending, evidence
+//	handler.go     serves the requests of other daemons
+//	exchange.go    sends the request and checks the answer
+//	reservation.go keeps a slot for a request that must not run twice
+//	server.go      is the handle of the task for everybody else
+//	declared.go    is what the declaration says of the backend server
+//	acquire.go     waits for a slot
+//	slot.go        observes the request that has one
+//	task.go        handles the messages
+//	admit.go       decides on a request, by internal/admission
+//	slots.go       gives and queues slots
+//	draining.go    takes no new work while the backend server is draining
 //	suspicion.go   passes a backend server over at the first sign of failing
 //	eject.go       takes a sick one out of service, if the floor allows it
 //	lease.go       asks others for leases to keep serving, and gives its own
 //	report.go      describes the backend server to operators
-//	reservation.go keeps a slot for a request that must not run twice
 //	runs.go        counts and remembers what is sent, and keeps room for what retries call
 //	ends.go        finds out which requests a backend server ran when it ended
 //	usage.go       counts what the time of slots goes to
-//	server.go      is the handle of the task for everybody else
-//	exchange.go    sends the request and checks the answer
-//	handler.go     takes requests from other daemons
 //
 // # Usage
 //
@@ -222,10 +227,11 @@
 		return Answer{}, result.Wrap(result.MalformedRequest, err)
 	}
 	began := time.Now()
-	server, slot, waited, err := s.slotToRun(ctx, call, in)
+	slot, err := s.slotToRun(ctx, call, in)
 	if err != nil {
 		return Answer{}, err
 	}
+	server := slot.server
 	end, err := s.begin(ctx, server, call, s.headers.Load().id(in.Header))
 	if err != nil {
 		slot.release()
@@ -247,7 +253,7 @@
 		slot.release()
 		end()
 	})
-	return Answer{Response: response, Load: server.load(), Waited: waited}, nil
+	return Answer{Response: response, Load: server.load(), Waited: slot.waited}, nil
 }
 
 // tellAnswered tells whoever wants to know how a backend server of this host answered.
@@ -259,48 +265,39 @@
 
 // slotToRun returns a slot for the request, unless no backend server is to be sent it. One that has no slot
 // yet is refused at once; the slot that a reservation has kept is given back.
-func (s *Sidecar) slotToRun(ctx context.Context, call hop.Call, in *http.Request) (*server, *slot, time.Duration, error) {
+func (s *Sidecar) slotToRun(ctx context.Context, call hop.Call, in *http.Request) (*slot, error) {
 	if call.Reservation == "" {
 		if err := s.mayRun(ctx, call, in, false); err != nil {
-			return nil, nil, 0, err
+			return nil, err
 		}
 	}
-	server, slot, waited, err := s.slotFor(ctx, call)
+	slot, err := s.slotFor(ctx, call)
 	if err != nil {
-		return nil, nil, 0, err
+		return nil, err
 	}
 	if err := s.mayRun(ctx, call, in, true); err != nil {
 		slot.release()
-		return nil, nil, 0, err
+		return nil, err
 	}
-	return server, slot, waited, nil
+	return slot, nil
 }
 
 // slotFor returns the slot that the call's reservation kept, or waits for one.
-func (s *Sidecar) slotFor(ctx context.Context, call hop.Call) (*server, *slot, time.Duration, error) {
+func (s *Sidecar) slotFor(ctx context.Context, call hop.Call) (*slot, error) {
 	if call.Reservation == "" {
 		return s.acquire(ctx, call)
 	}
-	t, err := s.reservations.redeem(call, time.Now())
-	if err != nil {
-		return nil, nil, 0, err
-	}
-	return t.server, t.slot, t.waited, nil
+	return s.reservations.redeem(call, time.Now())
 }
 
-// acquire waits for a slot and returns how long that took.
-func (s *Sidecar) acquire(ctx context.Context, call hop.Call) (*server, *slot, time.Duration, error) {
+// acquire waits for a slot of the call's backend server.
+func (s *Sidecar) acquire(ctx context.Context, call hop.Call) (*slot, error) {
 	if s.stopping.Load() {
-		return nil, nil, 0, result.New(result.Stopping)
+		return nil, result.New(result.Stopping)
 	}
 	server, err := s.server(call.BackendServer)
 	if err != nil {
-		return nil, nil, 0, err
-	}
-	asked := time.Now()
-	slot, err := server.acquire(ctx, s.nextID.Add(1), call, asked.Add(call.TimeLeft))
-	if err != nil {
-		return nil, nil, 0, err
+		return nil, err
 	}
-	return server, slot, time.Since(asked), nil
+	return server.acquire(ctx, s.nextID.Add(1), call)
 }
--- a/internal/sidecar/slot.go
+++ b/internal/sidecar/slot.go
@@ -19,7 +19,8 @@
 	target    time.Duration // of the request's route; zero if it is not known
 	slowAfter time.Duration // how long it runs before it has outlasted nearly all of its route; zero if that is not known
 	granted   time.Time
-	started   time.Time // zero until the request is sent
+	waited    time.Duration // until it was granted
+	started   time.Time     // zero until the request is sent
 	overdue   *time.Timer
 	watch     slowWatch
 	late      atomic.Bool
--- a/internal/sidecar/suspicion.go
+++ b/internal/sidecar/suspicion.go
@@ -12,19 +12,6 @@
 	"github.com/tideliftd/tidelift/internal/suspicion"
 )
 
-// admitSuspected says whether a suspected backend server takes the request: one that nobody else
-// takes, or an idempotent one that finds out how it does or is copied if it hangs.
-func (t *task) admitSuspected(now time.Time, m offerMessage) *result.Error {
-	if m.call.DespiteSuspicion || !m.call.NonIdempotent && t.suspicion.MostlyLate() {
-		return nil
-	}
-	if !m.call.NonIdempotent && t.suspicion.MayProbe(now) || t.suspicion.MayRisk(now) {
-		return nil
-	}
-	t.turnedAway[m.call.Host] = true
-	return refusal(result.Suspected, t.suspicion.AvoidedFor(now))
-}
-
 // weigh takes an outcome for the suspicion, beside how the others do.
 func (t *task) weigh(now time.Time, saw detect.Observation, others detect.Baseline) {
 	if t.config.Off.Has(experiment.Suspicion) {
@@ -57,7 +44,7 @@
 // elsewhere.
 func (t *task) turnAwayWaiting(now time.Time) {
 	for _, id := range t.queue.Clear() {
-		t.reply(id, grant{err: refusal(result.Suspected, t.suspicion.AvoidedFor(now))})
+		t.reply(id, refused(result.Suspected, t.suspicion.AvoidedFor(now)))
 	}
 }
 
--- a/internal/sidecar/task.go
+++ b/internal/sidecar/task.go
@@ -89,7 +89,7 @@
 	now := time.Now()
 	switch m := message.(type) {
 	case offerMessage:
-		t.offer(now, m)
+		t.offer(now, &m)
 	case observeMessage:
 		t.observe(now, m)
 	case slowMessage:
