--- a/internal/detect/baseline.go
+++ b/internal/detect/baseline.go
@@ -130,7 +130,7 @@
 // Baseline returns how the others than the one named did at the last Compare.
 func (g *Group) Baseline(name string) Baseline { return g.others[name] }
 
-// Alone says whether the suspicion of the backend server named is its own.
+// Alone reports whether the suspicion of the backend server named is its own.
 func (g *Group) Alone(name string) bool {
 	suspected, ok := g.subjects[name]
 	if !ok {
@@ -179,7 +179,7 @@
 	return c
 }
 
-// comparable says whether enough is known of the subject to hold others to it.
+// comparable reports whether enough is known of the subject to hold others to it.
 func (s *Subject) comparable() bool {
 	return s.observed >= minSamples && s.latency.samples > 0
 }
--- a/internal/detect/detect.go
+++ b/internal/detect/detect.go
@@ -13,23 +13,44 @@
 //	verdict := s.Verdict(now)
 //	if verdict.Sick { s.Eject(now) }
 //
-// # Rules
+// # From an observation to an ejection and back
 //
-// Each observation is a failure or not, and slow or not. For each of the two a
-// cumulative sum of log-likelihood ratios weighs "as sick as SickShare" against
-// "like the service's others", whose recent rates are the Baseline. The sum
-// never falls below zero, and above Threshold the backend server is sick.
+//  1. Observation (FromAnswer, FromResult, Subject.Observe). Each is a failure or not, and slow
+//     or not. A request that is overdue counts as a failure before it ends.
+//  2. Evidence (evidence.go). For failures and slowness apart a cumulative sum of
+//     log-likelihood ratios weighs "as sick as SickFailure or SickSlow" against "like the
+//     service's others", whose recent rates are the Baseline. It never falls below zero.
+//  3. Verdict (Subject.Verdict). Sick is whose sum passes Threshold, unless a guard below says
+//     otherwise.
+//  4. Confirmation (Subject.Alone). The sidecar asks all other backend servers of the service
+//     for leases to keep serving, and learns how they do since the suspicion began. More did
+//     well than are suspects themselves, or the cause is taken for one that they share.
+//  5. Ejection (Subject.Eject). With leases from as many others as the floor says (package
+//     floor) it takes no work for EjectionTime, longer if it was ejected of late. Leases are
+//     renewed; if too few are left it returns at once (Subject.Return).
+//  6. Probation (Subject.Try). Then it gets one idempotent request at a time. A failed or slow
+//     one ejects it again, for twice as long; ProbationPasses good ones in a row return it.
+//  7. Return (Subject.Return, Subject.Share). It begins without evidence, and gets a growing
+//     part of its slots during Ramp. One that answers well while suspected (package suspicion)
+//     returns at once with all of them (Subject.Restore).
 //
-// That needs no window to fill: at ten requests a minute three failures in a
-// row are enough, and at two thousand a second the same sum fills within the
-// shortest time allowed. Three guards keep it from deciding too soon:
+// What the sidecar does at each step is in internal/sidecar: slot.go observes, eject.go asks
+// and decides, lease.go keeps the leases, slots.go has the probation. An ingress takes the same
+// steps without 4 and 5: it ejects nobody, but sends a backend server that looks sick on its
+// path less.
 //
-//   - What one interval adds is bounded by IntervalCap, so that a short pause of
-//     the backend server under much traffic counts as one event, not as many.
-//   - The evidence must span MinSpan and MinBad observations.
-//   - The sum must pass Threshold by as much as the others' sums have risen,
-//     and the recent rate must be above theirs by Margin, so that a cause that
-//     all share ejects nobody.
+// No window has to fill: at ten requests a minute three failures in a row are enough, and at
+// two thousand a second the same sum fills within the shortest time allowed. Guards against
+// deciding too soon:
+//
+//   - What one Interval adds is bounded by IntervalCap, so that a short pause of the backend
+//     server under much traffic counts as one event, not as many.
+//   - The evidence must span MinSpan and MinBad observations, and be Deviations away from
+//     chance.
+//   - The sum must pass Threshold by as much as the others' sums have risen, and the recent
+//     rate must be above theirs by Margin, so that a cause that all share ejects nobody.
+//
+// The figures, with the measurements behind them, are in rules.go.
 //
 // Units: rates are shares from 0 to 1; sums are natural logarithms. Source of
 // the method: E. S. Page, Continuous inspection schemes, Biometrika 41 (1954).
@@ -81,7 +102,7 @@
 	PastTarget bool
 }
 
-// failed says whether the observation is a failure that was not counted yet.
+// failed reports whether the observation is a failure that was not counted yet.
 func (o Observation) failed() bool {
 	return o.Outcome != OK && !o.WasOverdue
 }
@@ -159,7 +180,7 @@
 	return s.rules.OverdueLimit(s.baseline.Typical)
 }
 
-// Verdict says what the observations so far amount to.
+// Verdict returns what the observations so far amount to.
 func (s *Subject) Verdict(now time.Time) Verdict {
 	severity := s.failure.rate + s.slow.rate
 	switch {
--- a/internal/detect/ejection.go
+++ b/internal/detect/ejection.go
@@ -18,12 +18,16 @@
 	Probation State = "trial"
 )
 
-// hold is how long a subject stays ejected and how it comes back.
+// leastShare is the share of its work that a subject gets right after its return. Not measured:
+// a tenth of the slots, and at least one, is enough to show how it does.
+const leastShare = 0.1
+
+// ejection is whether and for how long a subject is ejected, and how it comes back.
 type ejection struct {
 	ejected  bool
 	began    time.Time // when it was ejected
 	until    time.Time // when its probation begins
-	level    float64   // how often it was ejected of late
+	level    float64   // how often the ejection time doubles, less what EjectionMemory took back
 	passes   int       // good answers of its probation
 	returned time.Time // when it last came back
 	cause    Cause
@@ -32,21 +36,21 @@
 
 // Eject takes the subject out of service for its ejection time.
 func (s *Subject) Eject(now time.Time) {
-	h := &s.ejection
-	if !h.returned.IsZero() {
-		h.level = math.Max(0, h.level-float64(now.Sub(h.returned))/float64(s.rules.EjectionMemory))
+	x := &s.ejection
+	if !x.returned.IsZero() {
+		x.level = math.Max(0, x.level-float64(now.Sub(x.returned))/float64(s.rules.EjectionMemory))
 	}
-	if !h.ejected {
-		h.decided = s.evidenceNow()
+	if !x.ejected {
+		x.decided = s.evidenceNow()
 	}
-	length := time.Duration(float64(s.rules.EjectionTime) * math.Exp2(h.level))
-	h.ejected = true
-	h.began = now
-	h.until = now.Add(min(length, s.rules.EjectionTimeMax))
-	h.level++
-	h.passes = 0
+	length := time.Duration(float64(s.rules.EjectionTime) * math.Exp2(x.level))
+	x.ejected = true
+	x.began = now
+	x.until = now.Add(min(length, s.rules.EjectionTimeMax))
+	x.level++
+	x.passes = 0
 	if verdict := s.Verdict(now); verdict.Sick {
-		h.cause = verdict.Cause
+		x.cause = verdict.Cause
 	}
 	s.forget()
 }
@@ -68,8 +72,8 @@
 	return max(0, s.ejection.until.Sub(now))
 }
 
-// Try takes the outcome of a probation request and says whether the subject has
-// come back. A failure ejects it again, for longer.
+// Try takes the outcome of a probation request and reports whether the subject has
+// returned. A failure, or a slow answer, ejects it again, for longer.
 func (s *Subject) Try(now time.Time, o Observation, others Baseline) bool {
 	if others.known() {
 		s.baseline = others
@@ -112,7 +116,6 @@
 	if s.ejection.returned.IsZero() {
 		return 1
 	}
-	const least = 0.1
 	grown := float64(now.Sub(s.ejection.returned)) / float64(s.rules.Ramp)
-	return math.Min(1, math.Max(least, grown))
+	return math.Min(1, math.Max(leastShare, grown))
 }
--- a/internal/detect/evidence.go
+++ b/internal/detect/evidence.go
@@ -56,7 +56,7 @@
 // back, which is steadier.
 func (e *evidence) normal() float64 { return math.Max(e.rate, e.longRate) }
 
-// convinces says whether the evidence is enough to call the subject sick. The
+// convinces reports whether the evidence is enough to call the subject sick. The
 // others' sum is taken off: what they all show is no fault of the subject.
 func (e *evidence) convinces(now time.Time, normal, othersSum float64, rules Rules) bool {
 	return e.total(rules)-othersSum >= rules.Threshold &&
@@ -66,7 +66,7 @@
 		e.deviates(rules)
 }
 
-// deviates says whether there are more bad observations than chance would put
+// deviates reports whether there are more bad observations than chance would put
 // there, by the deviations that the rules ask for.
 func (e *evidence) deviates(rules Rules) bool {
 	return e.deviatesFrom(e.expected/e.count, rules)
--- a/internal/detect/summary.go
+++ b/internal/detect/summary.go
@@ -45,7 +45,7 @@
 // others was asked anything meanwhile.
 const idleFactor = 2
 
-// Alone says whether the suspicion is the subject's own: at least one of the
+// Alone reports whether the suspicion is the subject's own: at least one of the
 // others did well meanwhile, more did well than are suspects themselves, and
 // what bad answers they gave would not make the subject's likely.
 func (s *Subject) Alone(others []Summary) bool {
