--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -34,8 +34,8 @@
 	Suspected bool
 	// MostlySlow says that most of what is held against it was slow rather than failed.
 	MostlySlow bool
-	// MayProbe says that an idempotent request may find out how it does, MayRisk that any may.
-	MayProbe, MayRisk bool
+	// MayProbe says that an idempotent request may find out how it does, MayProbeWithAny that any may.
+	MayProbe, MayProbeWithAny bool
 	// RetryAfter is when to come back.
 	RetryAfter time.Duration
 }
@@ -82,6 +82,6 @@
 	case !r.NonIdempotent && (s.MostlySlow || s.MayProbe):
 		return true
 	default:
-		return s.MayRisk
+		return s.MayProbeWithAny
 	}
 }
--- a/internal/admission/admit_test.go
+++ b/internal/admission/admit_test.go
@@ -25,7 +25,7 @@
 	suspected := admission.Suspicion{Suspected: true, RetryAfter: suspectedFor}
 	slow := admission.Suspicion{Suspected: true, MostlySlow: true}
 	probed := admission.Suspicion{Suspected: true, MayProbe: true}
-	risked := admission.Suspicion{Suspected: true, MayProbe: true, MayRisk: true}
+	risked := admission.Suspicion{Suspected: true, MayProbe: true, MayProbeWithAny: true}
 	once := admission.Request{NonIdempotent: true}
 	return []admitCase{
 		{name: "nothing is known", want: admission.Granted},
--- a/internal/sidecar/admit.go
+++ b/internal/sidecar/admit.go
@@ -55,11 +55,11 @@
 // suspicionNow returns what is held against a backend server that is suspected.
 func (t *task) suspicionNow(now time.Time) admission.Suspicion {
 	return admission.Suspicion{
-		Suspected:  true,
-		MostlySlow: t.suspicion.MostlyLate(),
-		MayProbe:   t.suspicion.MayProbe(now),
-		MayRisk:    t.suspicion.MayRisk(now),
-		RetryAfter: t.suspicion.AvoidedFor(now),
+		Suspected:       true,
+		MostlySlow:      t.suspicion.MostlySlow(),
+		MayProbe:        t.suspicion.MayProbe(now),
+		MayProbeWithAny: t.suspicion.MayProbeWithAny(now),
+		RetryAfter:      t.suspicion.RetryAfter(now),
 	}
 }
 
--- a/internal/sidecar/slots.go
+++ b/internal/sidecar/slots.go
@@ -39,11 +39,11 @@
 func (t *task) noteSlow(now time.Time, m slowMessage) {
 	if m.ended {
 		t.queue.Unstalled()
-		t.suspicion.LateEnded(now, m.began)
+		t.suspicion.SlowRequestEnded(now, m.began)
 		return
 	}
 	t.queue.Stalled()
-	t.suspicion.Late(m.began)
+	t.suspicion.SlowRequest(m.began)
 }
 
 // settle answers waiting requests: those that got a slot, and those whose deadline
--- a/internal/sidecar/suspicion.go
+++ b/internal/sidecar/suspicion.go
@@ -24,18 +24,18 @@
 			t.noteGood(now, now.Add(-saw.Took))
 			return
 		}
-		begins = t.suspicion.BadLate(now, suspicion.Slow)
+		begins = t.suspicion.RecordSlowness(now, suspicion.Slow)
 	case detect.Refused, detect.Lost:
-		begins = t.suspicion.Bad(now, suspicion.Broken)
+		begins = t.suspicion.RecordFailure(now, suspicion.Broken)
 	case detect.Error:
-		if weight := suspicion.FailedAmong(others.Failure); weight > 0 { // else the others fail as much
-			begins = t.suspicion.Bad(now, weight)
+		if weight := suspicion.FailureWeight(others.Failure); weight > 0 { // else the others fail as much
+			begins = t.suspicion.RecordFailure(now, weight)
 		}
 	case detect.TimedOut, detect.Overdue:
-		begins = t.suspicion.BadLate(now, suspicion.Overdue)
+		begins = t.suspicion.RecordSlowness(now, suspicion.Overdue)
 	}
 	if begins {
-		t.log(event.ServerSuspected, "outcome", saw.Outcome, "mostly_late", t.suspicion.MostlyLate())
+		t.log(event.ServerSuspected, "outcome", saw.Outcome, "mostly_late", t.suspicion.MostlySlow())
 		t.turnAwayWaiting(now)
 	}
 }
@@ -44,13 +44,13 @@
 // elsewhere.
 func (t *task) turnAwayWaiting(now time.Time) {
 	for _, id := range t.queue.Clear() {
-		t.reply(id, refused(result.Suspected, t.suspicion.AvoidedFor(now)))
+		t.reply(id, refused(result.Suspected, t.suspicion.RetryAfter(now)))
 	}
 }
 
 // noteGood takes a good answer in good time to a request that began then.
 func (t *task) noteGood(now, began time.Time) {
-	if t.suspicion.Good(now, began) {
+	if t.suspicion.RecordGood(now, began) {
 		t.trust(now)
 	}
 }
@@ -58,14 +58,14 @@
 // began takes it that a request was given a slot.
 func (t *task) began(now time.Time) {
 	if t.suspicion.Suspected() {
-		t.suspicion.Probe(now)
+		t.suspicion.ProbeSent(now)
 		t.log(event.ServerProbed, "good", t.suspicion.GoodInARow())
 	}
 }
 
 // noteSurvived ends the suspicion if a probe that still runs shows enough.
 func (t *task) noteSurvived(now time.Time) {
-	if t.suspicion.Survived(now) {
+	if t.suspicion.ProbeSurvived(now) {
 		t.trust(now)
 	}
 }
--- a/internal/suspicion/suspicion_test.go
+++ b/internal/suspicion/suspicion_test.go
@@ -12,9 +12,9 @@
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func TestWhatBeginsSuspicion(t *testing.T) {
-	good := func(d *suspicion.Suspicion) { d.Good(epoch, epoch) }
+	good := func(s *suspicion.Suspicion) { s.RecordGood(epoch, epoch) }
 	bad := func(weight float64) func(*suspicion.Suspicion) {
-		return func(d *suspicion.Suspicion) { d.Bad(epoch, weight) }
+		return func(s *suspicion.Suspicion) { s.RecordFailure(epoch, weight) }
 	}
 	tests := []struct {
 		name  string
@@ -37,12 +37,12 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			d := suspicion.New()
+			s := suspicion.New()
 			for _, step := range test.steps {
-				step(d)
+				step(s)
 			}
-			if d.Suspected() != test.want {
-				t.Fatalf("suspected %t, want %t", d.Suspected(), test.want)
+			if s.Suspected() != test.want {
+				t.Fatalf("suspected %t, want %t", s.Suspected(), test.want)
 			}
 		})
 	}
@@ -52,12 +52,12 @@
 // backend server that fails all of them.
 func TestProbesAreFewAndNeverStop(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := suspicion.New()
-		d.Bad(epoch, suspicion.Broken)
+		s := suspicion.New()
+		s.RecordFailure(epoch, suspicion.Broken)
 		now, last := epoch, epoch
 		for range rapid.IntRange(10, 400).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(1, 50).Draw(t, "ms")) * time.Millisecond)
-			if !d.MayProbe(now) {
+			if !s.MayProbe(now) {
 				if now.Sub(last) > 2*time.Second {
 					t.Fatalf("no probe for %s", now.Sub(last))
 				}
@@ -67,8 +67,8 @@
 				t.Fatalf("two probes within %s", now.Sub(last))
 			}
 			last = now
-			d.Probe(now)
-			d.Bad(now, suspicion.Broken)
+			s.ProbeSent(now)
+			s.RecordFailure(now, suspicion.Broken)
 		}
 	})
 }
@@ -76,24 +76,24 @@
 // TestAProbeThatRunsIsCountedOnce counts a probe when it was not broken at once,
 // and not again when its answer comes.
 func TestAProbeThatRunsIsCountedOnce(t *testing.T) {
-	d := suspicion.New()
-	d.Bad(epoch, suspicion.Broken)
+	s := suspicion.New()
+	s.RecordFailure(epoch, suspicion.Broken)
 	now := epoch
 	for range 2 {
-		d.Probe(now)
-		if d.Survived(now.Add(10 * time.Millisecond)) {
+		s.ProbeSent(now)
+		if s.ProbeSurvived(now.Add(10 * time.Millisecond)) {
 			t.Fatal("a probe counts before it has survived")
 		}
 		now = now.Add(50 * time.Millisecond)
-		d.Survived(now)
+		s.ProbeSurvived(now)
 	}
-	d.Good(now, now)
-	d.Good(now, now)
-	if !d.Suspected() {
+	s.RecordGood(now, now)
+	s.RecordGood(now, now)
+	if !s.Suspected() {
 		t.Fatal("two probes were counted as four")
 	}
-	d.Probe(now)
-	if !d.Survived(now.Add(50 * time.Millisecond)) {
+	s.ProbeSent(now)
+	if !s.ProbeSurvived(now.Add(50 * time.Millisecond)) {
 		t.Fatal("the third probe does not end the suspicion")
 	}
 }
@@ -101,13 +101,13 @@
 // TestOnlyBreakingIsOutlived leaves a failure that comes as an answer to the
 // answers: a probe that runs proves nothing of it.
 func TestOnlyBreakingIsOutlived(t *testing.T) {
-	d := suspicion.New()
-	d.Bad(epoch, suspicion.Failed)
-	d.Bad(epoch, suspicion.Failed)
+	s := suspicion.New()
+	s.RecordFailure(epoch, suspicion.Failed)
+	s.RecordFailure(epoch, suspicion.Failed)
 	for i := range 5 {
 		now := epoch.Add(time.Duration(i) * time.Second)
-		d.Probe(now)
-		if d.Survived(now.Add(time.Second)) {
+		s.ProbeSent(now)
+		if s.ProbeSurvived(now.Add(time.Second)) {
 			t.Fatal("trusted without an answer")
 		}
 	}
@@ -116,23 +116,23 @@
 // TestHanging holds that a slow request shows hanging at once, and that a good answer to a
 // later one alone takes it back.
 func TestHanging(t *testing.T) {
-	d := suspicion.New()
-	if d.Hanging(epoch) {
+	s := suspicion.New()
+	if s.Hanging(epoch) {
 		t.Fatal("it hangs without a late request")
 	}
 	began := epoch.Add(time.Second)
-	d.Late(began)
-	d.Good(began.Add(time.Second), began.Add(-time.Millisecond))
+	s.SlowRequest(began)
+	s.RecordGood(began.Add(time.Second), began.Add(-time.Millisecond))
 	now := began.Add(2 * time.Second)
-	if !d.Hanging(now) {
+	if !s.Hanging(now) {
 		t.Fatal("a good answer to an earlier request takes it back")
 	}
-	d.Good(began.Add(2*time.Second), began.Add(time.Millisecond))
-	if d.Hanging(now) {
+	s.RecordGood(began.Add(2*time.Second), began.Add(time.Millisecond))
+	if s.Hanging(now) {
 		t.Fatal("it hangs after a good answer to a later request")
 	}
-	d.Late(began)
-	if d.Hanging(now) {
+	s.SlowRequest(began)
+	if s.Hanging(now) {
 		t.Fatal("an old request that is late at last shows hanging")
 	}
 }
@@ -140,21 +140,21 @@
 // TestWithoutRepeatableRequestsOthersFindOut leaves a service with requests alone
 // that must not run twice.
 func TestWithoutRepeatableRequestsOthersFindOut(t *testing.T) {
-	d := suspicion.New()
-	d.Bad(epoch, suspicion.Broken)
-	if d.MayRisk(epoch.Add(time.Second)) {
+	s := suspicion.New()
+	s.RecordFailure(epoch, suspicion.Broken)
+	if s.MayProbeWithAny(epoch.Add(time.Second)) {
 		t.Fatal("the first second is not for them")
 	}
 	now := epoch
 	for range 3 {
 		now = now.Add(5 * time.Second)
-		if !d.MayRisk(now) {
+		if !s.MayProbeWithAny(now) {
 			t.Fatal("nobody may find out")
 		}
-		d.Probe(now)
-		d.Good(now, now)
+		s.ProbeSent(now)
+		s.RecordGood(now, now)
 	}
-	if d.Suspected() {
+	if s.Suspected() {
 		t.Fatal("three good answers are not enough")
 	}
 }
@@ -162,19 +162,19 @@
 // TestMostlyLate tells a backend server that hangs from one that fails at once.
 func TestMostlyLate(t *testing.T) {
 	hangs := suspicion.New()
-	hangs.BadLate(epoch, suspicion.Overdue)
-	hangs.BadLate(epoch, suspicion.Overdue)
-	if !hangs.Suspected() || !hangs.MostlyLate() {
+	hangs.RecordSlowness(epoch, suspicion.Overdue)
+	hangs.RecordSlowness(epoch, suspicion.Overdue)
+	if !hangs.Suspected() || !hangs.MostlySlow() {
 		t.Fatal("one that hangs twice is taken for one that fails at once")
 	}
-	hangs.Bad(epoch, suspicion.Broken)
-	if hangs.MostlyLate() {
+	hangs.RecordFailure(epoch, suspicion.Broken)
+	if hangs.MostlySlow() {
 		t.Fatal("one that breaks connections as well is taken for one that only hangs")
 	}
 	fails := suspicion.New()
-	fails.Bad(epoch, suspicion.Failed)
-	fails.Bad(epoch, suspicion.Failed)
-	if !fails.Suspected() || fails.MostlyLate() {
+	fails.RecordFailure(epoch, suspicion.Failed)
+	fails.RecordFailure(epoch, suspicion.Failed)
+	if !fails.Suspected() || fails.MostlySlow() {
 		t.Fatal("one that fails at once is taken for one that hangs")
 	}
 }
@@ -182,17 +182,17 @@
 // TestHangingDoesNotLast ends a slow request without a good answer after it: nobody but one
 // that must not run twice may be there to find out.
 func TestHangingDoesNotLast(t *testing.T) {
-	d := suspicion.New()
-	d.Late(epoch)
+	s := suspicion.New()
+	s.SlowRequest(epoch)
 	ended := epoch.Add(3 * time.Second)
-	if !d.Hanging(ended) {
+	if !s.Hanging(ended) {
 		t.Fatal("a request that is late shows nothing")
 	}
-	d.LateEnded(ended, epoch)
-	if !d.Hanging(ended.Add(2 * time.Second)) {
+	s.SlowRequestEnded(ended, epoch)
+	if !s.Hanging(ended.Add(2 * time.Second)) {
 		t.Fatal("it counts for less than it ran")
 	}
-	if d.Hanging(ended.Add(4 * time.Second)) {
+	if s.Hanging(ended.Add(4 * time.Second)) {
 		t.Fatal("it counts for longer than it ran")
 	}
 }
