--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -189,7 +189,7 @@
 // RetryAfter returns when what runs and waits now will have been served.
 func (q *Queue) RetryAfter() time.Duration { return q.wait(q.waiting + 1) }
 
-// HasSlot says whether a request would be granted a slot at once.
+// HasSlot reports whether a request would be granted a slot at once.
 func (q *Queue) HasSlot() bool { return q.running < q.config.Slots && q.waiting == 0 }
 
 // Offer decides on one request.
@@ -214,7 +214,7 @@
 	return Decision{Verdict: Queued}
 }
 
-// missesTarget says whether the request, run from then on, is answered after its latency target if it
+// missesTarget reports whether the request, run from then on, is answered after its latency target if it
 // takes as long as usual.
 func (q *Queue) missesTarget(from time.Time, r Request) bool {
 	usual := r.Usual
@@ -255,10 +255,10 @@
 	return time.Duration(over) * q.serviceTime / time.Duration(moving)
 }
 
-// Stalled takes it that a running request has outlasted nearly all others of its kind.
+// Stalled records that a running request has outlasted nearly all others of its kind.
 func (q *Queue) Stalled() { q.stalled++ }
 
-// Unstalled takes it that one of these has ended.
+// Unstalled records that one of these has ended.
 func (q *Queue) Unstalled() { q.stalled = max(0, q.stalled-1) }
 
 // push adds a request to the line of its priority.
--- a/internal/admission/crowded.go
+++ b/internal/admission/crowded.go
@@ -23,7 +23,7 @@
 // (TestManyCustomersInTimeGoFirst), and is none.
 const roomForOthers = 0.5
 
-// leavesRoom says whether the bucket may take another place: if it has less than
+// leavesRoom reports whether the bucket may take another place: if it has less than
 // its fair part of them, or a place stays free for each other that is active, up to
 // roomForOthers.
 func (q *Queue) leavesRoom(now time.Time, bucket, priority int) bool {
--- a/internal/admission/grant.go
+++ b/internal/admission/grant.go
@@ -64,7 +64,7 @@
 	return q.lines[first]
 }
 
-// isHopeless says whether too little of the usual service time is left before the
+// isHopeless reports whether too little of the usual service time is left before the
 // deadline for the request to be run.
 func (q *Queue) isHopeless(now time.Time, r Request) bool {
 	return now.Add(q.serviceTime / hopelessPart).After(r.Deadline)
--- a/internal/admission/remove.go
+++ b/internal/admission/remove.go
@@ -46,7 +46,7 @@
 	return removed
 }
 
-// Cancel takes a waiting request out and says whether it was waiting.
+// Cancel takes a waiting request out and reports whether it was waiting.
 func (q *Queue) Cancel(id uint64) bool {
 	return len(q.remove(func(r Request) bool { return r.ID == id })) > 0
 }
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -137,7 +137,7 @@
 	return response.Body.Close()
 }
 
-// reusable says whether the connection is fit for another request after a
+// reusable reports whether the connection is fit for another request after a
 // whole answer, and notes for how long.
 func (c *conn) reusable(response *http.Response) bool {
 	if !c.sentWhole() || c.odd || response.Close || c.reader.Buffered() > 0 {
@@ -150,7 +150,7 @@
 // restFrom lets the connection rest for so long.
 func (c *conn) restFrom(now time.Time, rest time.Duration) { c.rest, c.until = rest, now.Add(rest) }
 
-// sentWhole says whether the request was sent to its end.
+// sentWhole reports whether the request was sent to its end.
 func (c *conn) sentWhole() bool {
 	select {
 	case err := <-c.sent:
--- a/internal/backend/ended.go
+++ b/internal/backend/ended.go
@@ -22,7 +22,7 @@
 	freshRest = time.Second
 )
 
-// Ended says whether the backend server has ended, which it is asked right after a connection to it
+// Ended reports whether the backend server has ended, which it is asked right after a connection to it
 // was lost. One that goes on has left another connection open, or takes the next one, which is then
 // kept for a request; one that has ended refuses it. Since a process that ends does not close all at
 // once, the question is put again a moment later, and later is called if the backend server has ended
@@ -40,7 +40,7 @@
 	return refused
 }
 
-// listens says whether a connection is open, be it one that rests or a new one, or whether a new one was
+// listens reports whether a connection is open, be it one that rests or a new one, or whether a new one was
 // refused; neither is known if it took too long.
 func (p *Pool) listens() (open, refused bool) {
 	if p.anyOpen() {
@@ -53,7 +53,7 @@
 	return c != nil, refused
 }
 
-// anyOpen says whether a connection that rests is open still. It spares the backend server a new one: on a
+// anyOpen reports whether a connection that rests is open still. It spares the backend server a new one: on a
 // quiet day with backend servers that break connections there were half as many again without it.
 func (p *Pool) anyOpen() bool {
 	p.mu.Lock()
--- a/internal/backend/quiet.go
+++ b/internal/backend/quiet.go
@@ -7,7 +7,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// quiet says whether an idle connection is open and has nothing to read. Bytes
+// quiet reports whether an idle connection is open and has nothing to read. Bytes
 // that come unasked belong to no request.
 func (c *conn) quiet() bool {
 	tcp, ok := c.socket.(*net.TCPConn)
--- a/internal/body/body.go
+++ b/internal/body/body.go
@@ -132,7 +132,7 @@
 	r.Body = &attemptBody{body: b, attempt: b.attempt}
 }
 
-// Spent says whether the body can no longer be sent from its start.
+// Spent reports whether the body can no longer be sent from its start.
 func (b *Body) Spent() bool {
 	if b == nil {
 		return false
--- a/internal/detect/baseline.go
+++ b/internal/detect/baseline.go
@@ -130,20 +130,20 @@
 // Baseline returns how the others than the one named did at the last Compare.
 func (g *Group) Baseline(name string) Baseline { return g.others[name] }
 
-// Alone reports whether the suspicion of the backend server named is its own.
-func (g *Group) Alone(name string) bool {
+// IsOutlier reports whether the suspicion of the backend server named is its own.
+func (g *Group) IsOutlier(name string) bool {
 	suspected, ok := g.subjects[name]
 	if !ok {
 		return false
 	}
-	since := suspected.Suspected()
+	since := suspected.SuspectedSince()
 	var others []Summary
 	for other, s := range g.subjects {
 		if other != name {
 			others = append(others, s.Summary(since))
 		}
 	}
-	return suspected.Alone(others)
+	return suspected.IsOutlier(others)
 }
 
 // Compare works out for each backend server how the others do. It is called a
--- a/internal/detect/baseline_test.go
+++ b/internal/detect/baseline_test.go
@@ -82,11 +82,11 @@
 			s.Eject(epoch)
 			now := epoch.Add(rules.EjectionTime)
 			for range rules.ProbationPasses - 1 {
-				if s.Try(now, good, others) {
+				if s.ObserveProbation(now, good, others) {
 					t.Fatal("it came back too soon")
 				}
 			}
-			back := s.Try(now, test.saw, others)
+			back := s.ObserveProbation(now, test.saw, others)
 			if back != test.back {
 				t.Fatalf("came back: %t", back)
 			}
--- a/internal/detect/detect.go
+++ b/internal/detect/detect.go
@@ -22,13 +22,13 @@
 //     service's others", whose recent rates are the Baseline. It never falls below zero.
 //  3. Verdict (Subject.Verdict). Sick is whose sum passes Threshold, unless a guard below says
 //     otherwise.
-//  4. Confirmation (Subject.Alone). The sidecar asks all other backend servers of the service
+//  4. Confirmation (Subject.IsOutlier). The sidecar asks all other backend servers of the service
 //     for leases to keep serving, and learns how they do since the suspicion began. More did
 //     well than are suspects themselves, or the cause is taken for one that they share.
 //  5. Ejection (Subject.Eject). With leases from as many others as the floor says (package
 //     floor) it takes no work for EjectionTime, longer if it was ejected of late. Leases are
 //     renewed; if too few are left it returns at once (Subject.Return).
-//  6. Probation (Subject.Try). Then it gets one idempotent request at a time. A failed or slow
+//  6. Probation (Subject.ObserveProbation). Then it gets one idempotent request at a time. A failed or slow
 //     one ejects it again, for twice as long; ProbationPasses good ones in a row return it.
 //  7. Return (Subject.Return, Subject.Share). It begins without evidence, and gets a growing
 //     part of its slots during Ramp. One that answers well while suspected (package suspicion)
--- a/internal/detect/detect_test.go
+++ b/internal/detect/detect_test.go
@@ -101,7 +101,7 @@
 				result.failures[s.server]++
 			}
 		}
-		if !subject.Verdict(s.at).Sick || !group.Alone(names[s.server]) {
+		if !subject.Verdict(s.at).Sick || !group.IsOutlier(names[s.server]) {
 			continue
 		}
 		if s.at.Before(fault) {
--- a/internal/detect/ejection.go
+++ b/internal/detect/ejection.go
@@ -72,9 +72,9 @@
 	return max(0, s.ejection.until.Sub(now))
 }
 
-// Try takes the outcome of a probation request and reports whether the subject has
+// ObserveProbation takes the outcome of a probation request and reports whether the subject has
 // returned. A failure, or a slow answer, ejects it again, for longer.
-func (s *Subject) Try(now time.Time, o Observation, others Baseline) bool {
+func (s *Subject) ObserveProbation(now time.Time, o Observation, others Baseline) bool {
 	if others.known() {
 		s.baseline = others
 	}
--- a/internal/detect/summary.go
+++ b/internal/detect/summary.go
@@ -26,8 +26,8 @@
 	return &s.failure
 }
 
-// Suspected returns since when the subject is under suspicion.
-func (s *Subject) Suspected() time.Time { return s.suspicion().since }
+// SuspectedSince returns since when the subject is under suspicion.
+func (s *Subject) SuspectedSince() time.Time { return s.suspicion().since }
 
 // Summary returns how the subject has done since then.
 func (s *Subject) Summary(since time.Time) Summary {
@@ -45,10 +45,10 @@
 // others was asked anything meanwhile.
 const idleFactor = 2
 
-// Alone reports whether the suspicion is the subject's own: at least one of the
+// IsOutlier reports whether the suspicion is the subject's own: at least one of the
 // others did well meanwhile, more did well than are suspects themselves, and
 // what bad answers they gave would not make the subject's likely.
-func (s *Subject) Alone(others []Summary) bool {
+func (s *Subject) IsOutlier(others []Summary) bool {
 	e := s.suspicion()
 	good, suspect := 0, 0
 	var count, bad float64
--- a/internal/floor/floor.go
+++ b/internal/floor/floor.go
@@ -121,7 +121,7 @@
 	}
 }
 
-// SetUnable says whether the backend server is draining, dead or cold, and so
+// SetUnable reports whether the backend server is draining, dead or cold, and so
 // can grant nothing. Leases granted before stay binding.
 func (l *Ledger) SetUnable(unable bool) { l.unable = unable }
 
@@ -178,7 +178,7 @@
 	return l.release(l.asked)
 }
 
-// bound says whether a lease given still binds.
+// bound reports whether a lease given still binds.
 func (l *Ledger) bound(now time.Time) bool {
 	for asker, g := range l.given {
 		if now.Before(g.until) {
@@ -216,7 +216,7 @@
 	return true
 }
 
-// Keep says whether the backend server may still be ejected. Once it says no,
+// Keep reports whether the backend server may still be ejected. Once it says no,
 // the backend server is back in service.
 func (l *Ledger) Keep(now time.Time, floor int) bool {
 	if !l.ejected {
--- a/internal/framing/framing.go
+++ b/internal/framing/framing.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// Ambiguous says whether the request's length can be read in two ways.
+// Ambiguous reports whether the request's length can be read in two ways.
 func Ambiguous(r *http.Request) bool {
 	if !slices.Contains(r.TransferEncoding, "chunked") {
 		return false // without chunks net/http itself refuses lengths that differ
@@ -125,7 +125,7 @@
 	c.complete = false
 }
 
-// vouches says whether the head is whole, is that of a request of the method,
+// vouches reports whether the head is whole, is that of a request of the method,
 // and has no Content-Length.
 func (c *conn) vouches(method string) bool {
 	c.mu.Lock()
--- a/internal/framing/framing_test.go
+++ b/internal/framing/framing_test.go
@@ -11,7 +11,7 @@
 	"github.com/tideliftd/tidelift/internal/framing"
 )
 
-// serve starts a server that says whether each request is ambiguous.
+// serve starts a server that reports whether each request is ambiguous.
 func serve(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/hop/forward.go
+++ b/internal/hop/forward.go
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// hasBody says whether an answer of that status may have a body.
+// hasBody reports whether an answer of that status may have a body.
 func hasBody(status int) bool {
 	return status != http.StatusNoContent && status != http.StatusNotModified
 }
--- a/internal/ingress/judge.go
+++ b/internal/ingress/judge.go
@@ -169,7 +169,7 @@
 	if !o.seen || subject.State(now) != detect.Probation {
 		return
 	}
-	if subject.Try(now, o.saw, j.group.Baseline(o.target.Name)) {
+	if subject.ObserveProbation(now, o.saw, j.group.Baseline(o.target.Name)) {
 		j.log(event.ServerReturned, o.target, "why", "passed its trial on this path")
 	}
 }
@@ -207,7 +207,7 @@
 		if !ok || subject.State(now) != detect.Serving {
 			continue
 		}
-		if verdict := subject.Verdict(now); verdict.Sick && j.group.Alone(target.Name) {
+		if verdict := subject.Verdict(now); verdict.Sick && j.group.IsOutlier(target.Name) {
 			sick = append(sick, sickTarget{target, subject, verdict})
 		}
 	}
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -70,10 +70,10 @@
 // cut bounds a text.
 func cut(text string) string { return text[:min(len(text), longestText)] }
 
-// Quarantined says whether no backend server is to be sent the request.
+// Quarantined reports whether no backend server is to be sent the request.
 func (r Record) Quarantined() bool { return len(r.Ends) >= Limit }
 
-// Suspected says whether an answer would tell something of the request.
+// Suspected reports whether an answer would tell something of the request.
 func (r Record) Suspected() bool { return len(r.Ends) > 0 }
 
 // Status returns what is believed of the request.
@@ -105,7 +105,7 @@
 	return time.UnixMilli(r.Ends[len(r.Ends)-1].At)
 }
 
-// MayTry says whether the request may be tried once more.
+// MayTry reports whether the request may be tried once more.
 func (r Record) MayTry(now time.Time) bool {
 	return r.Quarantined() && r.Tried == "" && now.Sub(r.LastEnd()) >= TrialAfter
 }
@@ -117,7 +117,7 @@
 	return r
 }
 
-// WasQuarantined says whether the request is quarantined or was in an earlier epoch.
+// WasQuarantined reports whether the request is quarantined or was in an earlier epoch.
 func (r Record) WasQuarantined() bool { return r.Held || r.Quarantined() }
 
 // Merge returns what both records of one request tell together.
@@ -150,7 +150,7 @@
 	return merged[:min(len(merged), Limit)]
 }
 
-// Same says whether both tell the same.
+// Same reports whether both tell the same.
 func (r Record) Same(other Record) bool {
 	return r.Epoch == other.Epoch && r.Tried == other.Tried && r.Held == other.Held && r.Cleared == other.Cleared &&
 		r.Changed == other.Changed && slices.Equal(r.Ends, other.Ends)
--- a/internal/quarantine/simulation_test.go
+++ b/internal/quarantine/simulation_test.go
@@ -149,19 +149,19 @@
 
 func (s *simulation) wall() time.Time { return start.Add(s.now) }
 
-// reaches says whether a daemon can reach the other.
+// reaches reports whether a daemon can reach the other.
 func (s *simulation) reaches(from, to *simulated) bool {
 	return from == to || from.number%s.groups == to.number%s.groups
 }
 
-// storeUp says whether the store answers, storeSteady whether it has for long enough to be relied on.
+// storeUp reports whether the store answers, storeSteady whether it has for long enough to be relied on.
 func (s *simulation) storeUp() bool { return s.now < time.Second || s.now > time.Second+s.outage }
 
 func (s *simulation) storeSteady() bool {
 	return s.outage == 0 || s.now < time.Second || s.now > time.Second+s.outage+knownWithin
 }
 
-// steady says whether the host's daemon has been there for long enough to be relied on.
+// steady reports whether the host's daemon has been there for long enough to be relied on.
 func (s *simulation) steady(h *simulated) bool { return h.began == 0 || s.now > h.began+knownWithin }
 
 // arrive sends a request from any host to a backend server there, or to another one if that ends.
@@ -192,7 +192,7 @@
 	}
 }
 
-// try says whether the host sends a quarantined request once more.
+// try reports whether the host sends a quarantined request once more.
 func (s *simulation) try(id string, h *simulated) bool {
 	record, ok := h.table.Try(s.wall(), id, fmt.Sprint(h.number))
 	stored, known := s.store[id]
@@ -223,7 +223,7 @@
 	})
 }
 
-// answer takes it that a request was answered.
+// answer records that a request was answered.
 func (s *simulation) answer(id string, h *simulated) {
 	if !s.way.clears {
 		return
@@ -233,7 +233,7 @@
 	}
 }
 
-// blame takes it that a backend server ended under the request, which is sent to another if it may.
+// blame records that a backend server ended under the request, which is sent to another if it may.
 func (s *simulation) blame(id string, from, to *simulated, incarnation, left int) {
 	ended := quarantine.End{Server: fmt.Sprintf("server-%d-%d", to.number, incarnation), At: start.Add(to.ended).UnixMilli()}
 	if record, ok := to.table.Ended(s.wall(), quarantine.Sighting{ID: id, Service: "lookup"}, ended); ok {
@@ -341,7 +341,7 @@
 	}
 }
 
-// watched says whether a host that watches the store can reach the host; after some time of hearing nothing
+// watched reports whether a host that watches the store can reach the host; after some time of hearing nothing
 // any host watches itself.
 func (s *simulation) watched(h *simulated) bool {
 	return s.now > watchesAfter || h.number%s.groups < watching
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -15,7 +15,7 @@
 // New returns a table without records.
 func New() *Table { return &Table{records: make(map[string]Record)} }
 
-// Ended takes it that a backend server ended while it ran the request. It returns the record to tell others,
+// Ended records that a backend server ended while it ran the request. It returns the record to tell others,
 // or false if that is known.
 func (t *Table) Ended(now time.Time, s Sighting, end End) (Record, bool) {
 	known, ok := t.records[s.ID]
@@ -28,7 +28,7 @@
 	return t.put(Merge(known, seen))
 }
 
-// Answered takes it that a backend server answered the request. It returns the record to tell others, or
+// Answered records that a backend server answered the request. It returns the record to tell others, or
 // false if nothing was held against it.
 func (t *Table) Answered(now time.Time, id string) (Record, bool) {
 	return t.clear(now, id, EndedAnswered)
@@ -52,7 +52,7 @@
 	return t.put(r)
 }
 
-// Try says whether the host may send a request in quarantine once more, as far as is known here, and
+// Try reports whether the host may send a request in quarantine once more, as far as is known here, and
 // returns the record that says so, which it must first have made known as the only one.
 func (t *Table) Try(now time.Time, id, host string) (Record, bool) {
 	r, ok := t.records[id]
@@ -78,7 +78,7 @@
 	return updates
 }
 
-// put keeps the record and says whether it tells more than the one before.
+// put keeps the record and reports whether it tells more than the one before.
 func (t *Table) put(r Record) (Record, bool) {
 	r = r.settled()
 	if known, ok := t.records[r.ID]; ok && known.Same(r) {
@@ -109,7 +109,7 @@
 	return forgotten
 }
 
-// lapsed says whether the record is no longer needed.
+// lapsed reports whether the record is no longer needed.
 func (r Record) lapsed(now time.Time) bool {
 	unchanged := now.Sub(time.UnixMilli(r.Changed))
 	switch {
--- a/internal/quarantine/view.go
+++ b/internal/quarantine/view.go
@@ -49,10 +49,10 @@
 	return v
 }
 
-// Empty says whether nothing is held against any request.
+// Empty reports whether nothing is held against any request.
 func (v *View) Empty() bool { return len(v.heads) == 0 }
 
-// Mentions says whether something is held against a request with that head, whose body then tells
+// Mentions reports whether something is held against a request with that head, whose body then tells
 // whether it is this one.
 func (v *View) Mentions(head uint64) bool {
 	_, ok := v.heads[head]
@@ -67,7 +67,7 @@
 	return Clear
 }
 
-// MayTry says whether the request may be tried once more, as far as is known here.
+// MayTry reports whether the request may be tried once more, as far as is known here.
 func (v *View) MayTry(now time.Time, id string) bool {
 	from, ok := v.triable[id]
 	return ok && !now.Before(from)
--- a/internal/quarantinesync/quarantinesync.go
+++ b/internal/quarantinesync/quarantinesync.go
@@ -70,7 +70,7 @@
 	// tells a few others, each of which tells a few in turn.
 	Tell   func(service string, records []quarantine.Record)
 	Spread func(records []quarantine.Record)
-	// Watches says whether it is this daemon's part to watch the store.
+	// Watches reports whether it is this daemon's part to watch the store.
 	Watches func() bool
 	// Logger receives numbered events.
 	Logger *slog.Logger
@@ -176,7 +176,7 @@
 	return quarantine.Record{}, false
 }
 
-// Quiet says whether nothing is held against any request.
+// Quiet reports whether nothing is held against any request.
 func (k *Syncer) Quiet() bool { return k.view.Load().Empty() }
 
 // Status returns what is believed of the request and, if that is something, its id.
@@ -192,7 +192,7 @@
 	return view.Of(id), id
 }
 
-// Ended takes it that a backend server of the service ended while it ran the request. What this daemon
+// Ended records that a backend server of the service ended while it ran the request. What this daemon
 // believes of the request has changed when it returns.
 func (k *Syncer) Ended(r fingerprint.Request, service string, end quarantine.End) {
 	id, err := r.Digest()
@@ -211,7 +211,7 @@
 	}
 }
 
-// Answered takes it that a backend server answered the request.
+// Answered records that a backend server answered the request.
 func (k *Syncer) Answered(r fingerprint.Request) {
 	if status, id := k.Status(r); status != quarantine.Clear {
 		k.send(context.Background(), answeredMessage{id: id})
--- a/internal/quarantinesync/trial.go
+++ b/internal/quarantinesync/trial.go
@@ -14,10 +14,10 @@
 // two calls of the store of a few milliseconds each.
 const tryWithin = 250 * time.Millisecond
 
-// MayTry says whether the request in quarantine may be tried once more, as far as is known here.
+// MayTry reports whether the request in quarantine may be tried once more, as far as is known here.
 func (k *Syncer) MayTry(id string) bool { return k.view.Load().MayTry(time.Now(), id) }
 
-// Try says whether this daemon may send the request in quarantine once more. Of all daemons one may, once:
+// Try reports whether this daemon may send the request in quarantine once more. Of all daemons one may, once:
 // whoever writes so into the store first. Without the store nobody may.
 func (k *Syncer) Try(ctx context.Context, id string) bool {
 	if !k.MayTry(id) {
--- a/internal/quarantinesync/write.go
+++ b/internal/quarantinesync/write.go
@@ -281,7 +281,7 @@
 	return id, nil
 }
 
-// drop takes it that the lease has ended.
+// drop records that the lease has ended.
 func (l *lease) drop() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/runs/runs.go
+++ b/internal/runs/runs.go
@@ -60,7 +60,7 @@
 // New returns a table without runs.
 func New() *Table { return &Table{young: make(map[string]Run)} }
 
-// Begin takes it that a backend server is sent the request. One without an id is not
+// Begin records that a backend server is sent the request. One without an id is not
 // remembered.
 func (t *Table) Begin(now time.Time, run Run) {
 	if run.ID == "" {
--- a/internal/sidecar/admit.go
+++ b/internal/sidecar/admit.go
@@ -20,13 +20,13 @@
 		return
 	}
 	if decision.Verdict == admission.Granted {
-		t.trying = t.trying || decision.Probation
-		t.began(now)
+		t.probationRuns = t.probationRuns || decision.Probation
+		t.slotGiven(now)
 		m.reply <- grant{probation: decision.Probation}
 		return
 	}
 	if decision.Verdict == admission.RefusedSuspected {
-		t.turnedAway[m.host] = true
+		t.refusedHosts[m.host] = true
 	}
 	m.reply <- refused(codeOf(decision.Verdict), decision.RetryAfter)
 }
@@ -37,14 +37,14 @@
 		return admission.Server{Draining: true}
 	}
 	s := admission.Server{State: detect.Serving}
-	t.noteSurvived(now)
+	t.countSurvivedProbe(now)
 	switch {
 	case t.suspicion.Suspected():
 		s.Suspicion = t.suspicionNow(now)
 	case t.isEjected(now):
 		s.State = t.subject.State(now)
 		s.EjectedFor = t.subject.EjectedFor(now)
-		s.ProbationRuns = t.trying
+		s.ProbationRuns = t.probationRuns
 	}
 	s.Hanging = m.request.RefuseIfHanging && t.suspicion.Hanging(now)
 	s.RetryLeft = m.request.Retry && t.config.Retries.MayRun(now, t.declared.Service.Name)
--- a/internal/sidecar/draining.go
+++ b/internal/sidecar/draining.go
@@ -6,17 +6,17 @@
 	"github.com/tideliftd/tidelift/internal/event"
 )
 
-// selfDrainFor is how long a backend server's own word that it is draining
-// counts.
+// selfDrainFor is how long an answer that says that the backend server is draining counts. Not
+// measured: then it gets a request again, whose answer says whether it still is.
 const selfDrainFor = 10 * time.Second
 
-// isDraining says whether the backend server takes no new work because it is
-// draining, by an operator's word, its own or the platform's list.
+// isDraining reports whether the backend server takes no new work because it is
+// draining: by an operator, its own answer or the platform's list.
 func (t *task) isDraining(now time.Time) bool {
 	return t.draining || t.hostDraining || now.Before(t.selfDrainUntil)
 }
 
-// applyHostList takes what the platform's list says of the host.
+// applyHostList records whether the platform's list has the host as draining.
 func (t *task) applyHostList(now time.Time, draining bool) {
 	before := t.isDraining(now)
 	t.hostDraining = draining
@@ -28,8 +28,8 @@
 	}
 }
 
-// selfDrain takes the backend server's own word. It counts for a while, since
-// one that gets no work cannot take it back; then the next answer tells.
+// selfDrain records that the backend server's answer says that it is draining. That counts for
+// selfDrainFor, since one that gets no work cannot take it back; then the next answer decides.
 func (t *task) selfDrain(now time.Time) {
 	if !t.isDraining(now) {
 		t.log(event.ServerDraining, "why", "its own word")
@@ -37,7 +37,8 @@
 	t.selfDrainUntil = now.Add(selfDrainFor)
 }
 
-// drain takes an operator's word, which goes before the backend server's own.
+// drain sets whether the backend server is draining, for an operator. That goes before what its
+// own answers say.
 func (t *task) drain(draining bool) {
 	t.draining = draining
 	t.selfDrainUntil = time.Time{}
--- a/internal/sidecar/eject.go
+++ b/internal/sidecar/eject.go
@@ -14,16 +14,18 @@
 )
 
 const (
-	// askAgain is the least pause between two tries to be ejected; a random
-	// part as long again is added, so that two do not keep in step.
-	askAgain = 300 * time.Millisecond
-	// askAgainSuspected is the pause while the backend server is suspected. Being
-	// asked last spares its callers already; each try costs a call to every other
-	// backend server of the service.
-	askAgainSuspected = 5 * time.Second
+	// tryAgainAfter is the least pause between two tries to be ejected; a random part as long
+	// again is added, so that two do not keep in step. Not measured: a lease that another holds
+	// runs out within two seconds.
+	tryAgainAfter = 300 * time.Millisecond
+	// tryAgainSuspected is the pause while the backend server is suspected. Being asked last
+	// spares its callers already; each try costs a call to every other backend server of the
+	// service. Source: a pause that doubles in place of it made no difference beyond the error
+	// (docs/design/0010-hanging.md).
+	tryAgainSuspected = 5 * time.Second
 )
 
-// isEjected says whether the backend server is ejected now. Leases that ran out,
+// isEjected reports whether the backend server is ejected now. Leases that ran out,
 // be it while this process stood still, end that at once.
 func (t *task) isEjected(now time.Time) bool {
 	if t.subject.State(now) == detect.Serving {
@@ -33,7 +35,7 @@
 		return true
 	}
 	t.subject.Return(now)
-	t.comeBack("the floor needs it")
+	t.backInService("the floor needs it")
 	return false
 }
 
@@ -50,11 +52,11 @@
 	verdict := t.subject.Verdict(now)
 	if !verdict.Sick {
 		t.stopAsking()
-		t.asking.held = ""
+		t.ejecting.keptBy = ""
 		return
 	}
 	if adoption == fleet.AdoptionObserve {
-		t.noteHeld("observe only: it would be ejected if the floor allowed it", verdict)
+		t.recordFloorHeld("observe only: it would be ejected if the floor allowed it", verdict)
 		return
 	}
 	t.tryEject(now, verdict)
@@ -68,30 +70,30 @@
 		return
 	}
 	t.subject.Return(now)
-	t.comeBack("the service is not steered here any more")
+	t.backInService("the service is not steered here any more")
 }
 
 // tryEject asks every other backend server of the service for a lease.
 func (t *task) tryEject(now time.Time, verdict detect.Verdict) {
-	if t.asking.open || t.isDraining(now) || now.Before(t.asking.notBefore) {
+	if t.ejecting.open || t.isDraining(now) || now.Before(t.ejecting.notBefore) {
 		return
 	}
 	if len(t.declared.others) < t.declared.Service.Floor {
-		t.noteHeld("the floor needs every backend server", verdict)
+		t.recordFloorHeld("the floor needs every backend server", verdict)
 		return
 	}
 	if !t.ledger.Begin(now, verdict.Severity) {
-		t.noteHeld("it granted others leases to keep serving, or has just started", verdict)
+		t.recordFloorHeld("it granted others leases to keep serving, or has just started", verdict)
 		return
 	}
-	t.asking.open = true
-	clear(t.asking.summaries)
+	t.ejecting.open = true
+	clear(t.ejecting.summaries)
 	t.askOthers(now, t.declared.others)
 }
 
 // renew asks again for the leases that are needed to stay ejected.
 func (t *task) renew(now time.Time) {
-	if now.Sub(t.asking.renewed) < floor.RenewEvery {
+	if now.Sub(t.ejecting.askedAt) < floor.RenewEvery {
 		return
 	}
 	holding := make(map[string]bool)
@@ -100,80 +102,80 @@
 	}
 	var needed []fleet.Placement
 	for _, other := range t.declared.others {
-		if t.asking.widen || holding[other.BackendServer.Name] {
+		if t.ejecting.askAll || holding[other.BackendServer.Name] {
 			needed = append(needed, other)
 		}
 	}
-	t.asking.widen = false
+	t.ejecting.askAll = false
 	t.askOthers(now, needed)
 }
 
-// alone says whether the suspicion is the backend server's own, by how those
-// who answered do themselves.
-func (t *task) alone() bool {
-	return t.subject.Alone(slices.Collect(maps.Values(t.asking.summaries)))
+// isOutlier reports whether the backend server does worse than the others, by how those who
+// answered do themselves.
+func (t *task) isOutlier() bool {
+	return t.subject.IsOutlier(slices.Collect(maps.Values(t.ejecting.summaries)))
 }
 
 // tryEnter ejects the backend server if the leases are enough, or ends the try once
 // all have answered.
 func (t *task) tryEnter(now time.Time) {
 	verdict := t.subject.Verdict(now)
-	verdict.Sick = verdict.Sick && t.alone()
+	verdict.Sick = verdict.Sick && t.isOutlier()
 	if verdict.Sick && t.ledger.Enter(now, t.declared.Service.Floor) {
-		t.asking.open = false
-		t.asking.held = ""
+		t.ejecting.open = false
+		t.ejecting.keptBy = ""
 		t.subject.Eject(now)
 		t.log(event.ServerEjected, "cause", verdict.Cause, "severity", verdict.Severity)
 		t.trim(now)
 		return
 	}
-	if len(t.asking.pending) > 0 {
+	if len(t.ejecting.pending) > 0 {
 		return
 	}
-	pause := askAgain
+	pause := tryAgainAfter
 	if t.suspicion.Suspected() {
-		pause = askAgainSuspected
+		pause = tryAgainSuspected
 	}
-	t.asking.notBefore = now.Add(pause + rand.N(pause))
-	held := fmt.Sprintf("%d leases to keep serving, floor %d", len(t.ledger.Holding(now)), t.declared.Service.Floor)
+	t.ejecting.notBefore = now.Add(pause + rand.N(pause))
+	kept := fmt.Sprintf("%d leases to keep serving, floor %d", len(t.ledger.Holding(now)), t.declared.Service.Floor)
 	t.stopAsking()
 	if verdict.Sick {
-		t.noteHeld(held, verdict)
+		t.recordFloorHeld(kept, verdict)
 	}
 }
 
 // stopAsking ends a try that has not come to its end.
 func (t *task) stopAsking() {
-	if !t.asking.open {
+	if !t.ejecting.open {
 		return
 	}
-	t.asking.open = false
+	t.ejecting.open = false
 	t.giveBack(t.ledger.Leave())
 }
 
-// comeBack puts the backend server back in service.
-func (t *task) comeBack(why string) {
+// backInService gives the leases back and logs why the backend server is in service again.
+func (t *task) backInService(why string) {
 	t.giveBack(t.ledger.Leave())
 	t.log(event.ServerReturned, "why", why)
 }
 
-// noteHeld records, and logs once, that the floor keeps a sick backend server
+// recordFloorHeld records, and logs once, that the floor keeps a sick backend server
 // in service.
-func (t *task) noteHeld(why string, verdict detect.Verdict) {
-	if t.asking.held == "" {
+func (t *task) recordFloorHeld(why string, verdict detect.Verdict) {
+	if t.ejecting.keptBy == "" {
 		t.log(event.FloorHeld, "why", why, "cause", verdict.Cause)
 	}
-	t.asking.held = why
+	t.ejecting.keptBy = why
 }
 
-// floorSays returns what the floor allowed, for operators.
-func (t *task) floorSays(now time.Time) string {
+// describeFloor returns what the floor allowed, for operators.
+func (t *task) describeFloor(now time.Time) string {
 	need := t.declared.Service.Floor
 	if t.subject.State(now) != detect.Serving {
 		return fmt.Sprintf("floor %d: ejected with %d leases of others to serve", need, len(t.ledger.Holding(now)))
 	}
-	if t.asking.held != "" {
-		return fmt.Sprintf("floor %d: kept in service: %s", need, t.asking.held)
+	if t.ejecting.keptBy != "" {
+		return fmt.Sprintf("floor %d: kept in service: %s", need, t.ejecting.keptBy)
 	}
 	return fmt.Sprintf("floor %d", need)
 }
--- a/internal/sidecar/ends.go
+++ b/internal/sidecar/ends.go
@@ -30,56 +30,56 @@
 // It is asked before the request waits for a slot, so that it is refused at once, and again when it
 // has one, which is when it may be the one that is tried once more.
 func (s *Sidecar) mayRun(ctx context.Context, call hop.Call, in *http.Request, hasSlot bool) error {
-	k := s.config.Quarantine
-	if k == nil || k.Quiet() {
+	q := s.config.Quarantine
+	if q == nil || q.Quiet() {
 		return nil
 	}
-	status, id := k.Status(s.fingerprintOf(in, call.Body.First))
-	if status != quarantine.Quarantined || !hasSlot && k.MayTry(id) || hasSlot && k.Try(ctx, id) {
+	status, id := q.Status(s.fingerprintOf(in, call.Body.First))
+	if status != quarantine.Quarantined || !hasSlot && q.MayTry(id) || hasSlot && q.Try(ctx, id) {
 		return nil
 	}
 	return result.New(result.Quarantined).WithDetail("fingerprint %s", id)
 }
 
-// noteAnswered takes it that a backend server has answered the request, which clears it of what may be
-// held against it.
-func (s *Sidecar) noteAnswered(server *server, call hop.Call, in *http.Request) {
-	server.noteAlive()
-	if k := s.config.Quarantine; k != nil && !k.Quiet() {
-		k.Answered(s.fingerprintOf(in, call.Body.Known))
+// recordAnswered records that the backend server is alive and has answered the request, which ends a
+// suspicion or quarantine of that request.
+func (s *Sidecar) recordAnswered(server *server, call hop.Call, in *http.Request) {
+	server.recordAlive()
+	if q := s.config.Quarantine; q != nil && !q.Quiet() {
+		q.Answered(s.fingerprintOf(in, call.Body.Known))
 	}
 }
 
-// noteLost takes it that a request failed, and finds out whether that is since its backend server has
-// ended. The sidecar is the nearest observer: to all others a connection that is cut, or a host
-// that is lost, looks the same.
-func (s *Sidecar) noteLost(server *server, failure *result.Error, call hop.Call, in *http.Request, began time.Time) {
+// recordLost looks whether a request failed because its backend server has ended, and reports that.
+// Only the sidecar can tell: to everyone else a connection that is cut, or a host that is lost,
+// looks the same.
+func (s *Sidecar) recordLost(server *server, failure *result.Error, call hop.Call, in *http.Request, began time.Time) {
 	if failure.Code.Number != result.ConnectionLost.Number || server.isDraining() {
 		return
 	}
 	took := time.Since(began)
 	request := s.fingerprintOf(in, call.Body.Known)
-	note := func() { s.noteEnded(server, request, s.headers.Load().id(in.Header), took) }
-	if server.pool.Ended(note) {
-		note()
+	report := func() { s.reportEnded(server, request, s.headers.Load().id(in.Header), took) }
+	if server.pool.Ended(report) {
+		report()
 	}
 }
 
-// noteEnded takes it that a backend server has ended while it ran the request.
-func (s *Sidecar) noteEnded(server *server, request fingerprint.Request, id string, took time.Duration) {
+// reportEnded counts, logs and passes on that a backend server has ended while it ran the request.
+func (s *Sidecar) reportEnded(server *server, request fingerprint.Request, id string, took time.Duration) {
 	s.ends.Inc(1)
 	declared := server.declared.Load()
 	event.Log(s.config.Logger, event.ServerEnded, "backend_server", declared.BackendServer.Name, "service", declared.Service.Name,
 		"request", id, "host", request.Host, "path", request.Path, "took_ms", took.Milliseconds())
 	if s.config.Quarantine != nil {
-		end := quarantine.End{Server: declared.BackendServer.Name, At: server.noteEnd(time.Now())}
+		end := quarantine.End{Server: declared.BackendServer.Name, At: server.recordEnd(time.Now())}
 		s.config.Quarantine.Ended(request, declared.Service.Name, end)
 	}
 }
 
-// noteEnd takes it that the backend server has ended, and returns when, in Unix milliseconds: the same for all
+// recordEnd records that the backend server has ended, and returns when, in Unix milliseconds: the same for all
 // requests that ran, until it answers again.
-func (s *server) noteEnd(now time.Time) int64 {
+func (s *server) recordEnd(now time.Time) int64 {
 	at := now.UnixMilli()
 	if s.endedAt.CompareAndSwap(0, at) {
 		return at
@@ -90,8 +90,8 @@
 	return at
 }
 
-// noteAlive takes it that the backend server answers.
-func (s *server) noteAlive() {
+// recordAlive records that the backend server has answered since it was seen to end.
+func (s *server) recordAlive() {
 	if s.endedAt.Load() != 0 {
 		s.endedAt.Store(0)
 	}
--- a/internal/sidecar/exchange.go
+++ b/internal/sidecar/exchange.go
@@ -14,7 +14,7 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// headers says what the headers of requests and answers mean.
+// headers are the names of the headers of requests and answers.
 type headers struct {
 	fleet.Callers
 	fleet.Answers
@@ -43,7 +43,7 @@
 	return response, nil
 }
 
-// address says whom the request is for and where it began.
+// address sets the headers that name the backend server and the service where the request began.
 func (h *headers) address(out http.Header, call hop.Call) {
 	if h.TargetHeader != "" {
 		out.Set(h.TargetHeader, call.BackendServer)
@@ -61,7 +61,7 @@
 	return header.Get(h.IDHeader)
 }
 
-// belongs says whether the answer is to the request, by the id that a backend
+// belongs reports whether the answer is to the request, by the id that a backend
 // server echoes.
 func (h *headers) belongs(response *http.Response, in *http.Request) bool {
 	if h.IDHeader == "" {
@@ -108,8 +108,8 @@
 	return nil
 }
 
-// promisesNotRun says whether a caller takes the status for a promise that the
-// request was not run.
+// promisesNotRun reports whether a caller reads the status as a promise that the request was
+// not run.
 func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
--- a/internal/sidecar/lease.go
+++ b/internal/sidecar/lease.go
@@ -9,44 +9,45 @@
 	"github.com/tideliftd/tidelift/internal/floor"
 )
 
-// askTimeout bounds one call for a lease.
+// askTimeout bounds one call for a lease. Not measured: a lease of two seconds is renewed twice a
+// second, so that the next call is made before the next one is due (floor.RenewEvery).
 const askTimeout = 400 * time.Millisecond
 
-// asking is how far a try to be ejected has come.
-type asking struct {
-	// open says that a try is under way.
-	open bool
-	// pending are the requests that have not been answered.
+// ejecting is the state of asking the other backend servers of the service for leases, first to
+// be ejected and then to stay so.
+type ejecting struct {
+	// open says that a try to be ejected is under way; notBefore is when the next may begin.
+	open      bool
+	notBefore time.Time
+	// pending are the numbers of the requests for leases that have not been answered.
 	pending map[uint64]bool
-	// summaries are how those who answered do themselves.
+	// summaries are how those who answered do themselves, by their names.
 	summaries map[string]detect.Summary
-	// notBefore is when the next try may begin.
-	notBefore time.Time
-	// renewed is when leases were last asked for.
-	renewed time.Time
-	// widen says that one who granted a lease no longer does, so that all are asked.
-	widen bool
-	// held says that the floor refused the last try, and why.
-	held string
+	// askedAt is when leases were last asked for.
+	askedAt time.Time
+	// askAll says that a holder's lease was refused, so that the next renewal asks all.
+	askAll bool
+	// keptBy says why the floor keeps a sick backend server in service; empty if it does not.
+	keptBy string
 }
 
-func newAsking() asking {
-	return asking{pending: make(map[uint64]bool), summaries: make(map[string]detect.Summary)}
+func newEjecting() ejecting {
+	return ejecting{pending: make(map[uint64]bool), summaries: make(map[string]detect.Summary)}
 }
 
 // askOthers asks backend servers of the service for leases.
 func (t *task) askOthers(now time.Time, others []fleet.Placement) {
-	t.asking.renewed = now
-	clear(t.asking.pending)
+	t.ejecting.askedAt = now
+	clear(t.ejecting.pending)
 	for _, other := range others {
 		request := t.ledger.Ask(other.BackendServer.Name)
-		request.SuspectedFor = now.Sub(t.subject.Suspected()).Milliseconds()
-		t.asking.pending[request.Number] = true
+		request.SuspectedFor = now.Sub(t.subject.SuspectedSince()).Milliseconds()
+		t.ejecting.pending[request.Number] = true
 		go t.askOne(other, request, now)
 	}
 }
 
-// askOne runs beside the task and gives it the answer as a message.
+// askOne runs in a goroutine of its own and sends the task the answer.
 func (t *task) askOne(other fleet.Placement, request floor.Request, asked time.Time) {
 	ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
 	defer cancel()
@@ -62,18 +63,18 @@
 	})
 }
 
-// takeLease takes the answer to a request and ejects the backend server once the
+// recordLease records the answer to a request for a lease and ejects the backend server once the
 // leases are enough.
-func (t *task) takeLease(now time.Time, m leaseMessage) {
-	delete(t.asking.pending, m.number)
-	t.asking.summaries[m.from] = m.lease.Summary
+func (t *task) recordLease(now time.Time, m leaseMessage) {
+	delete(t.ejecting.pending, m.number)
+	t.ejecting.summaries[m.from] = m.lease.Summary
 	if m.lease.Refusal == floor.Granted {
 		t.ledger.Hold(m.number, m.from, m.asked)
 	} else {
 		t.ledger.Lose(m.number, m.from)
-		t.asking.widen = true
+		t.ejecting.askAll = true
 	}
-	if t.asking.open {
+	if t.ejecting.open {
 		t.tryEnter(now)
 		return
 	}
@@ -83,7 +84,7 @@
 // trim gives back the leases beyond what the floor needs, those of suspects
 // first.
 func (t *task) trim(now time.Time) {
-	healthy := func(name string) bool { return !t.asking.summaries[name].Suspect }
+	healthy := func(name string) bool { return !t.ejecting.summaries[name].Suspect }
 	t.giveBack(t.ledger.Trim(now, t.declared.Service.Floor, healthy))
 }
 
@@ -96,11 +97,11 @@
 	}
 }
 
-// releaseOne runs beside the task.
+// releaseOne runs in a goroutine of its own.
 func (t *task) releaseOne(other fleet.Placement, release floor.Release) {
 	ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
 	defer cancel()
-	_ = t.config.Peer.Release(ctx, other, release) // one that is lost runs out by itself
+	_ = t.config.Peer.Release(ctx, other, release) // a lease that is not released runs out by itself
 }
 
 // answer answers another backend server that asks for a lease.
--- a/internal/sidecar/messages.go
+++ b/internal/sidecar/messages.go
@@ -78,11 +78,11 @@
 		ended bool
 	}
 	releaseMessage struct {
-		took      time.Duration
-		probation bool
-		seen      bool
-		saw       detect.Observation
-		others    detect.Baseline
+		took        time.Duration
+		probation   bool
+		isEvidence  bool
+		observation detect.Observation
+		others      detect.Baseline
 	}
 	cancelMessage struct {
 		request admission.Request
--- a/internal/sidecar/report.go
+++ b/internal/sidecar/report.go
@@ -17,7 +17,7 @@
 		Running:       t.queue.Running(),
 		Waiting:       t.queue.Waiting(),
 		Load:          t.queue.Load(),
-		Floor:         t.floorSays(now),
+		Floor:         t.describeFloor(now),
 		Detection:     t.subject.Explain(now),
 	}
 }
--- a/internal/sidecar/runs.go
+++ b/internal/sidecar/runs.go
@@ -21,9 +21,9 @@
 	return sendings{first: counter("first"), repeat: counter("repeat")}
 }
 
-// begin takes it that the request is sent to the backend server now, and returns what is done at
-// the end of its run. A retry is refused if the retries that its calls will be are neither left nor
-// lent.
+// begin records that the request is sent to the backend server now and returns the function to call
+// when its run ends. A retry is refused if the retries for the calls that it will make are neither left
+// nor lent.
 func (s *Sidecar) begin(ctx context.Context, server *server, call hop.Call, id string) (end func(), err error) {
 	run := runs.Run{ID: id, Service: server.declared.Load().Service.Name, Retry: call.Retry}
 	borrowed, ok := s.borrowFor(ctx, run)
@@ -36,8 +36,8 @@
 	return func() { s.config.Retries.Finish(time.Now(), run) }, nil
 }
 
-// borrowFor borrows what is missing for the calls of a retry, and says false if others do not have
-// it.
+// borrowFor borrows the retries that are missing for the calls of a retry and returns the services they
+// are of, and false if no other host lends them.
 func (s *Sidecar) borrowFor(ctx context.Context, run runs.Run) (borrowed []string, ok bool) {
 	if !run.Retry || s.config.BorrowRetry == nil {
 		return nil, true
@@ -51,7 +51,7 @@
 	return borrowed, true
 }
 
-// count counts what is sent for the run.
+// count counts the sending.
 func (c sendings) count(run runs.Run) {
 	if run.Retry {
 		c.repeat.Inc(1)
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -50,7 +50,7 @@
 
 func (s *server) load() float64 { return math.Float64frombits(s.loadBits.Load()) }
 
-// isDraining says whether the backend server takes no new work because it is draining or has been
+// isDraining reports whether the backend server takes no new work because it is draining or has been
 // replaced, so that its end is no surprise.
 func (s *server) isDraining() bool {
 	select {
@@ -61,7 +61,7 @@
 	}
 }
 
-// send gives the task a message; it says false if the task has ended.
+// send sends the task a message and returns false if the task has ended.
 func (s *server) send(message any) bool {
 	select {
 	case s.mailbox <- message:
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -77,7 +77,7 @@
 	Logger *slog.Logger
 	// Scope receives the metrics.
 	Scope tally.Scope
-	// Answered is told of each answer of a backend server of this host, whether it is a
+	// Answered is reported of each answer of a backend server of this host, whether it is a
 	// good one or says that it failed; nil if nobody is told.
 	Answered func(good bool)
 	// Runs learns what the backend servers of this host run; nil keeps it to the sidecar.
@@ -177,7 +177,7 @@
 // Stop refuses new work from now on. What runs or waits is finished.
 func (s *Sidecar) Stop() { s.stopping.Store(true) }
 
-// Drain says whether a backend server is draining. A draining one finishes what
+// Drain sets whether a backend server is draining. A draining one finishes what
 // it runs and gets nothing new.
 func (s *Sidecar) Drain(name string, draining bool) error {
 	server, err := s.server(name)
@@ -188,7 +188,7 @@
 	return nil
 }
 
-// HostDraining takes what the platform's list says of the host.
+// HostDraining records whether the platform's list has the host as draining.
 func (s *Sidecar) HostDraining(draining bool) {
 	for _, server := range *s.servers.Load() {
 		server.send(hostListMessage{draining: draining})
@@ -241,14 +241,14 @@
 	response, err := s.exchange(ctx, server, call, in, began) //nolint:bodyclose // the answer carries the body to who closes it
 	if err != nil {
 		slot.failed(result.From(err))
-		s.noteLost(server, result.From(err), call, in, began)
+		s.recordLost(server, result.From(err), call, in, began)
 		slot.release()
 		end()
 		return Answer{}, err
 	}
 	slot.answered(response)
-	s.tellAnswered(response)
-	s.noteAnswered(server, call, in)
+	s.reportAnswered(response)
+	s.recordAnswered(server, call, in)
 	response.Body = hop.OnClose(response.Body, func() {
 		slot.release()
 		end()
@@ -256,8 +256,8 @@
 	return Answer{Response: response, Load: server.load(), Waited: slot.waited}, nil
 }
 
-// tellAnswered tells whoever wants to know how a backend server of this host answered.
-func (s *Sidecar) tellAnswered(response *http.Response) {
+// reportAnswered calls Config.Answered.
+func (s *Sidecar) reportAnswered(response *http.Response) {
 	if s.config.Answered != nil {
 		s.config.Answered(response.StatusCode < http.StatusInternalServerError)
 	}
--- a/internal/sidecar/slot.go
+++ b/internal/sidecar/slot.go
@@ -10,22 +10,23 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// slot is the right to run one request, and the observer of how it went. It is
-// used by one goroutine, but for the overdue timer.
+// slot is the right to run one request, and observes how it went. It is used by one goroutine,
+// but for the overdue timer.
 type slot struct {
-	server    *server
-	probation bool
-	others    detect.Baseline
-	target    time.Duration // of the request's route; zero if it is not known
-	slowAfter time.Duration // how long it runs before it has outlasted nearly all of its route; zero if that is not known
-	granted   time.Time
-	waited    time.Duration // until it was granted
-	started   time.Time     // zero until the request is sent
-	overdue   *time.Timer
-	watch     slowWatch
-	late      atomic.Bool
-	seen      bool
-	saw       detect.Observation
+	server     *server
+	probation  bool
+	others     detect.Baseline
+	target     time.Duration // of the request's route; zero if it is not known
+	slowAfter  time.Duration // how long it runs before it has outlasted nearly all of its route; zero if that is not known
+	granted    time.Time
+	waited     time.Duration // until it was granted
+	started    time.Time     // zero until the request is sent
+	overdue    *time.Timer
+	watch      slowWatch
+	wasOverdue atomic.Bool
+	// isEvidence says that the observation says something of the backend server.
+	isEvidence  bool
+	observation detect.Observation
 }
 
 // begin starts the clock of the request, and of its being overdue.
@@ -42,41 +43,41 @@
 }
 
 func (s *slot) reportOverdue() {
-	s.late.Store(true)
+	s.wasOverdue.Store(true)
 	s.server.send(observeMessage{observation: detect.Observation{Outcome: detect.Overdue}, others: s.others})
 }
 
-// answered takes the head of the answer as evidence.
+// answered observes the head of the answer.
 func (s *slot) answered(response *http.Response) {
-	s.saw.Outcome, s.seen = detect.FromAnswer(response)
+	s.observation.Outcome, s.isEvidence = detect.FromAnswer(response)
 	s.stopClock()
 	if response.Header.Get(s.server.declared.Load().Service.DrainingHeader) != "" {
 		s.server.send(selfDrainMessage{})
 	}
 }
 
-// failed takes a failure as evidence.
+// failed observes a failure.
 func (s *slot) failed(failure *result.Error) {
-	s.saw.Outcome, s.seen = detect.FromResult(failure.Code)
+	s.observation.Outcome, s.isEvidence = detect.FromResult(failure.Code)
 	if failure.Code.Number == result.CallerGone.Number && s.isSlow() {
-		s.saw.Outcome, s.seen = detect.TimedOut, true // whoever asked did not wait for longer than others have to
+		s.observation.Outcome, s.isEvidence = detect.TimedOut, true // whoever asked did not wait for longer than others have to
 	}
 	s.stopClock()
 }
 
-// isSlow says whether the request has outlasted nearly all others of its route.
+// isSlow reports whether the request has outlasted nearly all others of its route.
 func (s *slot) isSlow() bool { return s.slowAfter > 0 && time.Since(s.started) >= s.slowAfter }
 
 func (s *slot) stopClock() {
-	s.saw.Took = time.Since(s.started)
+	s.observation.Took = time.Since(s.started)
 	if s.overdue != nil {
 		s.overdue.Stop()
 	}
 	s.watch.end()
-	s.saw.WasOverdue = s.late.Load()
-	s.saw.PastTarget = s.target > 0 && s.saw.Took > s.target
-	if s.seen && !s.probation {
-		s.server.send(observeMessage{observation: s.saw, others: s.others})
+	s.observation.WasOverdue = s.wasOverdue.Load()
+	s.observation.PastTarget = s.target > 0 && s.observation.Took > s.target
+	if s.isEvidence && !s.probation {
+		s.server.send(observeMessage{observation: s.observation, others: s.others})
 	}
 }
 
@@ -87,5 +88,5 @@
 		took = time.Since(s.started)
 	}
 	s.server.slotTime.add(s.use(), time.Since(s.granted))
-	s.server.send(releaseMessage{took: took, probation: s.probation, seen: s.seen, saw: s.saw, others: s.others})
+	s.server.send(releaseMessage{took: took, probation: s.probation, isEvidence: s.isEvidence, observation: s.observation, others: s.others})
 }
--- a/internal/sidecar/slots.go
+++ b/internal/sidecar/slots.go
@@ -21,22 +21,22 @@
 // shows whether the backend server has recovered.
 func (t *task) release(now time.Time, m releaseMessage) {
 	granted, late := t.queue.Done(now, m.took)
-	t.settle(now, granted, late)
+	t.answerWaiting(now, granted, late)
 	if !m.probation {
 		return
 	}
-	t.trying = false
-	if !m.seen || !t.isEjected(now) {
+	t.probationRuns = false
+	if !m.isEvidence || !t.isEjected(now) {
 		return
 	}
-	if t.subject.Try(now, m.saw, m.others) {
-		t.comeBack("passed its trial")
+	if t.subject.ObserveProbation(now, m.observation, m.others) {
+		t.backInService("passed its trial")
 	}
 }
 
-// noteSlow counts the slots of which nobody knows when they come free, and takes it that
-// the backend server may hang.
-func (t *task) noteSlow(now time.Time, m slowMessage) {
+// recordSlow counts the stalled slots, and records for the suspicion that a request is slow or
+// has ended.
+func (t *task) recordSlow(now time.Time, m slowMessage) {
 	if m.ended {
 		t.queue.Unstalled()
 		t.suspicion.SlowRequestEnded(now, m.began)
@@ -46,11 +46,11 @@
 	t.suspicion.SlowRequest(m.began)
 }
 
-// settle answers waiting requests: those that got a slot, and those whose deadline
+// answerWaiting answers waiting requests: those that got a slot, and those whose deadline
 // is too near to run.
-func (t *task) settle(now time.Time, granted, late []uint64) {
+func (t *task) answerWaiting(now time.Time, granted, late []uint64) {
 	for _, id := range granted {
-		t.began(now)
+		t.slotGiven(now)
 		t.reply(id, grant{})
 	}
 	for _, id := range late {
@@ -65,7 +65,7 @@
 	}
 }
 
-// cancel takes a request out of the queue and answers whether it was there.
+// cancel takes a request out of the queue and replies whether it was there.
 func (t *task) cancel(m cancelMessage) {
 	wasWaiting := t.queue.Cancel(m.request.ID)
 	delete(t.waiting, m.request.ID)
--- a/internal/sidecar/slow.go
+++ b/internal/sidecar/slow.go
@@ -12,9 +12,9 @@
 	began  time.Time
 	timer  *time.Timer
 
-	mu    sync.Mutex
-	told  bool // the task knows that the request is slow
-	ended bool
+	mu       sync.Mutex
+	reported bool // the task knows that the request is slow
+	ended    bool
 }
 
 // begin starts the watch over a request that is slow after so long; zero if that is not
@@ -25,17 +25,17 @@
 	}
 	w.server = s
 	w.began = time.Now()
-	w.timer = time.AfterFunc(after, w.tell)
+	w.timer = time.AfterFunc(after, w.report)
 }
 
-// tell tells the task that the request is slow, unless it has ended.
-func (w *slowWatch) tell() {
+// report tells the task that the request is slow, unless it has ended.
+func (w *slowWatch) report() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.ended {
 		return
 	}
-	w.told = true
+	w.reported = true
 	w.server.send(slowMessage{began: w.began})
 }
 
@@ -48,7 +48,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.ended = true
-	if w.told {
+	if w.reported {
 		w.server.send(slowMessage{began: w.began, ended: true})
 	}
 }
--- a/internal/sidecar/slow_test.go
+++ b/internal/sidecar/slow_test.go
@@ -21,14 +21,14 @@
 	late.begin(s, time.Millisecond)
 	time.Sleep(50 * time.Millisecond)
 	late.end()
-	late.tell() // a timer that comes after the end
+	late.report() // a timer that comes after the end
 	if got := heard(s); len(got) != 2 || got[0].ended || !got[1].ended {
 		t.Fatalf("the task heard %+v", got)
 	}
 	var quick slowWatch
 	quick.begin(s, time.Hour)
 	quick.end()
-	quick.tell()
+	quick.report()
 	var unknown slowWatch
 	unknown.begin(s, 0)
 	unknown.end()
--- a/internal/sidecar/suspicion.go
+++ b/internal/sidecar/suspicion.go
@@ -12,8 +12,8 @@
 	"github.com/tideliftd/tidelift/internal/suspicion"
 )
 
-// weigh takes an outcome for the suspicion, beside how the others do.
-func (t *task) weigh(now time.Time, saw detect.Observation, others detect.Baseline) {
+// recordSuspicion records an outcome for the suspicion, weighed by how the others do.
+func (t *task) recordSuspicion(now time.Time, saw detect.Observation, others detect.Baseline) {
 	if t.config.Off.Has(experiment.Suspicion) {
 		return
 	}
@@ -21,7 +21,7 @@
 	switch saw.Outcome {
 	case detect.OK:
 		if !saw.WasOverdue && !saw.PastTarget {
-			t.noteGood(now, now.Add(-saw.Took))
+			t.recordGood(now, now.Add(-saw.Took))
 			return
 		}
 		begins = t.suspicion.RecordSlowness(now, suspicion.Slow)
@@ -36,48 +36,48 @@
 	}
 	if begins {
 		t.log(event.ServerSuspected, "outcome", saw.Outcome, "mostly_late", t.suspicion.MostlySlow())
-		t.turnAwayWaiting(now)
+		t.refuseWaiting(now)
 	}
 }
 
-// turnAwayWaiting refuses every waiting request, since they are better served
+// refuseWaiting refuses every waiting request, since they are better served
 // elsewhere.
-func (t *task) turnAwayWaiting(now time.Time) {
+func (t *task) refuseWaiting(now time.Time) {
 	for _, id := range t.queue.Clear() {
 		t.reply(id, refused(result.Suspected, t.suspicion.RetryAfter(now)))
 	}
 }
 
-// noteGood takes a good answer in good time to a request that began then.
-func (t *task) noteGood(now, began time.Time) {
+// recordGood records an answer within its latency target to a request that began then.
+func (t *task) recordGood(now, began time.Time) {
 	if t.suspicion.RecordGood(now, began) {
 		t.trust(now)
 	}
 }
 
-// began takes it that a request was given a slot.
-func (t *task) began(now time.Time) {
+// slotGiven records that a request was given a slot.
+func (t *task) slotGiven(now time.Time) {
 	if t.suspicion.Suspected() {
 		t.suspicion.ProbeSent(now)
 		t.log(event.ServerProbed, "good", t.suspicion.GoodInARow())
 	}
 }
 
-// noteSurvived ends the suspicion if a probe that still runs shows enough.
-func (t *task) noteSurvived(now time.Time) {
+// countSurvivedProbe ends the suspicion if a probe that still runs shows enough.
+func (t *task) countSurvivedProbe(now time.Time) {
 	if t.suspicion.ProbeSurvived(now) {
 		t.trust(now)
 	}
 }
 
-// trust ends the suspicion, and an ejection that began meanwhile: the answers that
-// end the one are proof enough for the other.
+// trust ends the suspicion, and an ejection that began meanwhile. Source: ejections of backend
+// servers that fail for nine seconds lasted up to twenty-two without that.
 func (t *task) trust(now time.Time) {
 	t.log(event.ServerTrusted)
-	t.config.Peer.Trusted(slices.Collect(maps.Keys(t.turnedAway)), t.declared.BackendServer.Name)
-	clear(t.turnedAway)
+	t.config.Peer.Trusted(slices.Collect(maps.Keys(t.refusedHosts)), t.declared.BackendServer.Name)
+	clear(t.refusedHosts)
 	if t.subject.State(now) != detect.Serving {
 		t.subject.Restore()
-		t.comeBack("answered well while it was suspected")
+		t.backInService("answered well while it was suspected")
 	}
 }
--- a/internal/sidecar/suspicion_test.go
+++ b/internal/sidecar/suspicion_test.go
@@ -41,7 +41,7 @@
 			task := newTestTask()
 			others := detect.Baseline{Failure: test.othersFailing, Typical: 100 * time.Millisecond}
 			for range 20 {
-				task.weigh(now, detect.Observation{Outcome: detect.Error}, others)
+				task.recordSuspicion(now, detect.Observation{Outcome: detect.Error}, others)
 			}
 			if task.suspicion.Suspected() != test.want {
 				t.Fatalf("suspected %t, want %t", task.suspicion.Suspected(), test.want)
@@ -54,7 +54,7 @@
 // cause.
 func TestBrokenConnectionsAlwaysBeginSuspicion(t *testing.T) {
 	task := newTestTask()
-	task.weigh(time.Now(), detect.Observation{Outcome: detect.Lost}, detect.Baseline{Failure: 1})
+	task.recordSuspicion(time.Now(), detect.Observation{Outcome: detect.Lost}, detect.Baseline{Failure: 1})
 	if !task.suspicion.Suspected() {
 		t.Fatal("a broken connection is not taken for one")
 	}
--- a/internal/sidecar/task.go
+++ b/internal/sidecar/task.go
@@ -13,7 +13,8 @@
 	"github.com/tideliftd/tidelift/internal/suspicion"
 )
 
-// judgeEvery is how often a task looks at its evidence without a request.
+// judgeEvery is how often a task does what is due without a message. Not measured: swift detection
+// allows 200 ms, the least span of its evidence.
 const judgeEvery = 100 * time.Millisecond
 
 // task owns the state of one backend server.
@@ -25,13 +26,13 @@
 	waiting        map[uint64]chan grant // who waits for a slot
 	subject        *detect.Subject
 	ledger         *floor.Ledger
-	asking         asking
-	draining       bool      // an operator said so
-	hostDraining   bool      // the platform's list says that the host is
-	selfDrainUntil time.Time // until when its own word that it is draining counts
-	trying         bool      // a probation request runs
+	ejecting       ejecting
+	draining       bool      // by an operator
+	hostDraining   bool      // by the platform's list of hosts
+	selfDrainUntil time.Time // by its own answer, which counts until then
+	probationRuns  bool      // a probation request runs
 	suspicion      *suspicion.Suspicion
-	turnedAway     map[string]bool // hosts whose requests were refused for suspicion
+	refusedHosts   map[string]bool // hosts whose requests were refused for suspicion
 }
 
 func newTask(config Config, s *server, d *declared) *task {
@@ -47,14 +48,14 @@
 			Start:       time.Now(),
 			FirstNumber: rand.Uint64(),
 		}),
-		asking:     newAsking(),
-		suspicion:  suspicion.New(),
-		turnedAway: make(map[string]bool),
+		ejecting:     newEjecting(),
+		suspicion:    suspicion.New(),
+		refusedHosts: make(map[string]bool),
 	}
 	return t
 }
 
-// run takes messages one at a time until the server ends.
+// run handles messages one at a time until the server ends.
 func (t *task) run() {
 	ticker := time.NewTicker(judgeEvery)
 	defer ticker.Stop()
@@ -70,7 +71,7 @@
 	}
 }
 
-// show lets others see the load, and whether the backend server is draining, without a message.
+// show publishes the load, and whether the backend server is draining, without a message.
 func (t *task) show(now time.Time) {
 	t.server.loadBits.Store(math.Float64bits(t.queue.Load()))
 	t.server.draining.Store(t.isDraining(now))
@@ -78,13 +79,13 @@
 
 // tick does what is due without a message.
 func (t *task) tick(now time.Time) {
-	t.noteSurvived(now)
+	t.countSurvivedProbe(now)
 	t.expire(now)
 	t.judge(now)
 	t.show(now)
 }
 
-// handle takes one message.
+// handle handles one message.
 func (t *task) handle(message any) {
 	now := time.Now()
 	switch m := message.(type) {
@@ -93,7 +94,7 @@
 	case observeMessage:
 		t.observe(now, m)
 	case slowMessage:
-		t.noteSlow(now, m)
+		t.recordSlow(now, m)
 	case releaseMessage:
 		t.release(now, m)
 	case cancelMessage:
@@ -113,14 +114,14 @@
 	case releasedMessage:
 		t.ledger.Released(m.release)
 	case leaseMessage:
-		t.takeLease(now, m)
+		t.recordLease(now, m)
 	}
 	t.show(now)
 }
 
-// observe takes the outcome of a request as evidence.
+// observe records the outcome of a request, for the suspicion and for an ejection.
 func (t *task) observe(now time.Time, m observeMessage) {
-	t.weigh(now, m.observation, m.others)
+	t.recordSuspicion(now, m.observation, m.others)
 	if t.declared.adoption() == fleet.AdoptionOff || t.subject.State(now) != detect.Serving {
 		return
 	}
@@ -128,7 +129,7 @@
 	t.judge(now)
 }
 
-// reconfigure takes what the declaration says now.
+// reconfigure applies the declaration.
 func (t *task) reconfigure(d *declared) {
 	t.declared = d
 	t.subject.SetRules(d.rules)
--- a/internal/sidecar/usage.go
+++ b/internal/sidecar/usage.go
@@ -58,15 +58,15 @@
 	switch {
 	case s.started.IsZero():
 		return useReserved
-	case !s.seen:
+	case !s.isEvidence:
 		return useCancelled
-	case s.saw.Outcome == detect.OK && s.saw.PastTarget:
+	case s.observation.Outcome == detect.OK && s.observation.PastTarget:
 		return useLate
-	case s.saw.Outcome == detect.OK:
+	case s.observation.Outcome == detect.OK:
 		return useGood
-	case s.saw.Outcome == detect.Error:
+	case s.observation.Outcome == detect.Error:
 		return useFailed
-	case s.saw.Outcome == detect.TimedOut || s.saw.Outcome == detect.Overdue:
+	case s.observation.Outcome == detect.TimedOut || s.observation.Outcome == detect.Overdue:
 		return useOverdue
 	default:
 		return useLost
--- a/internal/sidecar/usage_test.go
+++ b/internal/sidecar/usage_test.go
@@ -16,11 +16,11 @@
 		return detect.Observation{Outcome: o, PastTarget: late}
 	}
 	uses := map[slotUse]*slot{
-		useGood:      {seen: true, saw: saw(detect.OK, false)},
-		useLate:      {seen: true, saw: saw(detect.OK, true)},
-		useFailed:    {seen: true, saw: saw(detect.Error, false)},
-		useLost:      {seen: true, saw: saw(detect.Lost, false)},
-		useOverdue:   {seen: true, saw: saw(detect.TimedOut, true)},
+		useGood:      {isEvidence: true, observation: saw(detect.OK, false)},
+		useLate:      {isEvidence: true, observation: saw(detect.OK, true)},
+		useFailed:    {isEvidence: true, observation: saw(detect.Error, false)},
+		useLost:      {isEvidence: true, observation: saw(detect.Lost, false)},
+		useOverdue:   {isEvidence: true, observation: saw(detect.TimedOut, true)},
 		useCancelled: {},
 		useReserved:  {},
 	}
