--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -11,7 +11,7 @@
 //	q := admission.NewQueue(admission.Config{Slots: 10, Depth: 20})
 //	decision := q.Admit(now, &admission.Server{State: detect.Serving, Size: size}, admission.Request{ID: 1, Customer: "county-7"})
 //	switch decision.Verdict { ... }
-//	granted, late := q.Done(now, took)
+//	granted, expired := q.Done(now, took)
 //
 // Whether the backend server takes a request at all is in admit.go, the queue and an offer
 // to it in admission.go, what happens when the places run short in crowded.go, who gets a
@@ -80,8 +80,8 @@
 	Queued Verdict = "queued"
 	// RefusedFull means that the slots and the queue are full.
 	RefusedFull Verdict = "refused-full"
-	// RefusedLate means that a slot would come too late.
-	RefusedLate Verdict = "refused-late"
+	// RefusedTooSlow means that a slot would come after the deadline or latency target.
+	RefusedTooSlow Verdict = "refused-too-slow"
 	// RefusedShare means that the customer already has its share of a full queue.
 	RefusedShare Verdict = "refused-share"
 	// RefusedDraining means that the backend server takes nothing new.
@@ -99,11 +99,14 @@
 )
 
 const (
-	// bucketCount bounds the state kept of customers.
+	// bucketCount bounds the state kept of customers. Not measured: an offer looks at each once
+	// when the queue is used; two of 20 customers share a bucket at every other backend server.
 	bucketCount = 256
-	// averageWeight is the weight of the newest time taken, as one part in so many.
+	// averageWeight is the weight of the newest time taken in the average, as one part in so many.
+	// Not measured: it follows a change within some 16 requests.
 	averageWeight = 16
-	// initialServiceTime is assumed until a request has been run.
+	// initialServiceTime is assumed until a request has been run. Not measured: short, so that
+	// nothing is refused for a wait that nobody has seen.
 	initialServiceTime = 10 * time.Millisecond
 )
 
@@ -202,7 +205,7 @@
 	}
 	start := now.Add(q.wait(q.before(r.Priority) + 1))
 	if start.After(r.Deadline) || q.waiting >= q.config.Slots && q.missesTarget(start, r) {
-		return Decision{Verdict: RefusedLate, RetryAfter: q.RetryAfter()}
+		return Decision{Verdict: RefusedTooSlow, RetryAfter: q.RetryAfter()}
 	}
 	if q.waiting >= q.config.Depth {
 		return q.offerFull(now, bucket, r)
@@ -255,7 +258,7 @@
 	return time.Duration(over) * q.serviceTime / time.Duration(moving)
 }
 
-// Stalled records that a running request has outlasted nearly all others of its kind.
+// Stalled records that a running request has outlasted nearly all others of its route.
 func (q *Queue) Stalled() { q.stalled++ }
 
 // Unstalled records that one of these has ended.
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -35,7 +35,7 @@
 		{
 			"no slot before the deadline",
 			[]admission.Request{request(1, "a"), request(2, "a"), {ID: 3, Customer: "a", Deadline: start.Add(time.Millisecond)}},
-			[]admission.Verdict{admission.Granted, admission.Granted, admission.RefusedLate},
+			[]admission.Verdict{admission.Granted, admission.Granted, admission.RefusedTooSlow},
 		},
 	}
 	for _, test := range tests {
@@ -167,7 +167,7 @@
 					running++
 				case admission.Queued:
 					waiting[nextID] = customer
-				case admission.RefusedFull, admission.RefusedLate, admission.RefusedShare:
+				case admission.RefusedFull, admission.RefusedTooSlow, admission.RefusedShare:
 				case admission.RefusedDraining, admission.RefusedSuspected, admission.RefusedEjected,
 					admission.RefusedHanging, admission.RefusedRetry, admission.RefusedBusy:
 					t.Fatalf("the queue decided %s", decision.Verdict)
@@ -228,7 +228,7 @@
 			t.Fatalf("request %d of a short queue: %s", id+1, verdict)
 		}
 	}
-	if verdict := offer(5, 100*time.Millisecond); verdict != admission.RefusedLate {
+	if verdict := offer(5, 100*time.Millisecond); verdict != admission.RefusedTooSlow {
 		t.Fatalf("a request that comes after its aim: %s", verdict)
 	}
 	if verdict := offer(6, 10*time.Second); verdict != admission.Queued {
--- a/internal/admission/crowded.go
+++ b/internal/admission/crowded.go
@@ -6,13 +6,15 @@
 )
 
 const (
-	// ActiveFor is how long a customer counts as active after a request.
+	// ActiveFor is how long a customer counts as active after a request. Not measured: within it
+	// a customer that asks every second or so finds a place.
 	ActiveFor = 2 * time.Second
 	// EvictLessUrgentWithin is how long a waiting request can lose its place to a
 	// more urgent one. Source: a refusal should come within a quarter of the time
 	// in which an answer is hoped for, some hundreds of milliseconds.
 	EvictLessUrgentWithin = 50 * time.Millisecond
-	// EvictWithin is how long a waiting request can lose its place.
+	// EvictWithin is how long a waiting request can lose its place to another customer's. Not
+	// measured: who loses it hears that about as soon as if it had been refused at once.
 	EvictWithin = 10 * time.Millisecond
 )
 
--- a/internal/admission/grant.go
+++ b/internal/admission/grant.go
@@ -7,15 +7,15 @@
 // quarter of the share that the rest gets at the least.
 const UrgentGrants = 3
 
-// hopelessPart is the part of the usual service time that has to be left for a
-// request to be run at all.
+// hopelessPart is the part of the usual service time, as one part in so many, that has to be left
+// for a request to be run at all. Not measured: few requests are answered in half of it.
 const hopelessPart = 2
 
 // Done frees a slot after a request that took so long, and returns the
 // requests that get a slot and those that can no longer make their deadline.
 // A request that was granted a slot and never sent has taken zero, which the
 // average leaves out.
-func (q *Queue) Done(now time.Time, took time.Duration) (granted, late []uint64) {
+func (q *Queue) Done(now time.Time, took time.Duration) (granted, expired []uint64) {
 	q.running--
 	if took > 0 {
 		q.serviceTime += (took - q.serviceTime) / averageWeight
@@ -24,17 +24,17 @@
 }
 
 // grant gives the free slots to the requests that are served next.
-func (q *Queue) grant(now time.Time) (granted, late []uint64) {
+func (q *Queue) grant(now time.Time) (granted, expired []uint64) {
 	for q.running < q.config.Slots && q.waiting > 0 {
 		next := q.next(now)
 		if q.isHopeless(now, next) {
-			late = append(late, next.ID)
+			expired = append(expired, next.ID)
 			continue
 		}
 		q.running++
 		granted = append(granted, next.ID)
 	}
-	return granted, late
+	return granted, expired
 }
 
 // next takes the request that is served next. The queue is not empty.
--- a/internal/admission/many_test.go
+++ b/internal/admission/many_test.go
@@ -82,7 +82,7 @@
 		case admission.RefusedShare:
 			figures.refusedShare++
 			figures.refused++
-		case admission.RefusedFull, admission.RefusedLate:
+		case admission.RefusedFull, admission.RefusedTooSlow:
 			figures.refused++
 		case admission.RefusedDraining, admission.RefusedSuspected, admission.RefusedEjected,
 			admission.RefusedHanging, admission.RefusedRetry, admission.RefusedBusy:
--- a/internal/floor/floor.go
+++ b/internal/floor/floor.go
@@ -8,18 +8,20 @@
 // messages are lost, and whether the platform answers or not. What is lost is
 // speed: a backend server that cannot collect leases stays in service.
 //
-// A Ledger is the aggregate of one backend server, owned by its sidecar's task.
-// It takes messages and the time; it has no clock, goroutine or socket.
+// When a backend server is ejected and when it comes back is told in package detect; this
+// package has the step between a verdict and the ejection. A Ledger is the leases of one backend
+// server, owned by its sidecar's task. It is given messages and the time; it has no clock,
+// goroutine or socket.
 //
 // # Usage
 //
 //	l := floor.NewLedger(floor.Config{Name: "csepel/lookup-1", Start: start, FirstNumber: rand.Uint64()})
 //	refusal := l.Answer(now, floor.Request{Asker: "csepel/lookup-2", Number: 7})
-//	l.Begin(now, severity)                                // this one wants to be ejected
-//	request := l.Ask("obuda/lookup-3")                    // to be sent
-//	l.Hold(request.Number, "obuda/lookup-3", askedAt)     // its answer was yes
-//	if l.Enter(now, floor) { ... }                       // ejected
-//	if !l.Keep(now, floor) { ... }                       // checked at each use: back in service
+//	l.BeginAsking(now, severity)                             // this one wants to be ejected
+//	request := l.NewRequest("obuda/lookup-3")                // to be sent
+//	l.RecordGrant(request.Number, "obuda/lookup-3", askedAt) // the answer
+//	if l.Eject(now, floor) { ... }                           // ejected
+//	if !l.MayStayEjected(now, floor) { ... }                 // at each use: back in service
 //
 // Clocks: each side counts a lease by its own monotonic clock, the holder from
 // before it asked, the giver from when it answered, so the holder's runs out
@@ -38,11 +40,15 @@
 )
 
 const (
-	// Lease is how long a lease binds who granted it.
+	// Lease is how long a lease binds who granted it. Not measured: one who granted a lease and
+	// is lost counts towards the floor for as long, and a sidecar that has just started is not
+	// ejected for as long.
 	Lease = 2 * time.Second
-	// RenewEvery is how often a holder asks again.
+	// RenewEvery is how often a holder asks again. Not measured: three renewals may be lost
+	// before a lease runs out; each costs as many calls as the floor.
 	RenewEvery = 500 * time.Millisecond
-	// DriftPart is the part of a lease that a holder leaves unused.
+	// DriftPart is the part of a lease that a holder leaves unused, as one part in so many: 100 ms,
+	// 5%. Not measured: clocks differ by far less over two seconds.
 	DriftPart = 20
 )
 
@@ -93,15 +99,15 @@
 
 // Ledger is the leases that one backend server gave and holds.
 type Ledger struct {
-	config  Config
-	next    uint64
-	unable  bool
-	ejected bool
-	asking  bool
-	severe  float64
-	given   map[string]given     // by who holds it
-	held    map[string]time.Time // by who gave it: until when it counts
-	asked   map[string]uint64    // by who was asked: the latest request
+	config   Config
+	next     uint64
+	unable   bool
+	ejected  bool
+	asking   bool
+	severity float64
+	given    map[string]given     // by who holds it
+	held     map[string]time.Time // by who gave it: until when it counts
+	asked    map[string]uint64    // by who was asked: the number of the latest request
 }
 
 // given is a lease that was given.
@@ -142,37 +148,37 @@
 // worseThan orders two that ask for themselves at once, so that they do not
 // grant each other leases and both fail.
 func (l *Ledger) worseThan(r Request) bool {
-	if l.severe != r.Severity {
-		return l.severe > r.Severity
+	if l.severity != r.Severity {
+		return l.severity > r.Severity
 	}
 	return l.config.Name < r.Asker
 }
 
-// Released takes back a lease that its holder no longer needs.
-func (l *Ledger) Released(r Release) {
+// RecordRelease records that the holder of a lease no longer needs it.
+func (l *Ledger) RecordRelease(r Release) {
 	if l.given[r.Asker].number == r.Number {
 		delete(l.given, r.Asker)
 	}
 }
 
-// Begin says that the backend server wants to be ejected, and whether it may ask
-// for leases now.
-func (l *Ledger) Begin(now time.Time, severity float64) bool {
+// BeginAsking records that the backend server wants to be ejected and reports whether it may
+// ask for leases now.
+func (l *Ledger) BeginAsking(now time.Time, severity float64) bool {
 	l.asking = now.Sub(l.config.Start) >= Lease && !l.bound(now)
-	l.severe = severity
+	l.severity = severity
 	return l.asking
 }
 
-// Ask returns the request to send to the backend server named.
-func (l *Ledger) Ask(name string) Request {
+// NewRequest returns the request for a lease to send to the backend server named.
+func (l *Ledger) NewRequest(name string) Request {
 	l.next++
 	l.asked[name] = l.next
-	return Request{Asker: l.config.Name, Number: l.next, Severity: l.severe}
+	return Request{Asker: l.config.Name, Number: l.next, Severity: l.severity}
 }
 
-// Leave ends the asking or the absence. The releases should be sent to the
-// backend servers they are listed under.
-func (l *Ledger) Leave() map[string]Release {
+// ReleaseAll ends the asking, or the ejection, and returns the leases to give back by the name of
+// the backend server that granted each.
+func (l *Ledger) ReleaseAll() map[string]Release {
 	l.asking = false
 	l.ejected = false
 	return l.release(l.asked)
@@ -189,25 +195,26 @@
 	return false
 }
 
-// Hold records that the backend server named gave the lease asked for by the
+// RecordGrant records that the backend server named gave the lease asked for by the
 // request of that number, which was made then.
-func (l *Ledger) Hold(number uint64, from string, asked time.Time) {
+func (l *Ledger) RecordGrant(number uint64, from string, asked time.Time) {
 	if l.asked[from] == number {
 		l.held[from] = asked.Add(Lease - Lease/DriftPart)
 	}
 }
 
-// Lose records that the backend server named refused the request of that
+// RecordRefusal records that the backend server named refused the request of that
 // number. What it granted before counts until it runs out, since it binds
 // until then.
-func (l *Ledger) Lose(number uint64, from string) {
+func (l *Ledger) RecordRefusal(number uint64, from string) {
 	if l.asked[from] == number && l.held[from].IsZero() {
 		delete(l.asked, from)
 	}
 }
 
-// Enter ejects the backend server if it may be.
-func (l *Ledger) Enter(now time.Time, floor int) bool {
+// Eject ejects the backend server if it holds leases from as many others as the floor says and is
+// bound by none, and reports whether it did.
+func (l *Ledger) Eject(now time.Time, floor int) bool {
 	if l.ejected || !l.asking || l.bound(now) || l.count(now) < floor {
 		return false
 	}
@@ -216,9 +223,9 @@
 	return true
 }
 
-// Keep reports whether the backend server may still be ejected. Once it says no,
-// the backend server is back in service.
-func (l *Ledger) Keep(now time.Time, floor int) bool {
+// MayStayEjected reports whether the backend server still holds enough leases to be ejected. Once it
+// does not, the ejection has ended.
+func (l *Ledger) MayStayEjected(now time.Time, floor int) bool {
 	if !l.ejected {
 		return false
 	}
@@ -239,8 +246,8 @@
 	}
 }
 
-// Trim keeps as many leases as the floor needs, the preferred first, and
-// returns the releases of the others, to be sent to whom they are listed under.
+// Trim keeps as many leases as the floor needs, the preferred first, and returns the others to give
+// back by the name of the backend server that granted each.
 func (l *Ledger) Trim(now time.Time, floor int, preferred func(name string) bool) map[string]Release {
 	names := l.Holding(now)
 	if len(names) <= floor {
@@ -256,8 +263,8 @@
 	return l.release(spare)
 }
 
-// release drops the leases and returns their releases. What answers to these
-// requests come later no longer count.
+// release drops the leases and returns their releases. Answers to these requests that come later no
+// longer count.
 func (l *Ledger) release(requests map[string]uint64) map[string]Release {
 	releases := make(map[string]Release, len(requests))
 	for name, number := range requests {
--- a/internal/floor/floor_test.go
+++ b/internal/floor/floor_test.go
@@ -72,14 +72,14 @@
 
 func (m *model) wantEjected(t *rapid.T) {
 	name, l, ok := m.awake(t)
-	if !ok || !l.Begin(m.now, float64(rapid.IntRange(0, 2).Draw(t, "severity"))) {
+	if !ok || !l.BeginAsking(m.now, float64(rapid.IntRange(0, 2).Draw(t, "severity"))) {
 		return
 	}
 	m.askAll(name, l)
 }
 
 func (m *model) renew(t *rapid.T) {
-	if name, l, ok := m.awake(t); ok && l.Keep(m.now, m.floorSize) {
+	if name, l, ok := m.awake(t); ok && l.MayStayEjected(m.now, m.floorSize) {
 		m.askAll(name, l)
 	}
 }
@@ -89,7 +89,7 @@
 		if other == name {
 			continue
 		}
-		r := l.Ask(other)
+		r := l.NewRequest(other)
 		m.asked[r.Number] = m.now
 		m.wire = append(m.wire, message{to: other, from: name, request: &r})
 	}
@@ -97,7 +97,7 @@
 
 func (m *model) enter(t *rapid.T) {
 	if _, l, ok := m.awake(t); ok {
-		l.Enter(m.now, m.floorSize)
+		l.Eject(m.now, m.floorSize)
 	}
 }
 
@@ -109,7 +109,7 @@
 
 func (m *model) leave(t *rapid.T) {
 	if name, l, ok := m.awake(t); ok {
-		m.send(name, l.Leave())
+		m.send(name, l.ReleaseAll())
 	}
 }
 
@@ -152,7 +152,7 @@
 	m.deliver(t)
 	for _, name := range m.names {
 		if !m.frozen[name] {
-			m.ledgers[name].Enter(m.now, m.floorSize)
+			m.ledgers[name].Eject(m.now, m.floorSize)
 		}
 	}
 }
@@ -164,11 +164,11 @@
 		reply := &answer{number: msg.request.Number, asked: m.asked[msg.request.Number], refusal: l.Answer(m.now, *msg.request)}
 		m.wire = append(m.wire, message{to: msg.from, from: msg.to, answer: reply})
 	case msg.answer != nil && msg.answer.refusal == floor.Granted:
-		l.Hold(msg.answer.number, msg.from, msg.answer.asked)
+		l.RecordGrant(msg.answer.number, msg.from, msg.answer.asked)
 	case msg.answer != nil:
-		l.Lose(msg.answer.number, msg.from)
+		l.RecordRefusal(msg.answer.number, msg.from)
 	case msg.release != nil:
-		l.Released(*msg.release)
+		l.RecordRelease(*msg.release)
 	}
 }
 
@@ -199,7 +199,7 @@
 func (m *model) check(t *rapid.T) {
 	serving := 0
 	for _, name := range m.names {
-		if !m.ledgers[name].Keep(m.now, m.floorSize) {
+		if !m.ledgers[name].MayStayEjected(m.now, m.floorSize) {
 			serving++
 		}
 	}
@@ -240,11 +240,11 @@
 		if other == name {
 			continue
 		}
-		r := l.Ask(other)
+		r := l.NewRequest(other)
 		if peer.Answer(now, r) == floor.Granted {
-			l.Hold(r.Number, other, now)
+			l.RecordGrant(r.Number, other, now)
 		} else {
-			l.Lose(r.Number, other)
+			l.RecordRefusal(r.Number, other)
 		}
 	}
 }
@@ -262,17 +262,17 @@
 	ejected := 0
 	for _, name := range []string{"s0", "s1", "s2"} {
 		l := ledgers[name]
-		if !l.Begin(now, 1) {
+		if !l.BeginAsking(now, 1) {
 			continue
 		}
 		settle(now, name, ledgers)
 		for to, r := range l.Trim(now, floorSize, func(other string) bool { return other > "s2" }) {
-			ledgers[to].Released(r)
+			ledgers[to].RecordRelease(r)
 		}
-		if l.Enter(now, floorSize) {
+		if l.Eject(now, floorSize) {
 			ejected++
 		} else {
-			l.Leave()
+			l.ReleaseAll()
 		}
 	}
 	if ejected != count-floorSize {
@@ -289,13 +289,13 @@
 	}
 	now := epoch.Add(floor.Lease)
 	a := ledgers["a"]
-	a.Begin(now, 1)
+	a.BeginAsking(now, 1)
 	settle(now, "a", ledgers)
-	if !a.Enter(now, 2) {
+	if !a.Eject(now, 2) {
 		t.Fatal("a is not ejected")
 	}
 	a.Restrict([]string{"b"})
-	if a.Keep(now, 2) {
+	if a.MayStayEjected(now, 2) {
 		t.Fatal("a is ejected with the lease of one that is gone")
 	}
 }
@@ -308,19 +308,19 @@
 	}
 	now := epoch.Add(floor.Lease)
 	a := ledgers["a"]
-	a.Begin(now, 1)
+	a.BeginAsking(now, 1)
 	settle(now, "a", ledgers)
-	if !a.Enter(now, 1) || !a.Keep(now, 1) {
+	if !a.Eject(now, 1) || !a.MayStayEjected(now, 1) {
 		t.Fatal("a is not ejected")
 	}
-	if ledgers["b"].Begin(now, 2) {
+	if ledgers["b"].BeginAsking(now, 2) {
 		t.Fatal("b may ask although it granted a lease")
 	}
 	later := now.Add(floor.Lease)
-	if a.Keep(later, 1) {
+	if a.MayStayEjected(later, 1) {
 		t.Fatal("a is ejected with a lease that ran out")
 	}
-	if !ledgers["b"].Begin(later, 2) {
+	if !ledgers["b"].BeginAsking(later, 2) {
 		t.Fatal("b is bound by a lease that ran out")
 	}
 }
--- a/internal/sidecar/admit.go
+++ b/internal/sidecar/admit.go
@@ -78,7 +78,7 @@
 		return result.RetryLimit
 	case admission.RefusedBusy:
 		return result.Busy
-	case admission.RefusedLate:
+	case admission.RefusedTooSlow:
 		return result.QueueTooSlow
 	case admission.RefusedShare:
 		return result.CustomerShare
--- a/internal/sidecar/eject.go
+++ b/internal/sidecar/eject.go
@@ -31,7 +31,7 @@
 	if t.subject.State(now) == detect.Serving {
 		return false
 	}
-	if t.ledger.Keep(now, t.declared.Service.Floor) {
+	if t.ledger.MayStayEjected(now, t.declared.Service.Floor) {
 		return true
 	}
 	t.subject.Return(now)
@@ -82,7 +82,7 @@
 		t.recordFloorHeld("the floor needs every backend server", verdict)
 		return
 	}
-	if !t.ledger.Begin(now, verdict.Severity) {
+	if !t.ledger.BeginAsking(now, verdict.Severity) {
 		t.recordFloorHeld("it granted others leases to keep serving, or has just started", verdict)
 		return
 	}
@@ -121,7 +121,7 @@
 func (t *task) tryEnter(now time.Time) {
 	verdict := t.subject.Verdict(now)
 	verdict.Sick = verdict.Sick && t.isOutlier()
-	if verdict.Sick && t.ledger.Enter(now, t.declared.Service.Floor) {
+	if verdict.Sick && t.ledger.Eject(now, t.declared.Service.Floor) {
 		t.ejecting.open = false
 		t.ejecting.keptBy = ""
 		t.subject.Eject(now)
@@ -150,12 +150,12 @@
 		return
 	}
 	t.ejecting.open = false
-	t.giveBack(t.ledger.Leave())
+	t.giveBack(t.ledger.ReleaseAll())
 }
 
 // backInService gives the leases back and logs why the backend server is in service again.
 func (t *task) backInService(why string) {
-	t.giveBack(t.ledger.Leave())
+	t.giveBack(t.ledger.ReleaseAll())
 	t.log(event.ServerReturned, "why", why)
 }
 
--- a/internal/sidecar/lease.go
+++ b/internal/sidecar/lease.go
@@ -9,8 +9,8 @@
 	"github.com/tideliftd/tidelift/internal/floor"
 )
 
-// askTimeout bounds one call for a lease. Not measured: a lease of two seconds is renewed twice a
-// second, so that the next call is made before the next one is due (floor.RenewEvery).
+// askTimeout bounds one call for a lease. Not measured: less than floor.RenewEvery, so that
+// a call ends before the next one is made.
 const askTimeout = 400 * time.Millisecond
 
 // ejecting is the state of asking the other backend servers of the service for leases, first to
@@ -40,7 +40,7 @@
 	t.ejecting.askedAt = now
 	clear(t.ejecting.pending)
 	for _, other := range others {
-		request := t.ledger.Ask(other.BackendServer.Name)
+		request := t.ledger.NewRequest(other.BackendServer.Name)
 		request.SuspectedFor = now.Sub(t.subject.SuspectedSince()).Milliseconds()
 		t.ejecting.pending[request.Number] = true
 		go t.askOne(other, request, now)
@@ -69,9 +69,9 @@
 	delete(t.ejecting.pending, m.number)
 	t.ejecting.summaries[m.from] = m.lease.Summary
 	if m.lease.Refusal == floor.Granted {
-		t.ledger.Hold(m.number, m.from, m.asked)
+		t.ledger.RecordGrant(m.number, m.from, m.asked)
 	} else {
-		t.ledger.Lose(m.number, m.from)
+		t.ledger.RecordRefusal(m.number, m.from)
 		t.ejecting.askAll = true
 	}
 	if t.ejecting.open {
--- a/internal/sidecar/task.go
+++ b/internal/sidecar/task.go
@@ -112,7 +112,7 @@
 	case askedMessage:
 		m.reply <- t.answer(now, m.request)
 	case releasedMessage:
-		t.ledger.Released(m.release)
+		t.ledger.RecordRelease(m.release)
 	case leaseMessage:
 		t.recordLease(now, m)
 	}
