--- a/internal/quarantinesync/trial.go
+++ b/internal/quarantinesync/trial.go
@@ -6,7 +6,6 @@
 
 	"github.com/tideliftd/tidelift/internal/event"
 	"github.com/tideliftd/tidelift/internal/quarantine"
-	"github.com/tideliftd/tidelift/internal/result"
 	"github.com/tideliftd/tidelift/internal/store"
 )
 
@@ -74,24 +73,3 @@
 	event.Log(k.config.Logger, event.QuarantineTrial, "fingerprint", record.ID, "service", record.Service, "path", record.Path)
 	return true
 }
-
-// Lift ends a quarantine by an operator's word, and returns once the store has it.
-func (k *Syncer) Lift(ctx context.Context, id string) (quarantine.Record, error) {
-	reply := make(chan answer, 1)
-	k.send(ctx, liftMessage{id: id, reply: reply})
-	var lifted answer
-	select {
-	case lifted = <-reply:
-	case <-ctx.Done():
-		return quarantine.Record{}, result.Wrap(result.PlatformDown, ctx.Err())
-	case <-k.ended:
-		return quarantine.Record{}, result.New(result.Stopping)
-	}
-	if !lifted.ok {
-		return quarantine.Record{}, result.New(result.NotDeclared).WithDetail("nothing is held against a request %q", id)
-	}
-	if _, err := k.writeMerged(ctx, lifted.record); err != nil {
-		return lifted.record, result.Wrap(result.ChangeUnknown, err).WithDetail("it is lifted here; the platform did not take it, which is tried again")
-	}
-	return lifted.record, nil
-}
--- a/internal/quarantinesync/write.go
+++ b/internal/quarantinesync/write.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"encoding/json"
-	"sync"
 	"time"
 
 	"github.com/go-faster/errors"
@@ -16,20 +15,9 @@
 	// writeWithin bounds the writing of a batch. Source: three calls of a few milliseconds each; a slow store
 	// takes fifty times as long.
 	writeWithin = 2 * time.Second
-	// mostTogether is how many records are written in one change. Source: the store takes 32 entries.
-	mostTogether = 16
 	// conflicts is how often a record is merged with what others wrote meanwhile. Source: the daemons of
 	// a service that see the same request end backend servers within some milliseconds.
 	conflicts = 6
-	// firstEndWait is how long a request with a single end waits to be cleared before that is written. Source:
-	// a request that is sent to a second backend server is answered within some hundred milliseconds;
-	// the users allow three seconds until a third end is known everywhere.
-	firstEndWait = 500 * time.Millisecond
-	// leaseFor is how long the store keeps what was never quarantined. Source: twice as long as daemons do,
-	// so that whoever sees a second end finds the first.
-	leaseFor = 2 * quarantine.SuspectedFor
-	// leaseUsed is how long one lease is used for new records.
-	leaseUsed = leaseFor - quarantine.SuspectedFor
 )
 
 // heldPrefix begins the keys of what was ever quarantined.
@@ -44,93 +32,6 @@
 	return k.config.Prefix + "/suspected/" + r.ID
 }
 
-// dueWrite says when a record is written.
-type dueWrite struct {
-	from time.Time
-	// unlessCleared leaves it out if nothing is held against the request any more.
-	unlessCleared bool
-}
-
-// writeLater has a change written that this daemon has made: at once where it may complete a quarantine or
-// end one, and a single end only if it is not cleared soon. Most are: of the requests that run on a backend
-// server when it ends by itself, those that may be retried are answered by the next.
-func (t *task) writeLater(now time.Time, before, after quarantine.Record) {
-	switch {
-	case after.WasQuarantined() || len(after.Ends) > 1 || len(before.Ends) > 1:
-		t.due[after.ID] = dueWrite{from: now}
-	case after.Suspected():
-		t.due[after.ID] = dueWrite{from: now.Add(firstEndWait), unlessCleared: true}
-	case now.Sub(before.LastEnd()) >= firstEndWait:
-		t.due[after.ID] = dueWrite{from: now} // the store has that end by now
-	default:
-		delete(t.due, after.ID)
-	}
-}
-
-// write has the store take what is due, one batch at a time.
-func (t *task) write(ctx context.Context) {
-	now := time.Now()
-	if t.writing || now.Before(t.resume) {
-		return
-	}
-	batch := t.batch(now)
-	if len(batch) == 0 {
-		t.wakeForNext(now)
-		return
-	}
-	t.writing = true
-	go func() { t.syncer.send(ctx, t.syncer.writeBatch(ctx, batch)) }()
-}
-
-// batch takes what is due now.
-func (t *task) batch(now time.Time) []quarantine.Record {
-	var batch []quarantine.Record
-	for id, due := range t.due {
-		if now.Before(due.from) {
-			continue
-		}
-		if len(batch) == mostTogether {
-			break
-		}
-		delete(t.due, id)
-		record, ok := t.table.Find(id)
-		if ok && (record.Suspected() || !due.unlessCleared) {
-			batch = append(batch, record)
-		}
-	}
-	return batch
-}
-
-// wakeForNext has the task look again when the next write is due.
-func (t *task) wakeForNext(now time.Time) {
-	wait := time.Duration(-1)
-	for _, due := range t.due {
-		if left := max(0, due.from.Sub(now)); wait < 0 || left < wait {
-			wait = left
-		}
-	}
-	if wait >= 0 {
-		t.retry.Reset(wait)
-	}
-}
-
-// written takes what became of a batch.
-func (t *task) written(m writtenMessage) {
-	t.writing = false
-	t.take(takeMessage{records: m.stored})
-	for _, id := range m.failed {
-		t.due[id] = dueWrite{from: time.Now()}
-	}
-	if len(m.failed) == 0 {
-		t.pause.Reset()
-		return
-	}
-	t.syncer.metrics.failedWrites.Inc(int64(len(m.failed)))
-	pause := t.pause.NextBackOff()
-	t.resume = time.Now().Add(pause)
-	t.retry.Reset(pause)
-}
-
 // writeBatch writes the records: all as new ones, and if some are known to the store, each merged with what
 // it has.
 func (k *Syncer) writeBatch(ctx context.Context, batch []quarantine.Record) writtenMessage {
@@ -257,33 +158,3 @@
 		}
 	}
 }
-
-// lease is what records end with that are no quarantine.
-type lease struct {
-	mu   sync.Mutex
-	id   store.Lease
-	from time.Time
-}
-
-// get returns a lease that lasts long enough.
-func (l *lease) get(ctx context.Context, kv store.Store) (store.Lease, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.id != store.NoLease && time.Since(l.from) < leaseUsed {
-		return l.id, nil
-	}
-	from := time.Now()
-	id, err := kv.Grant(ctx, leaseFor)
-	if err != nil {
-		return store.NoLease, errors.Wrap(err, "get lease for what is held against requests")
-	}
-	l.id, l.from = id, from
-	return id, nil
-}
-
-// drop records that the lease has ended.
-func (l *lease) drop() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.id = store.NoLease
-}
