--- a/internal/daemon/quarantine.go
+++ b/internal/daemon/quarantine.go
@@ -32,7 +32,7 @@
 func (d *daemon) hearQuarantines(held control.Held) {
 	d.heardQuarantines.Store(true)
 	if len(held.Quarantines) > 0 {
-		d.quarantines.Take(held.Quarantines)
+		d.quarantines.Merge(held.Quarantines)
 	}
 }
 
@@ -57,6 +57,6 @@
 	if err := decode(params, &told); err != nil {
 		return nil, err
 	}
-	d.quarantines.Take(told.Records)
+	d.quarantines.Merge(told.Records)
 	return done{}, nil
 }
--- a/internal/operator/describe.go
+++ b/internal/operator/describe.go
@@ -247,8 +247,8 @@
 	if last := record.LastEnd(); !last.IsZero() {
 		held.LastEnd = operatorapi.NewOptDateTime(last)
 	}
-	if record.Tried != "" {
-		held.Tried = operatorapi.NewOptString(record.Tried)
+	if record.TrialHost != "" {
+		held.Tried = operatorapi.NewOptString(record.TrialHost)
 	}
 	return held
 }
--- a/internal/quarantine/fuzz_test.go
+++ b/internal/quarantine/fuzz_test.go
@@ -27,16 +27,16 @@
 		}
 		table := quarantine.New()
 		end(table, told.ID, quarantine.Limit)
-		table.Take([]quarantine.Record{told, told})
+		table.Merge([]quarantine.Record{told, told})
 		view := table.View()
 		_ = view.Sum()
-		_ = view.MayTry(start, told.ID)
-		if view.Of(told.ID) != quarantine.Clear {
+		_ = view.TrialDue(start, told.ID)
+		if view.Status(told.ID) != quarantine.Clear {
 			if _, ok := table.Lift(start, told.ID); !ok {
 				t.Fatal("an operator cannot lift it")
 			}
 		}
-		if got := table.View().Of(told.ID); got != quarantine.Clear {
+		if got := table.View().Status(told.ID); got != quarantine.Clear {
 			t.Fatalf("it is %s", got)
 		}
 		table.Forget(start.Add(time.Hour))
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -22,7 +22,7 @@
 	now := start
 	for n := range count {
 		now = start.Add(time.Duration(n) * time.Second)
-		t.Ended(now, sighting(id), quarantine.End{Server: fmt.Sprintf("%s-server-%d", id, n), At: now.UnixMilli()})
+		t.RecordEnd(now, sighting(id), quarantine.End{Server: fmt.Sprintf("%s-server-%d", id, n), At: now.UnixMilli()})
 	}
 	return now
 }
@@ -40,22 +40,22 @@
 		{"enough", func(t *quarantine.Table) { end(t, "a", quarantine.Limit) }, quarantine.Quarantined},
 		{"one is told of often", func(t *quarantine.Table) {
 			for range 2 * quarantine.Limit {
-				t.Ended(start, sighting("a"), quarantine.End{Server: "server"})
+				t.RecordEnd(start, sighting("a"), quarantine.End{Server: "server"})
 			}
 		}, quarantine.Suspected},
 		{"one ends again and again, under the same name", func(t *quarantine.Table) {
 			for n := range quarantine.Limit {
-				t.Ended(start, sighting("a"), quarantine.End{Server: "server", At: int64(n)})
+				t.RecordEnd(start, sighting("a"), quarantine.End{Server: "server", At: int64(n)})
 			}
 		}, quarantine.Quarantined},
 		{"an answer in between", func(t *quarantine.Table) {
 			end(t, "a", quarantine.Limit-1)
-			t.Answered(start, "a")
-			t.Ended(start, sighting("a"), quarantine.End{Server: "another"})
+			t.RecordAnswer(start, "a")
+			t.RecordEnd(start, sighting("a"), quarantine.End{Server: "another"})
 		}, quarantine.Suspected},
 		{"an answer after all", func(t *quarantine.Table) {
 			end(t, "a", quarantine.Limit)
-			t.Answered(start, "a")
+			t.RecordAnswer(start, "a")
 		}, quarantine.Clear},
 		{"an operator's word", func(t *quarantine.Table) {
 			end(t, "a", quarantine.Limit)
@@ -67,7 +67,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			table := quarantine.New()
 			test.do(table)
-			if got := table.View().Of("a"); got != test.want {
+			if got := table.View().Status("a"); got != test.want {
 				t.Fatalf("%s, want %s", got, test.want)
 			}
 		})
@@ -79,10 +79,10 @@
 	here, there := quarantine.New(), quarantine.New()
 	end(here, "a", quarantine.Limit)
 	late := here.Records()
-	cleared, _ := here.Answered(start, "a")
-	there.Take([]quarantine.Record{cleared})
-	if updates := there.Take(late); len(updates) > 0 || there.View().Of("a") != quarantine.Clear {
-		t.Fatalf("%v, %s", updates, there.View().Of("a"))
+	cleared, _ := here.RecordAnswer(start, "a")
+	there.Merge([]quarantine.Record{cleared})
+	if updates := there.Merge(late); len(updates) > 0 || there.View().Status("a") != quarantine.Clear {
+		t.Fatalf("%v, %s", updates, there.View().Status("a"))
 	}
 }
 
@@ -90,19 +90,19 @@
 func TestATrialIsOnceAndNotAtOnce(t *testing.T) {
 	table := quarantine.New()
 	last := end(table, "a", quarantine.Limit)
-	if _, ok := table.Try(last, "a", "host-1"); ok || table.View().MayTry(last, "a") {
+	if _, ok := table.ProposeTrial(last, "a", "host-1"); ok || table.View().TrialDue(last, "a") {
 		t.Fatal("it may be tried at once")
 	}
 	later := last.Add(quarantine.TrialAfter)
-	record, ok := table.Try(later, "a", "host-1")
-	if !ok || !table.View().MayTry(later, "a") {
+	record, ok := table.ProposeTrial(later, "a", "host-1")
+	if !ok || !table.View().TrialDue(later, "a") {
 		t.Fatal("it may not be tried later")
 	}
-	table.Take([]quarantine.Record{record})
-	if _, ok := table.Try(later, "a", "host-2"); ok || table.View().MayTry(later, "a") {
+	table.Merge([]quarantine.Record{record})
+	if _, ok := table.ProposeTrial(later, "a", "host-2"); ok || table.View().TrialDue(later, "a") {
 		t.Fatal("it may be tried twice")
 	}
-	if table.View().Of("a") != quarantine.Quarantined {
+	if table.View().Status("a") != quarantine.Quarantined {
 		t.Fatal("a trial is no answer")
 	}
 }
@@ -126,14 +126,14 @@
 func TestAQuarantineThatHasEndedDoesNotComeBack(t *testing.T) {
 	cutOff, others := quarantine.New(), quarantine.New()
 	last := end(cutOff, "a", quarantine.Limit)
-	others.Take(cutOff.Records())
+	others.Merge(cutOff.Records())
 	others.Lift(last, "a")
 	back := last.Add(quarantine.ClearedFor / 2)
 	others.Forget(back)
-	if updates := others.Take(cutOff.Records()); len(updates) > 0 || others.View().Of("a") != quarantine.Clear {
+	if updates := others.Merge(cutOff.Records()); len(updates) > 0 || others.View().Status("a") != quarantine.Clear {
 		t.Fatalf("it is back: %+v", updates)
 	}
-	if cutOff.Take(others.Records()); cutOff.View().Of("a") != quarantine.Clear {
+	if cutOff.Merge(others.Records()); cutOff.View().Status("a") != quarantine.Clear {
 		t.Fatal("the daemon that was cut off keeps it")
 	}
 	if forgotten := others.Forget(last.Add(2 * quarantine.ClearedFor)); len(forgotten) != 1 {
@@ -149,7 +149,7 @@
 	if here.View().Sum() == there.View().Sum() {
 		t.Fatal("a quarantine makes no difference")
 	}
-	there.Take(here.View().Quarantines())
+	there.Merge(here.View().Quarantines())
 	if here.View().Sum() != there.View().Sum() {
 		t.Fatal("they know the same")
 	}
@@ -164,13 +164,13 @@
 	table := quarantine.New()
 	end(table, "a", quarantine.Limit)
 	for n := range 10_000 {
-		table.Ended(start.Add(time.Duration(n)*time.Millisecond), sighting(fmt.Sprintf("flood-%d", n)), quarantine.End{Server: "server"})
+		table.RecordEnd(start.Add(time.Duration(n)*time.Millisecond), sighting(fmt.Sprintf("flood-%d", n)), quarantine.End{Server: "server"})
 	}
 	table.Forget(start)
 	if count := len(table.Records()); count > 5000 {
 		t.Fatalf("%d records are kept", count)
 	}
-	if table.View().Of("a") != quarantine.Quarantined {
+	if table.View().Status("a") != quarantine.Quarantined {
 		t.Fatal("the quarantine is forgotten")
 	}
 }
@@ -179,11 +179,11 @@
 func drawRecord(t *rapid.T, name string) quarantine.Record {
 	r := quarantine.Record{
 		ID: "a", Head: 1, Service: rapid.SampledFrom([]string{"lookup", "records"}).Draw(t, name+" service"),
-		Epoch:   rapid.Int64Range(0, 2).Draw(t, name+" epoch"),
-		Tried:   rapid.SampledFrom([]string{"", "host-1", "host-2"}).Draw(t, name+" tried"),
-		Held:    rapid.Bool().Draw(t, name+" held"),
-		Cleared: rapid.SampledFrom([]quarantine.Ended{"", quarantine.EndedAnswered, quarantine.EndedLifted}).Draw(t, name+" cleared"),
-		Changed: rapid.Int64Range(0, 9).Draw(t, name+" changed"),
+		Epoch:           rapid.Int64Range(0, 2).Draw(t, name+" epoch"),
+		TrialHost:       rapid.SampledFrom([]string{"", "host-1", "host-2"}).Draw(t, name+" tried"),
+		EverQuarantined: rapid.Bool().Draw(t, name+" held"),
+		Cleared:         rapid.SampledFrom([]quarantine.ClearedBy{"", quarantine.ClearedByAnswer, quarantine.ClearedByOperator}).Draw(t, name+" cleared"),
+		Changed:         rapid.Int64Range(0, 9).Draw(t, name+" changed"),
 	}
 	ends := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) quarantine.End {
 		return quarantine.End{Server: rapid.SampledFrom([]string{"p", "q", "r", "s", "u"}).Draw(t, "server"), At: rapid.Int64Range(0, 9).Draw(t, "at")}
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// Ended says why an epoch ended.
-type Ended string
+// ClearedBy says why an epoch ended.
+type ClearedBy string
 
 // The reasons.
 const (
-	// EndedAnswered means that a backend server answered the request.
-	EndedAnswered Ended = "answered"
-	// EndedLifted means that an operator lifted its quarantine.
-	EndedLifted Ended = "lifted"
+	// ClearedByAnswer means that a backend server answered the request.
+	ClearedByAnswer ClearedBy = "answered"
+	// ClearedByOperator means that an operator lifted its quarantine.
+	ClearedByOperator ClearedBy = "lifted"
 )
 
 // Sighting is a request that a backend server ran when it ended.
@@ -37,7 +37,7 @@
 	At int64 `json:"at"`
 }
 
-// Record is what is believed of a request.
+// Record is what is known of a request.
 type Record struct {
 	ID      string `json:"id"`
 	Head    uint64 `json:"head"`
@@ -49,17 +49,17 @@
 	Epoch int64 `json:"epoch"`
 	// Ends are those of this epoch, the earliest first, at most Limit.
 	Ends []End `json:"ends,omitempty"`
-	// Tried names the host that sends it once more in this epoch, or has; empty if none does.
-	Tried string `json:"tried,omitempty"`
-	// Held says that somebody took it for quarantined, in this epoch or an earlier one.
-	Held bool `json:"held,omitempty"`
+	// TrialHost names the host that sends it once more in this epoch, or has; empty if none does.
+	TrialHost string `json:"tried,omitempty"`
+	// EverQuarantined says that a daemon had it in quarantine, in this epoch or an earlier one.
+	EverQuarantined bool `json:"held,omitempty"`
 	// Cleared says why the epoch before ended; empty in the first.
-	Cleared Ended `json:"cleared,omitempty"`
-	// Changed is when that was last learned, in Unix milliseconds.
+	Cleared ClearedBy `json:"cleared,omitempty"`
+	// Changed is when an end, an answer, a trial or a lifting was last recorded, in Unix milliseconds.
 	Changed int64 `json:"changed"`
 }
 
-// newRecord returns the record of a request of which nothing is known yet.
+// newRecord returns the record of a request that was seen for the first time.
 func newRecord(s Sighting) Record {
 	return Record{
 		ID: s.ID, Head: s.Head, Service: s.Service,
@@ -73,10 +73,10 @@
 // Quarantined reports whether no backend server is to be sent the request.
 func (r Record) Quarantined() bool { return len(r.Ends) >= Limit }
 
-// Suspected reports whether an answer would tell something of the request.
+// Suspected reports whether a backend server has ended while it ran the request, in this epoch.
 func (r Record) Suspected() bool { return len(r.Ends) > 0 }
 
-// Status returns what is believed of the request.
+// Status returns the status of the request.
 func (r Record) Status() Status {
 	switch {
 	case r.Quarantined():
@@ -105,36 +105,36 @@
 	return time.UnixMilli(r.Ends[len(r.Ends)-1].At)
 }
 
-// MayTry reports whether the request may be tried once more.
-func (r Record) MayTry(now time.Time) bool {
-	return r.Quarantined() && r.Tried == "" && now.Sub(r.LastEnd()) >= TrialAfter
+// TrialDue reports whether the request may be tried once more.
+func (r Record) TrialDue(now time.Time) bool {
+	return r.Quarantined() && r.TrialHost == "" && now.Sub(r.LastEnd()) >= TrialAfter
 }
 
-// settled returns the record with Held as it follows from the rest. A merge does not do that, since what
+// settled returns the record with EverQuarantined as it follows from the rest. A merge does not do that, since what
 // two records come to together depends on which others came before.
 func (r Record) settled() Record {
-	r.Held = r.WasQuarantined()
+	r.EverQuarantined = r.WasQuarantined()
 	return r
 }
 
 // WasQuarantined reports whether the request is quarantined or was in an earlier epoch.
-func (r Record) WasQuarantined() bool { return r.Held || r.Quarantined() }
+func (r Record) WasQuarantined() bool { return r.EverQuarantined || r.Quarantined() }
 
-// Merge returns what both records of one request tell together.
+// Merge returns the record with what both records of one request know.
 func Merge(a, b Record) Record {
 	if a.Epoch != b.Epoch {
 		later, earlier := a, b
 		if later.Epoch < earlier.Epoch {
 			later, earlier = earlier, later
 		}
-		later.Held = a.Held || b.Held
+		later.EverQuarantined = a.EverQuarantined || b.EverQuarantined
 		return later
 	}
 	merged := a
 	merged.Service = max(a.Service, b.Service) // a request may go to one of several
 	merged.Ends = mergeEnds(a.Ends, b.Ends)
-	merged.Tried = max(a.Tried, b.Tried)
-	merged.Held = a.Held || b.Held
+	merged.TrialHost = max(a.TrialHost, b.TrialHost)
+	merged.EverQuarantined = a.EverQuarantined || b.EverQuarantined
 	merged.Cleared = max(a.Cleared, b.Cleared)
 	merged.Changed = max(a.Changed, b.Changed)
 	return merged
@@ -150,8 +150,8 @@
 	return merged[:min(len(merged), Limit)]
 }
 
-// Same reports whether both tell the same.
+// Same reports whether both know the same.
 func (r Record) Same(other Record) bool {
-	return r.Epoch == other.Epoch && r.Tried == other.Tried && r.Held == other.Held && r.Cleared == other.Cleared &&
+	return r.Epoch == other.Epoch && r.TrialHost == other.TrialHost && r.EverQuarantined == other.EverQuarantined && r.Cleared == other.Cleared &&
 		r.Changed == other.Changed && slices.Equal(r.Ends, other.Ends)
 }
--- a/internal/quarantine/simulation_test.go
+++ b/internal/quarantine/simulation_test.go
@@ -178,7 +178,7 @@
 		if to.away || !s.reaches(from, to) {
 			continue
 		}
-		if to.table.View().Of(id) == quarantine.Quarantined && !s.try(id, to) {
+		if to.table.View().Status(id) == quarantine.Quarantined && !s.try(id, to) {
 			if id != guilty {
 				s.outcome.refused++
 			}
@@ -194,9 +194,9 @@
 
 // try reports whether the host sends a quarantined request once more.
 func (s *simulation) try(id string, h *simulated) bool {
-	record, ok := h.table.Try(s.wall(), id, fmt.Sprint(h.number))
+	record, ok := h.table.ProposeTrial(s.wall(), id, fmt.Sprint(h.number))
 	stored, known := s.store[id]
-	if !ok || !s.way.tries || !s.storeUp() || !known || stored.Tried != "" || stored.Epoch != record.Epoch {
+	if !ok || !s.way.tries || !s.storeUp() || !known || stored.TrialHost != "" || stored.Epoch != record.Epoch {
 		return false
 	}
 	s.write(h, record)
@@ -228,7 +228,7 @@
 	if !s.way.clears {
 		return
 	}
-	if record, ok := h.table.Answered(s.wall(), id); ok {
+	if record, ok := h.table.RecordAnswer(s.wall(), id); ok {
 		s.spread(h, record)
 	}
 }
@@ -236,7 +236,7 @@
 // blame records that a backend server ended under the request, which is sent to another if it may.
 func (s *simulation) blame(id string, from, to *simulated, incarnation, left int) {
 	ended := quarantine.End{Server: fmt.Sprintf("server-%d-%d", to.number, incarnation), At: start.Add(to.ended).UnixMilli()}
-	if record, ok := to.table.Ended(s.wall(), quarantine.Sighting{ID: id, Service: "lookup"}, ended); ok {
+	if record, ok := to.table.RecordEnd(s.wall(), quarantine.Sighting{ID: id, Service: "lookup"}, ended); ok {
 		s.spread(to, record)
 	}
 	switch {
@@ -284,7 +284,7 @@
 	}
 	for _, record := range s.store {
 		if record.WasQuarantined() {
-			h.table.Take([]quarantine.Record{record})
+			h.table.Merge([]quarantine.Record{record})
 		}
 	}
 }
@@ -294,7 +294,7 @@
 	if s.way.tells {
 		for _, h := range s.all {
 			if h != from && s.reaches(from, h) {
-				s.at(s.upTo(tellsWithin), func() { h.table.Take([]quarantine.Record{record}) })
+				s.at(s.upTo(tellsWithin), func() { h.table.Merge([]quarantine.Record{record}) })
 			}
 		}
 	}
@@ -328,7 +328,7 @@
 		merged = quarantine.Merge(stored, record)
 	}
 	s.store[record.ID] = merged
-	from.table.Take([]quarantine.Record{merged})
+	from.table.Merge([]quarantine.Record{merged})
 	if !merged.WasQuarantined() {
 		return
 	}
@@ -337,7 +337,7 @@
 		if !s.reaches(from, h) && !s.watched(h) {
 			wait = max(wait, watchesAfter-s.now)
 		}
-		s.at(wait, func() { h.table.Take([]quarantine.Record{merged}) })
+		s.at(wait, func() { h.table.Merge([]quarantine.Record{merged}) })
 	}
 }
 
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Table is what one daemon believes of requests.
+// Table is what one daemon knows of requests.
 type Table struct {
 	records map[string]Record
 }
@@ -15,9 +15,9 @@
 // New returns a table without records.
 func New() *Table { return &Table{records: make(map[string]Record)} }
 
-// Ended records that a backend server ended while it ran the request. It returns the record to tell others,
+// RecordEnd records that a backend server ended while it ran the request. It returns the record to tell others,
 // or false if that is known.
-func (t *Table) Ended(now time.Time, s Sighting, end End) (Record, bool) {
+func (t *Table) RecordEnd(now time.Time, s Sighting, end End) (Record, bool) {
 	known, ok := t.records[s.ID]
 	if !ok {
 		known = newRecord(s)
@@ -28,46 +28,48 @@
 	return t.put(Merge(known, seen))
 }
 
-// Answered records that a backend server answered the request. It returns the record to tell others, or
+// RecordAnswer records that a backend server answered the request. It returns the record to tell others, or
 // false if nothing was held against it.
-func (t *Table) Answered(now time.Time, id string) (Record, bool) {
-	return t.clear(now, id, EndedAnswered)
+func (t *Table) RecordAnswer(now time.Time, id string) (Record, bool) {
+	return t.clear(now, id, ClearedByAnswer)
 }
 
-// Lift takes an operator's word that the request may run. It returns the record to tell others, or false if
+// Lift records that an operator lets the request run. It returns the record to tell others, or false if
 // nothing is held against it.
-func (t *Table) Lift(now time.Time, id string) (Record, bool) { return t.clear(now, id, EndedLifted) }
+func (t *Table) Lift(now time.Time, id string) (Record, bool) {
+	return t.clear(now, id, ClearedByOperator)
+}
 
 // clear begins a new epoch of a request that is suspected.
-func (t *Table) clear(now time.Time, id string, why Ended) (Record, bool) {
+func (t *Table) clear(now time.Time, id string, by ClearedBy) (Record, bool) {
 	r, ok := t.records[id]
 	if !ok || !r.Suspected() {
 		return Record{}, false
 	}
 	r.Epoch++
 	r.Ends = nil
-	r.Tried = ""
-	r.Cleared = why
+	r.TrialHost = ""
+	r.Cleared = by
 	r.Changed = now.UnixMilli()
 	return t.put(r)
 }
 
-// Try reports whether the host may send a request in quarantine once more, as far as is known here, and
+// ProposeTrial reports whether the host may send a request in quarantine once more, as far as is known here, and
 // returns the record that says so, which it must first have made known as the only one.
-func (t *Table) Try(now time.Time, id, host string) (Record, bool) {
+func (t *Table) ProposeTrial(now time.Time, id, host string) (Record, bool) {
 	r, ok := t.records[id]
-	if !ok || !r.MayTry(now) {
+	if !ok || !r.TrialDue(now) {
 		return Record{}, false
 	}
-	r.Tried = host
+	r.TrialHost = host
 	r.Changed = now.UnixMilli()
 	return r, true
 }
 
-// Take takes records that others tell, and returns what is new, as it is known now.
-func (t *Table) Take(told []Record) []Record {
+// Merge merges records of other daemons or of the store, and returns those that have changed.
+func (t *Table) Merge(records []Record) []Record {
 	var updates []Record
-	for _, r := range told {
+	for _, r := range records {
 		if known, ok := t.records[r.ID]; ok {
 			r = Merge(known, r)
 		}
@@ -78,7 +80,7 @@
 	return updates
 }
 
-// put keeps the record and reports whether it tells more than the one before.
+// put stores the record and reports whether it differs from the one before.
 func (t *Table) put(r Record) (Record, bool) {
 	r = r.settled()
 	if known, ok := t.records[r.ID]; ok && known.Same(r) {
@@ -88,7 +90,7 @@
 	return r, true
 }
 
-// Find returns what is believed of the request.
+// Find returns the record of the request.
 func (t *Table) Find(id string) (Record, bool) {
 	r, ok := t.records[id]
 	return r, ok
@@ -115,7 +117,7 @@
 	switch {
 	case r.Quarantined():
 		return false
-	case r.Held:
+	case r.EverQuarantined:
 		return unchanged > ClearedFor
 	default:
 		return unchanged > SuspectedFor
--- a/internal/quarantine/view.go
+++ b/internal/quarantine/view.go
@@ -7,7 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Status is what is believed of a request.
+// Status says whether backend servers are sent a request.
 type Status string
 
 // The statuses.
@@ -22,19 +22,19 @@
 
 // View answers lookups. It does not change, so that any number of goroutines may read it.
 type View struct {
-	heads    map[uint64]struct{}
-	statuses map[string]Status
-	triable  map[string]time.Time // from when on requests in quarantine may be tried once more
-	held     []Record             // what was ever quarantined
-	sum      uint64
+	heads       map[uint64]struct{}
+	statuses    map[string]Status
+	trialFrom   map[string]time.Time // from when on requests in quarantine may be tried once more
+	quarantines []Record             // of requests that are quarantined, or were
+	sum         uint64
 }
 
 // View returns the present view of the table.
 func (t *Table) View() *View {
-	v := &View{heads: make(map[uint64]struct{}), statuses: make(map[string]Status), triable: make(map[string]time.Time)}
+	v := &View{heads: make(map[uint64]struct{}), statuses: make(map[string]Status), trialFrom: make(map[string]time.Time)}
 	for _, r := range t.records {
-		if r.Held {
-			v.held = append(v.held, r)
+		if r.EverQuarantined {
+			v.quarantines = append(v.quarantines, r)
 			v.sum ^= r.hash()
 		}
 		if !r.Suspected() {
@@ -42,8 +42,8 @@
 		}
 		v.heads[r.Head] = struct{}{}
 		v.statuses[r.ID] = r.Status()
-		if r.Quarantined() && r.Tried == "" {
-			v.triable[r.ID] = r.LastEnd().Add(TrialAfter)
+		if r.Quarantined() && r.TrialHost == "" {
+			v.trialFrom[r.ID] = r.LastEnd().Add(TrialAfter)
 		}
 	}
 	return v
@@ -52,34 +52,34 @@
 // Empty reports whether nothing is held against any request.
 func (v *View) Empty() bool { return len(v.heads) == 0 }
 
-// Mentions reports whether something is held against a request with that head, whose body then tells
-// whether it is this one.
-func (v *View) Mentions(head uint64) bool {
+// HasHead reports whether something is held against a request with that head; its body shows whether it is
+// the same one.
+func (v *View) HasHead(head uint64) bool {
 	_, ok := v.heads[head]
 	return ok
 }
 
-// Of returns what is believed of the request.
-func (v *View) Of(id string) Status {
+// Status returns the status of the request.
+func (v *View) Status(id string) Status {
 	if status, ok := v.statuses[id]; ok {
 		return status
 	}
 	return Clear
 }
 
-// MayTry reports whether the request may be tried once more, as far as is known here.
-func (v *View) MayTry(now time.Time, id string) bool {
-	from, ok := v.triable[id]
+// TrialDue reports whether the request may be tried once more, as far as is known here.
+func (v *View) TrialDue(now time.Time, id string) bool {
+	from, ok := v.trialFrom[id]
 	return ok && !now.Before(from)
 }
 
 // Quarantines returns the records of what is quarantined, or was.
-func (v *View) Quarantines() []Record { return v.held }
+func (v *View) Quarantines() []Record { return v.quarantines }
 
 // Sum returns a hash of the records that Quarantines returns.
 func (v *View) Sum() uint64 { return v.sum }
 
-// hash is of what a daemon has to know of a quarantine.
+// hash returns a hash of what all daemons should know of a quarantine.
 func (r Record) hash() uint64 {
 	return xxhash.Sum64String(r.ID + strconv.FormatInt(r.Epoch, 10) + string(r.Status()))
 }
--- a/internal/quarantinesync/lease.go
+++ b/internal/quarantinesync/lease.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// leaseFor is how long the store keeps what was never quarantined. Source: twice as long as daemons do,
-	// so that whoever sees a second end finds the first.
+	// leaseFor is how long the store keeps what was never quarantined. Not measured: twice as long as daemons do,
+	// so that one that sees a second end finds the first.
 	leaseFor = 2 * quarantine.SuspectedFor
 	// leaseUsed is how long one lease is used for new records.
 	leaseUsed = leaseFor - quarantine.SuspectedFor
 )
 
-// lease is what records end with that are no quarantine.
+// lease is the store's lease with which records end that are no quarantine.
 type lease struct {
 	mu   sync.Mutex
 	id   store.Lease
@@ -42,7 +42,7 @@
 	return id, nil
 }
 
-// drop records that the lease has ended.
+// drop forgets a lease that has ended.
 func (l *lease) drop() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/quarantinesync/lift.go
+++ b/internal/quarantinesync/lift.go
@@ -8,21 +8,21 @@
 )
 
 // Lift ends a quarantine by an operator's word, and returns once the store has it.
-func (k *Syncer) Lift(ctx context.Context, id string) (quarantine.Record, error) {
+func (s *Syncer) Lift(ctx context.Context, id string) (quarantine.Record, error) {
 	reply := make(chan answer, 1)
-	k.send(ctx, liftMessage{id: id, reply: reply})
+	s.send(ctx, liftMessage{id: id, reply: reply})
 	var lifted answer
 	select {
 	case lifted = <-reply:
 	case <-ctx.Done():
 		return quarantine.Record{}, result.Wrap(result.PlatformDown, ctx.Err())
-	case <-k.ended:
+	case <-s.ended:
 		return quarantine.Record{}, result.New(result.Stopping)
 	}
 	if !lifted.ok {
 		return quarantine.Record{}, result.New(result.NotDeclared).WithDetail("nothing is held against a request %q", id)
 	}
-	if _, err := k.writeMerged(ctx, lifted.record); err != nil {
+	if _, err := s.writeMerged(ctx, lifted.record); err != nil {
 		return lifted.record, result.Wrap(result.ChangeUnknown, err).WithDetail("it is lifted here; the platform did not take it, which is tried again")
 	}
 	return lifted.record, nil
--- a/internal/quarantinesync/messages.go
+++ b/internal/quarantinesync/messages.go
@@ -2,28 +2,28 @@
 
 import "github.com/tideliftd/tidelift/internal/quarantine"
 
-// The messages that the task takes.
+// The messages to the task.
 type (
 	// endedMessage says that a backend server ended while it ran a request.
 	endedMessage struct {
 		sighting quarantine.Sighting
 		end      quarantine.End
-		known    chan struct{} // closed once it is believed
+		known    chan struct{} // closed once lookups know it
 	}
 	answeredMessage struct{ id string }
-	// liftMessage is an operator's word.
+	// liftMessage says that an operator lifts a quarantine.
 	liftMessage struct {
 		id    string
 		reply chan answer
 	}
-	// tryMessage asks for the record by which this host may send a request once more.
-	tryMessage struct {
+	// trialMessage asks for the record by which this host may send a request once more.
+	trialMessage struct {
 		id    string
 		reply chan answer
 	}
-	takeMessage struct {
+	mergeMessage struct {
 		records []quarantine.Record
-		stored  bool // the store tells of them
+		stored  bool // they come from the store
 	}
 	recordsMessage struct{ reply chan []quarantine.Record }
 	// writtenMessage says what became of writing records: those that the store has now, which may tell
@@ -34,7 +34,7 @@
 	}
 )
 
-// answer answers a liftMessage or a tryMessage; without ok there is no record.
+// answer answers a liftMessage or a trialMessage; without ok there is no record.
 type answer struct {
 	record quarantine.Record
 	ok     bool
--- a/internal/quarantinesync/quarantinesync.go
+++ b/internal/quarantinesync/quarantinesync.go
@@ -1,21 +1,23 @@
 // Package quarantinesync keeps a daemon's quarantine of requests in step with the fleet's.
 //
-// What a daemon's own backend servers show is told at once to the daemons that keep others of the
+// What a daemon's own backend servers show is sent at once to the daemons that keep others of the
 // service, and written to the store, where records of daemons that cannot reach each other come
-// together. What is quarantined all daemons hear of, since a route may lead to another service tomorrow:
-// those that watch the store follow it there, and each tells a few others. Nothing is asked on a
-// request's way: a lookup costs a hash of the request's head, and nothing at all while nothing is held
-// against any.
+// together. A quarantine is sent to all daemons, since a route may lead to another service later: those
+// that watch the store follow it there, and each tells a few others. A request waits for no call: a
+// lookup costs a hash of the request's head, and nothing at all while nothing is held against any.
+//
+// A Syncer owns the daemon's quarantine.Table and relies on the store and on the daemon's calls to
+// others (Config.Tell, Config.Spread).
 //
 // # Usage
 //
-//	k := quarantinesync.New(quarantinesync.Config{Host: "csepel-1", Store: kv, Prefix: "tidelift/quarantine", Tell: tell, ...})
-//	go k.Run(ctx)
-//	status, id := k.Status(request)
-//	if status == quarantine.Quarantined && !k.Try(ctx, id) { ... } // refuse it
-//	k.Ended(request, "lookup", end) // its backend server ended under it
-//	k.Answered(request)             // or answered it
-//	k.Take(records)                 // what another daemon tells
+//	s := quarantinesync.New(quarantinesync.Config{Host: "csepel-1", Store: kv, Prefix: "tidelift/quarantine", Tell: tell, ...})
+//	go s.Run(ctx)
+//	status, id := s.Status(request)
+//	if status == quarantine.Quarantined && !s.StartTrial(ctx, id) { ... } // refuse it
+//	s.RecordEnd(request, "lookup", end) // its backend server ended while it ran it
+//	s.RecordAnswer(request)             // or answered it
+//	s.Merge(records)                    // of another daemon
 //
 // One task owns the table and handles messages (task.go, messages.go). The store is followed in
 // follow.go; when a record is written is in schedule.go, how in write.go and lease.go; who may
@@ -43,7 +45,7 @@
 )
 
 const (
-	// forgetEvery is how often the table is looked through for what is to be forgotten.
+	// forgetEvery is how often old records are dropped. Not measured: they are kept for minutes.
 	forgetEvery = 10 * time.Second
 	// messagesWaiting is how many messages may wait for the task.
 	messagesWaiting = 256
@@ -86,9 +88,9 @@
 	trials, failedWrites   tally.Counter
 }
 
-// New returns a quarantinesync that knows nothing yet.
+// New returns a syncer that knows nothing yet.
 func New(config Config) *Syncer {
-	k := &Syncer{
+	s := &Syncer{
 		config:   config,
 		messages: make(chan any, messagesWaiting),
 		ended:    make(chan struct{}),
@@ -99,87 +101,87 @@
 			failedWrites: config.Scope.Counter("quarantine_failed_writes"),
 		},
 	}
-	k.view.Store(quarantine.New().View())
-	return k
+	s.view.Store(quarantine.New().View())
+	return s
 }
 
 // Run keeps the quarantine until ctx ends.
-func (k *Syncer) Run(ctx context.Context) {
-	defer close(k.ended)
-	go k.follow(ctx)
-	newTask(k).run(ctx)
+func (s *Syncer) Run(ctx context.Context) {
+	defer close(s.ended)
+	go s.follow(ctx)
+	newTask(s).run(ctx)
 }
 
 // Quiet reports whether nothing is held against any request.
-func (k *Syncer) Quiet() bool { return k.view.Load().Empty() }
+func (s *Syncer) Quiet() bool { return s.view.Load().Empty() }
 
-// Status returns what is believed of the request and, if that is something, its id.
-func (k *Syncer) Status(r fingerprint.Request) (quarantine.Status, string) {
-	view := k.view.Load()
-	if view.Empty() || !view.Mentions(r.Head()) {
+// Status returns the status of the request and, unless that is quarantine.Clear, its id.
+func (s *Syncer) Status(r fingerprint.Request) (quarantine.Status, string) {
+	view := s.view.Load()
+	if view.Empty() || !view.HasHead(r.Head()) {
 		return quarantine.Clear, ""
 	}
 	id, err := r.Digest()
 	if err != nil {
 		return quarantine.Clear, "" // a body that cannot be read cannot be sent
 	}
-	return view.Of(id), id
+	return view.Status(id), id
 }
 
-// Ended records that a backend server of the service ended while it ran the request. What this daemon
-// believes of the request has changed when it returns.
-func (k *Syncer) Ended(r fingerprint.Request, service string, end quarantine.End) {
+// RecordEnd records that a backend server of the service ended while it ran the request. When it
+// returns, this daemon's lookups know it.
+func (s *Syncer) RecordEnd(r fingerprint.Request, service string, end quarantine.End) {
 	id, err := r.Digest()
 	if err != nil {
 		return // its caller has gone away in the middle of the body
 	}
 	known := make(chan struct{})
-	k.send(context.Background(), endedMessage{
+	s.send(context.Background(), endedMessage{
 		sighting: quarantine.Sighting{ID: id, Head: r.Head(), Service: service, Method: r.Method, Host: r.Host, Path: r.Path},
 		end:      end,
 		known:    known,
 	})
 	select {
 	case <-known:
-	case <-k.ended:
+	case <-s.ended:
 	}
 }
 
-// Answered records that a backend server answered the request.
-func (k *Syncer) Answered(r fingerprint.Request) {
-	if status, id := k.Status(r); status != quarantine.Clear {
-		k.send(context.Background(), answeredMessage{id: id})
+// RecordAnswer records that a backend server answered the request.
+func (s *Syncer) RecordAnswer(r fingerprint.Request) {
+	if status, id := s.Status(r); status != quarantine.Clear {
+		s.send(context.Background(), answeredMessage{id: id})
 	}
 }
 
-// Take takes records that another daemon tells.
-func (k *Syncer) Take(records []quarantine.Record) {
-	k.send(context.Background(), takeMessage{records: records})
+// Merge merges records of another daemon.
+func (s *Syncer) Merge(records []quarantine.Record) {
+	s.send(context.Background(), mergeMessage{records: records})
 }
 
 // Sum returns a hash of what is known of quarantines, by which two daemons find whether they know the same.
-func (k *Syncer) Sum() uint64 { return k.view.Load().Sum() }
+func (s *Syncer) Sum() uint64 { return s.view.Load().Sum() }
 
 // Quarantines returns what is known of quarantines, also of those that have ended.
-func (k *Syncer) Quarantines() []quarantine.Record { return k.view.Load().Quarantines() }
+func (s *Syncer) Quarantines() []quarantine.Record { return s.view.Load().Quarantines() }
 
-// Records returns what is believed of requests.
-func (k *Syncer) Records() []quarantine.Record {
+// Records returns all records.
+func (s *Syncer) Records() []quarantine.Record {
 	reply := make(chan []quarantine.Record, 1)
-	k.send(context.Background(), recordsMessage{reply: reply})
+	s.send(context.Background(), recordsMessage{reply: reply})
 	select {
 	case records := <-reply:
 		return records
-	case <-k.ended:
+	case <-s.ended:
 		return nil
 	}
 }
 
 // send gives the task a message, unless it has ended.
-func (k *Syncer) send(ctx context.Context, message any) {
+func (s *Syncer) send(ctx context.Context, message any) {
 	select {
-	case k.messages <- message:
+	case s.messages <- message:
 	case <-ctx.Done():
-	case <-k.ended:
+	case <-s.ended:
 	}
 }
--- a/internal/quarantinesync/quarantinesync_test.go
+++ b/internal/quarantinesync/quarantinesync_test.go
@@ -76,7 +76,7 @@
 		Tell: func(_ string, records []quarantine.Record) {
 			for n, other := range g.all() {
 				if n != number && !g.cut.Load() {
-					go other.Take(records)
+					go other.Merge(records)
 				}
 			}
 		},
@@ -139,7 +139,7 @@
 // endEach ends a backend server of each of so many hosts under the request.
 func (g *group) endEach(body string, count int) {
 	for n := range count {
-		g.syncers[n%len(g.syncers)].Ended(request(body), "lookup", quarantine.End{Server: fmt.Sprintf("%s-server-%d", body, n), At: time.Now().UnixMilli()})
+		g.syncers[n%len(g.syncers)].RecordEnd(request(body), "lookup", quarantine.End{Server: fmt.Sprintf("%s-server-%d", body, n), At: time.Now().UnixMilli()})
 	}
 }
 
@@ -186,7 +186,7 @@
 	g.endEach("guilty", quarantine.Limit)
 	g.awaitAll(quarantine.Quarantined)
 	_, id := g.syncers[0].Status(request("guilty"))
-	if g.syncers[0].Try(context.Background(), id) {
+	if g.syncers[0].StartTrial(context.Background(), id) {
 		t.Fatal("it is tried at once")
 	}
 	time.Sleep(quarantine.TrialAfter + 100*time.Millisecond)
@@ -196,7 +196,7 @@
 		allowed := 0
 		for _, k := range g.syncers {
 			wg.Go(func() {
-				if k.Try(context.Background(), id) {
+				if k.StartTrial(context.Background(), id) {
 					mu.Lock()
 					defer mu.Unlock()
 					allowed++
@@ -218,7 +218,7 @@
 	time.Sleep(quarantine.TrialAfter + 100*time.Millisecond)
 	g.standin.SetOutage(true)
 	_, id := g.syncers[0].Status(request("guilty"))
-	if g.syncers[0].Try(context.Background(), id) || g.syncers[1].Try(context.Background(), id) {
+	if g.syncers[0].StartTrial(context.Background(), id) || g.syncers[1].StartTrial(context.Background(), id) {
 		t.Fatal("a daemon tries it that cannot know whether another does")
 	}
 }
@@ -227,7 +227,7 @@
 // cannot be told and for one that starts later.
 func TestAQuarantineEndsEverywhere(t *testing.T) {
 	tests := map[string]func(*quarantinesync.Syncer){
-		"an answer": func(k *quarantinesync.Syncer) { k.Answered(request("guilty")) },
+		"an answer": func(k *quarantinesync.Syncer) { k.RecordAnswer(request("guilty")) },
 		"an operator's word": func(k *quarantinesync.Syncer) {
 			_, id := k.Status(request("guilty"))
 			if _, err := k.Lift(context.Background(), id); err != nil {
@@ -267,7 +267,7 @@
 	if deaf.Sum() == g.syncers[0].Sum() {
 		t.Fatal("they seem to know the same")
 	}
-	deaf.Take(g.syncers[0].Quarantines())
+	deaf.Merge(g.syncers[0].Quarantines())
 	g.awaitAll(quarantine.Quarantined)
 	if deaf.Sum() != g.syncers[0].Sum() {
 		t.Fatal("they do not know the same")
@@ -306,9 +306,9 @@
 		do   func()
 		most int64
 	}{
-		{"a first end", func() { g.syncers[0].Ended(request("guilty"), "lookup", quarantine.End{Server: "server-0"}) }, 2},
-		{"a second end", func() { g.syncers[1].Ended(request("guilty"), "lookup", quarantine.End{Server: "server-1"}) }, 4},
-		{"an answer", func() { g.syncers[2].Answered(request("guilty")) }, 4},
+		{"a first end", func() { g.syncers[0].RecordEnd(request("guilty"), "lookup", quarantine.End{Server: "server-0"}) }, 2},
+		{"a second end", func() { g.syncers[1].RecordEnd(request("guilty"), "lookup", quarantine.End{Server: "server-1"}) }, 4},
+		{"an answer", func() { g.syncers[2].RecordAnswer(request("guilty")) }, 4},
 	}
 	for _, step := range steps {
 		before := g.standin.Calls()
@@ -346,7 +346,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go k.Run(ctx)
-	k.Ended(request("guilty"), "lookup", quarantine.End{Server: "server"})
+	k.RecordEnd(request("guilty"), "lookup", quarantine.End{Server: "server"})
 	other := request("")
 	other.Path = "/other"
 	for b.Loop() {
--- a/internal/quarantinesync/schedule.go
+++ b/internal/quarantinesync/schedule.go
@@ -39,13 +39,13 @@
 	}
 }
 
-// write has the store take what is due, one batch at a time.
-func (t *task) write(ctx context.Context) {
+// startWrite writes what is due, one batch at a time.
+func (t *task) startWrite(ctx context.Context) {
 	now := time.Now()
 	if t.writing || now.Before(t.resume) {
 		return
 	}
-	batch := t.batch(now)
+	batch := t.takeDue(now)
 	if len(batch) == 0 {
 		t.wakeForNext(now)
 		return
@@ -54,8 +54,8 @@
 	go func() { t.syncer.send(ctx, t.syncer.writeBatch(ctx, batch)) }()
 }
 
-// batch takes what is due now.
-func (t *task) batch(now time.Time) []quarantine.Record {
+// takeDue returns and forgets what is due now.
+func (t *task) takeDue(now time.Time) []quarantine.Record {
 	var batch []quarantine.Record
 	for id, due := range t.due {
 		if now.Before(due.from) {
@@ -86,10 +86,10 @@
 	}
 }
 
-// written takes what became of a batch.
-func (t *task) written(m writtenMessage) {
+// recordWritten records what became of a batch.
+func (t *task) recordWritten(m writtenMessage) {
 	t.writing = false
-	t.take(takeMessage{records: m.stored})
+	t.merge(mergeMessage{records: m.stored})
 	for _, id := range m.failed {
 		t.due[id] = dueWrite{from: time.Now()}
 	}
--- a/internal/quarantinesync/task.go
+++ b/internal/quarantinesync/task.go
@@ -17,16 +17,16 @@
 	table   *quarantine.Table
 	due     map[string]dueWrite // what is to be written
 	writing bool
-	resume  time.Time   // until then the store is left alone
+	resume  time.Time   // until when nothing is written, since the store did not answer
 	retry   *time.Timer // fires when something is to be written
 	pause   *backoff.ExponentialBackOff
-	updates []quarantine.Record // what is to be told to daemons of the service
-	spread  []quarantine.Record // what is to be told to all
+	updates []quarantine.Record // to be sent to the daemons of their services
+	spread  []quarantine.Record // to be sent to all daemons
 }
 
-func newTask(k *Syncer) *task {
+func newTask(s *Syncer) *task {
 	t := &task{
-		syncer: k,
+		syncer: s,
 		table:  quarantine.New(),
 		due:    make(map[string]dueWrite),
 		retry:  time.NewTimer(time.Hour),
@@ -36,7 +36,7 @@
 	return t
 }
 
-// run takes messages until ctx ends. What several say that wait together is told and written at once.
+// run handles messages until ctx ends. The changes of all that wait together are sent and written at once.
 func (t *task) run(ctx context.Context) {
 	forget := time.NewTicker(forgetEvery)
 	defer forget.Stop()
@@ -52,12 +52,12 @@
 		case <-ctx.Done():
 			return
 		}
-		t.tell()
-		t.write(ctx)
+		t.sendUpdates()
+		t.startWrite(ctx)
 	}
 }
 
-// handleWaiting takes the messages that wait already.
+// handleWaiting handles the messages that wait already.
 func (t *task) handleWaiting() {
 	for range messagesWaiting {
 		select {
@@ -69,30 +69,30 @@
 	}
 }
 
-// handle takes one message.
+// handle handles one message.
 func (t *task) handle(now time.Time, message any) {
 	switch m := message.(type) {
 	case endedMessage:
-		t.learn(now, m.sighting.ID, func() (quarantine.Record, bool) { return t.table.Ended(now, m.sighting, m.end) })
+		t.learn(now, m.sighting.ID, func() (quarantine.Record, bool) { return t.table.RecordEnd(now, m.sighting, m.end) })
 		close(m.known)
 	case answeredMessage:
-		t.learn(now, m.id, func() (quarantine.Record, bool) { return t.table.Answered(now, m.id) })
+		t.learn(now, m.id, func() (quarantine.Record, bool) { return t.table.RecordAnswer(now, m.id) })
 	case liftMessage:
 		record, ok := t.learn(now, m.id, func() (quarantine.Record, bool) { return t.table.Lift(now, m.id) })
 		m.reply <- answer{record: record, ok: ok}
-	case tryMessage:
-		record, ok := t.table.Try(now, m.id, t.syncer.config.Host)
+	case trialMessage:
+		record, ok := t.table.ProposeTrial(now, m.id, t.syncer.config.Host)
 		m.reply <- answer{record: record, ok: ok}
-	case takeMessage:
-		t.take(m)
+	case mergeMessage:
+		t.merge(m)
 	case recordsMessage:
 		m.reply <- t.table.Records()
 	case writtenMessage:
-		t.written(m)
+		t.recordWritten(m)
 	}
 }
 
-// learn makes a change that this daemon finds out by itself, which it tells and writes.
+// learn makes a change that this daemon finds out by itself, and has it sent and written.
 func (t *task) learn(now time.Time, id string, change func() (quarantine.Record, bool)) (quarantine.Record, bool) {
 	before, _ := t.table.Find(id)
 	after, changed := change()
@@ -101,12 +101,12 @@
 	}
 	t.writeLater(now, before, after)
 	t.updates = append(t.updates, after)
-	t.changed(before, after)
+	t.apply(before, after)
 	return after, true
 }
 
-// changed makes a change known here.
-func (t *task) changed(before, after quarantine.Record) {
+// apply makes a change of the table visible to lookups, logs it, and has a quarantine that begins or ends spread.
+func (t *task) apply(before, after quarantine.Record) {
 	t.publish()
 	if after.Quarantined() != before.Quarantined() {
 		t.spread = append(t.spread, after)
@@ -130,12 +130,12 @@
 	t.syncer.metrics.quarantined.Update(float64(view.Count(quarantine.Quarantined)))
 }
 
-// take takes records of others.
-func (t *task) take(m takeMessage) {
+// merge merges records of other daemons or of the store.
+func (t *task) merge(m mergeMessage) {
 	for _, record := range m.records {
 		before, _ := t.table.Find(record.ID)
-		for _, after := range t.table.Take([]quarantine.Record{record}) {
-			t.changed(before, after)
+		for _, after := range t.table.Merge([]quarantine.Record{record}) {
+			t.apply(before, after)
 		}
 		if m.stored {
 			t.writeIfMore(record)
@@ -161,8 +161,8 @@
 	go t.syncer.remove(ctx, forgotten)
 }
 
-// tell tells the daemons of the services what has changed here, and a few of all what is quarantined.
-func (t *task) tell() {
+// sendUpdates sends what was learned here to the daemons of the services, and what is quarantined to a few of all.
+func (t *task) sendUpdates() {
 	byService := make(map[string][]quarantine.Record)
 	for _, record := range t.updates {
 		byService[record.Service] = append(byService[record.Service], record)
--- a/internal/quarantinesync/trial.go
+++ b/internal/quarantinesync/trial.go
@@ -9,67 +9,67 @@
 	"github.com/tideliftd/tidelift/internal/store"
 )
 
-// tryWithin bounds how long a request in quarantine waits to be the one that is tried once more. Source:
+// trialWithin bounds how long a request in quarantine waits for its trial to be granted. Source:
 // two calls of the store of a few milliseconds each.
-const tryWithin = 250 * time.Millisecond
+const trialWithin = 250 * time.Millisecond
 
-// MayTry reports whether the request in quarantine may be tried once more, as far as is known here.
-func (k *Syncer) MayTry(id string) bool { return k.view.Load().MayTry(time.Now(), id) }
+// TrialDue reports whether the request in quarantine may be tried once more, as far as is known here.
+func (s *Syncer) TrialDue(id string) bool { return s.view.Load().TrialDue(time.Now(), id) }
 
-// Try reports whether this daemon may send the request in quarantine once more. Of all daemons one may, once:
-// whoever writes so into the store first. Without the store nobody may.
-func (k *Syncer) Try(ctx context.Context, id string) bool {
-	if !k.MayTry(id) {
+// StartTrial reports whether this daemon may send the request in quarantine once more. Of all daemons one may, once:
+// the first to write so into the store. Without the store none may.
+func (s *Syncer) StartTrial(ctx context.Context, id string) bool {
+	if !s.TrialDue(id) {
 		return false
 	}
-	record, ok := k.candidate(ctx, id)
+	record, ok := s.proposal(ctx, id)
 	if !ok {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, tryWithin)
+	ctx, cancel := context.WithTimeout(ctx, trialWithin)
 	defer cancel()
-	return k.claim(ctx, record)
+	return s.claim(ctx, record)
 }
 
-// candidate asks the task for the record by which this host may send the request.
-func (k *Syncer) candidate(ctx context.Context, id string) (quarantine.Record, bool) {
+// proposal asks the task for the record by which this host may send the request.
+func (s *Syncer) proposal(ctx context.Context, id string) (quarantine.Record, bool) {
 	reply := make(chan answer, 1)
-	k.send(ctx, tryMessage{id: id, reply: reply})
+	s.send(ctx, trialMessage{id: id, reply: reply})
 	select {
 	case c := <-reply:
 		return c.record, c.ok
 	case <-ctx.Done():
-	case <-k.ended:
+	case <-s.ended:
 	}
 	return quarantine.Record{}, false
 }
 
 // claim writes the record if the store has the request in quarantine and nobody has tried it.
-func (k *Syncer) claim(ctx context.Context, record quarantine.Record) bool {
-	item, err := k.config.Store.Get(ctx, k.keyOf(record))
+func (s *Syncer) claim(ctx context.Context, record quarantine.Record) bool {
+	item, err := s.config.Store.Get(ctx, s.keyOf(record))
 	if err != nil {
-		k.config.OnError(err)
+		s.config.OnError(err)
 		return false
 	}
-	stored, ok := k.decodeFound(item)
+	stored, ok := s.decodeFound(item)
 	if !ok {
 		return false // it is not there yet, so that others cannot know who tries it
 	}
 	merged := quarantine.Merge(stored, record)
-	if stored.Tried != "" || stored.Epoch != record.Epoch || !merged.Quarantined() {
-		k.send(ctx, takeMessage{records: []quarantine.Record{stored}})
+	if stored.TrialHost != "" || stored.Epoch != record.Epoch || !merged.Quarantined() {
+		s.send(ctx, mergeMessage{records: []quarantine.Record{stored}})
 		return false
 	}
-	put, err := k.putOf(ctx, merged)
+	put, err := s.putOf(ctx, merged)
 	if err != nil {
 		return false
 	}
 	change := store.Change{Puts: []store.Put{put}, Expect: []store.Expect{{Key: put.Key, Revision: item.Revision}}}
-	if err := k.commit(ctx, change); err != nil {
-		return false // another was first, or nobody knows
+	if err := s.commit(ctx, change); err != nil {
+		return false // another was first, or the store did not answer
 	}
-	k.send(ctx, takeMessage{records: []quarantine.Record{merged}})
-	k.metrics.trials.Inc(1)
-	event.Log(k.config.Logger, event.QuarantineTrial, "fingerprint", record.ID, "service", record.Service, "path", record.Path)
+	s.send(ctx, mergeMessage{records: []quarantine.Record{merged}})
+	s.metrics.trials.Inc(1)
+	event.Log(s.config.Logger, event.QuarantineTrial, "fingerprint", record.ID, "service", record.Service, "path", record.Path)
 	return true
 }
--- a/internal/quarantinesync/write.go
+++ b/internal/quarantinesync/write.go
@@ -21,72 +21,72 @@
 )
 
 // heldPrefix begins the keys of what was ever quarantined.
-func (k *Syncer) heldPrefix() string { return k.config.Prefix + "/held/" }
+func (s *Syncer) heldPrefix() string { return s.config.Prefix + "/held/" }
 
-// keyOf returns the record's key. What is only suspected stands apart, where nobody follows it: whoever
-// sees the next end reads it.
-func (k *Syncer) keyOf(r quarantine.Record) string {
+// keyOf returns the record's key. What is only suspected has a prefix of its own that no daemon follows:
+// one that sees the next end reads it.
+func (s *Syncer) keyOf(r quarantine.Record) string {
 	if r.WasQuarantined() {
-		return k.heldPrefix() + r.ID
+		return s.heldPrefix() + r.ID
 	}
-	return k.config.Prefix + "/suspected/" + r.ID
+	return s.config.Prefix + "/suspected/" + r.ID
 }
 
 // writeBatch writes the records: all as new ones, and if some are known to the store, each merged with what
 // it has.
-func (k *Syncer) writeBatch(ctx context.Context, batch []quarantine.Record) writtenMessage {
+func (s *Syncer) writeBatch(ctx context.Context, batch []quarantine.Record) writtenMessage {
 	ctx, cancel := context.WithTimeout(ctx, writeWithin)
 	defer cancel()
-	if len(batch) > 1 && k.writeNew(ctx, batch) == nil {
-		k.config.OnAnswer()
+	if len(batch) > 1 && s.writeNew(ctx, batch) == nil {
+		s.config.OnAnswer()
 		return writtenMessage{stored: batch}
 	}
 	var done writtenMessage
 	for _, record := range batch {
-		stored, err := k.writeMerged(ctx, record)
+		stored, err := s.writeMerged(ctx, record)
 		if err != nil {
-			k.config.OnError(err)
+			s.config.OnError(err)
 			done.failed = append(done.failed, record.ID)
 			continue
 		}
-		k.config.OnAnswer()
+		s.config.OnAnswer()
 		done.stored = append(done.stored, stored)
 	}
 	return done
 }
 
 // writeNew writes records that the store does not know.
-func (k *Syncer) writeNew(ctx context.Context, records []quarantine.Record) error {
+func (s *Syncer) writeNew(ctx context.Context, records []quarantine.Record) error {
 	var change store.Change
 	for _, record := range records {
-		put, err := k.putOf(ctx, record)
+		put, err := s.putOf(ctx, record)
 		if err != nil {
 			return err
 		}
 		change.Puts = append(change.Puts, put)
 		change.Expect = append(change.Expect, store.Expect{Key: put.Key})
 	}
-	return k.commit(ctx, change)
+	return s.commit(ctx, change)
 }
 
 // writeMerged writes a record together with what the store has of it, and returns what the store has then.
-func (k *Syncer) writeMerged(ctx context.Context, record quarantine.Record) (quarantine.Record, error) {
+func (s *Syncer) writeMerged(ctx context.Context, record quarantine.Record) (quarantine.Record, error) {
 	known := int64(0) // revision of what record was merged with
 	for range conflicts {
-		put, err := k.putOf(ctx, record)
+		put, err := s.putOf(ctx, record)
 		if err != nil {
 			return record, err
 		}
-		err = k.commit(ctx, store.Change{Puts: []store.Put{put}, Expect: []store.Expect{{Key: put.Key, Revision: known}}})
+		err = s.commit(ctx, store.Change{Puts: []store.Put{put}, Expect: []store.Expect{{Key: put.Key, Revision: known}}})
 		if !errors.Is(err, store.ErrConflict) {
 			return record, err
 		}
-		item, err := k.config.Store.Get(ctx, put.Key)
+		item, err := s.config.Store.Get(ctx, put.Key)
 		if err != nil {
 			return record, err
 		}
 		known = item.Revision
-		stored, ok := k.decodeFound(item)
+		stored, ok := s.decodeFound(item)
 		if !ok {
 			continue
 		}
@@ -94,7 +94,7 @@
 		if record.Same(stored) {
 			return record, nil
 		}
-		if k.keyOf(record) != put.Key {
+		if s.keyOf(record) != put.Key {
 			known = 0 // both together are a quarantine, which has another key
 		}
 	}
@@ -102,59 +102,59 @@
 }
 
 // decodeFound reads what the store has of a record, if it has something.
-func (k *Syncer) decodeFound(item store.Item) (quarantine.Record, bool) {
+func (s *Syncer) decodeFound(item store.Item) (quarantine.Record, bool) {
 	if item.Data == nil {
 		return quarantine.Record{}, false
 	}
-	return k.decode(item)
+	return s.decode(item)
 }
 
 // putOf returns what writes the record. What was ever quarantined stays until it is forgotten everywhere; the
 // rest ends with a lease.
-func (k *Syncer) putOf(ctx context.Context, record quarantine.Record) (store.Put, error) {
+func (s *Syncer) putOf(ctx context.Context, record quarantine.Record) (store.Put, error) {
 	data, err := json.Marshal(record)
 	if err != nil {
 		return store.Put{}, errors.Wrap(err, "encode record")
 	}
-	put := store.Put{Key: k.keyOf(record), Data: data}
+	put := store.Put{Key: s.keyOf(record), Data: data}
 	if record.WasQuarantined() {
 		return put, nil
 	}
-	put.Lease, err = k.lease.get(ctx, k.config.Store)
+	put.Lease, err = s.lease.get(ctx, s.config.Store)
 	return put, err
 }
 
 // commit makes the change. A lease that has ended is not used again.
-func (k *Syncer) commit(ctx context.Context, change store.Change) error {
-	_, err := k.config.Store.Commit(ctx, change)
+func (s *Syncer) commit(ctx context.Context, change store.Change) error {
+	_, err := s.config.Store.Commit(ctx, change)
 	if errors.Is(err, store.ErrNoLease) {
-		k.lease.drop()
+		s.lease.drop()
 	}
 	return err
 }
 
 // remove takes records out of the store that are forgotten. Of those that were ever quarantined one daemon of
 // those that watch is enough; if none does it now, the key is read and forgotten again at the next start.
-func (k *Syncer) remove(ctx context.Context, records []quarantine.Record) {
+func (s *Syncer) remove(ctx context.Context, records []quarantine.Record) {
 	ctx, cancel := context.WithTimeout(ctx, writeWithin)
 	defer cancel()
 	for _, record := range records {
-		if !record.Held || !k.config.Watches() {
+		if !record.EverQuarantined || !s.config.Watches() {
 			continue
 		}
-		key := k.keyOf(record)
-		item, err := k.config.Store.Get(ctx, key)
+		key := s.keyOf(record)
+		item, err := s.config.Store.Get(ctx, key)
 		if err != nil {
-			k.config.OnError(err)
+			s.config.OnError(err)
 			return
 		}
-		stored, ok := k.decodeFound(item)
+		stored, ok := s.decodeFound(item)
 		if !ok || !stored.Same(record) {
 			continue
 		}
 		change := store.Change{Remove: []string{key}, Expect: []store.Expect{{Key: key, Revision: item.Revision}}}
-		if err := k.commit(ctx, change); err != nil && !errors.Is(err, store.ErrConflict) {
-			k.config.OnError(err)
+		if err := s.commit(ctx, change); err != nil && !errors.Is(err, store.ErrConflict) {
+			s.config.OnError(err)
 		}
 	}
 }
--- a/internal/sidecar/ends.go
+++ b/internal/sidecar/ends.go
@@ -35,7 +35,7 @@
 		return nil
 	}
 	status, id := q.Status(s.fingerprintOf(in, call.Body.First))
-	if status != quarantine.Quarantined || !hasSlot && q.MayTry(id) || hasSlot && q.Try(ctx, id) {
+	if status != quarantine.Quarantined || !hasSlot && q.TrialDue(id) || hasSlot && q.StartTrial(ctx, id) {
 		return nil
 	}
 	return result.New(result.Quarantined).WithDetail("fingerprint %s", id)
@@ -46,7 +46,7 @@
 func (s *Sidecar) recordAnswered(server *server, call hop.Call, in *http.Request) {
 	server.recordAlive()
 	if q := s.config.Quarantine; q != nil && !q.Quiet() {
-		q.Answered(s.fingerprintOf(in, call.Body.Known))
+		q.RecordAnswer(s.fingerprintOf(in, call.Body.Known))
 	}
 }
 
@@ -73,7 +73,7 @@
 		"request", id, "host", request.Host, "path", request.Path, "took_ms", took.Milliseconds())
 	if s.config.Quarantine != nil {
 		end := quarantine.End{Server: declared.BackendServer.Name, At: server.recordEnd(time.Now())}
-		s.config.Quarantine.Ended(request, declared.Service.Name, end)
+		s.config.Quarantine.RecordEnd(request, declared.Service.Name, end)
 	}
 }
 
