--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -17,8 +17,8 @@
 // wraps ErrNotSent proves that no byte was sent. The body of an answer must be
 // closed; the end of ctx closes the connection.
 //
-// The pool is in backend.go, one connection in conn.go, with the look at an idle one
-// in quiet.go, and the bodies of requests and answers in body.go and answer.go.
+// The pool is in backend.go, one connection in conn.go, with the check of an idle one
+// in open.go, whether the backend server has ended in ended.go, and the bodies of requests and answers in body.go and answer.go.
 package backend
 
 import (
@@ -48,10 +48,10 @@
 type Pool struct {
 	config Config
 
-	mu    sync.Mutex
-	idle  []*conn       // the one used last stands last
-	rest  time.Duration // how long the last answer lets a connection rest
-	ended bool
+	mu      sync.Mutex
+	idle    []*conn       // the one used last stands last
+	idleFor time.Duration // how long a connection may stay idle, by the last answer
+	ended   bool
 }
 
 // New returns a pool without connections and a function that closes the idle
@@ -60,7 +60,7 @@
 	if config.OnConnect == nil {
 		config.OnConnect = func() {}
 	}
-	p := &Pool{config: config, rest: freshRest}
+	p := &Pool{config: config, idleFor: defaultIdle}
 	return p, p.end
 }
 
@@ -106,7 +106,7 @@
 		if !ok {
 			return p.connect(ctx)
 		}
-		if time.Now().Before(c.until) && c.quiet() {
+		if time.Now().Before(c.idleUntil) && c.open() {
 			return c, nil
 		}
 		c.close()
@@ -143,15 +143,15 @@
 		c.close()
 		return
 	}
-	p.rest = c.rest
+	p.idleFor = c.idleFor
 	p.idle = append(p.idle, c)
 	p.closeStale(time.Now())
 }
 
-// closeStale closes the connections that have rested too long; the one that
-// rested longest stands first.
+// closeStale closes the connections that have been idle for too long; the one that was used
+// longest ago stands first.
 func (p *Pool) closeStale(now time.Time) {
-	for len(p.idle) > 0 && now.After(p.idle[0].until) {
+	for len(p.idle) > 0 && now.After(p.idle[0].idleUntil) {
 		p.idle[0].close()
 		p.idle = p.idle[1:]
 	}
--- a/internal/backend/body.go
+++ b/internal/backend/body.go
@@ -11,22 +11,22 @@
 // waits for it, before it is sent unasked. Source: net/http's default.
 const continueTimeout = time.Second
 
-// errNotAsked means that the backend server answered without asking for the body.
-var errNotAsked = errors.New("body was not asked for")
+// errNotContinued means that the backend server answered without asking for the body.
+var errNotContinued = errors.New("body was not asked for")
 
-// tellAsked lets a body that waits for it be sent, or not.
-func (c *conn) tellAsked(asked bool) {
-	if c.asked == nil {
+// reportContinue lets the request's waiting body be sent, or not.
+func (c *conn) reportContinue(asked bool) {
+	if c.proceed == nil {
 		return
 	}
 	select {
-	case c.asked <- asked:
-	default: // it is told already
+	case c.proceed <- asked:
+	default: // it was reported already
 	}
 }
 
-// askedBody is a body that is sent once the backend server asks for it.
-type askedBody struct {
+// waitingBody is a body that is sent once the backend server asks for it.
+type waitingBody struct {
 	io.ReadCloser
 	conn  *conn
 	begun bool
@@ -34,7 +34,7 @@
 
 // Read waits for the first piece until the backend server asks for it or has had
 // long enough to refuse it.
-func (b *askedBody) Read(p []byte) (int, error) {
+func (b *waitingBody) Read(p []byte) (int, error) {
 	if !b.begun {
 		b.begun = true
 		if err := b.wait(); err != nil {
@@ -45,16 +45,16 @@
 }
 
 // wait sends the head and waits until the body is asked for, refused or due.
-func (b *askedBody) wait() error {
+func (b *waitingBody) wait() error {
 	if err := b.conn.writer.Flush(); err != nil {
 		return err
 	}
 	timer := time.NewTimer(continueTimeout)
 	defer timer.Stop()
 	select {
-	case asked := <-b.conn.asked:
+	case asked := <-b.conn.proceed:
 		if !asked {
-			return errNotAsked
+			return errNotContinued
 		}
 	case <-timer.C:
 	}
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -16,13 +16,14 @@
 	// maxForeign is how many answers to other requests are read past. Source:
 	// a backend server that answers twice leaves one behind.
 	maxForeign = 2
-	// maxForeignBody bounds what is read of such an answer, in bytes.
+	// maxForeignBody bounds what is read of such an answer, in bytes. Not measured: reading a
+	// longer one takes longer than a new connection.
 	maxForeignBody = 1 << 20
-	// idleTimeout is how long an idle connection is kept when the backend
-	// server does not say.
+	// idleTimeout is how long an idle connection is kept when the backend server does not say.
+	// Not measured: most servers keep theirs for a minute or more.
 	idleTimeout = 30 * time.Second
-	// idlePart is the part of the time that the backend server names for which
-	// an idle connection is used, so that a request seldom meets its closing.
+	// idlePart is the part of the time that the backend server names for which an idle
+	// connection is used. Not measured: so that a request seldom meets its closing.
 	idlePart = 0.7
 	// bufferSize is the size of a connection's buffers, in bytes.
 	bufferSize = 4 << 10
@@ -33,17 +34,17 @@
 
 // conn is one connection.
 type conn struct {
-	socket net.Conn
-	reader *bufio.Reader
-	writer *bufio.Writer
-	rest   time.Duration // how long it may rest
-	until  time.Time     // until when it does
-	odd    bool          // an answer to another request came
-	sent   chan error    // how the sending of the request ended
-
-	// asked says that the backend server asked for the body, or false that it
-	// answered without; nil for a request that does not wait for that.
-	asked chan bool
+	socket    net.Conn
+	reader    *bufio.Reader
+	writer    *bufio.Writer
+	idleFor   time.Duration // how long it may stay idle
+	idleUntil time.Time     // until when it may
+	foreign   bool          // an answer to another request came
+	sent      chan error    // how the sending of the request ended
+
+	// proceed gets true once the backend server asks for the body (100 Continue), and false if
+	// it answers without; nil for a request that does not wait for that.
+	proceed chan bool
 }
 
 // newConn returns a connection over the socket.
@@ -60,10 +61,10 @@
 // send writes the request beside the reading of its answer, since a backend
 // server may answer before it has read all of a body.
 func (c *conn) send(r *http.Request) {
-	c.asked = nil
+	c.proceed = nil
 	if r.Header.Get("Expect") != "" && r.Body != nil {
-		c.asked = make(chan bool, 1)
-		r.Body = &askedBody{ReadCloser: r.Body, conn: c}
+		c.proceed = make(chan bool, 1)
+		r.Body = &waitingBody{ReadCloser: r.Body, conn: c}
 	}
 	c.sent = make(chan error, 1)
 	if r.Body == nil || r.Body == http.NoBody {
@@ -76,7 +77,7 @@
 // write writes the request to the connection.
 func (c *conn) write(r *http.Request) error {
 	err := r.Write(c.writer)
-	if errors.Is(err, errNotAsked) {
+	if errors.Is(err, errNotContinued) {
 		return err // the answer is there, and the connection is not used again
 	}
 	if err != nil {
@@ -99,7 +100,7 @@
 		if belongs(response) {
 			return response, nil
 		}
-		c.odd = true
+		c.foreign = true
 		if err := skip(response); err != nil {
 			return nil, errors.Wrap(err, "read answer to another request")
 		}
@@ -111,7 +112,7 @@
 func (c *conn) readFinal(r *http.Request) (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(c.reader, r)
-		c.tellAsked(err == nil && response.StatusCode == http.StatusContinue)
+		c.reportContinue(err == nil && response.StatusCode == http.StatusContinue)
 		if err != nil || response.StatusCode >= http.StatusOK {
 			return response, err
 		}
@@ -138,17 +139,19 @@
 }
 
 // reusable reports whether the connection is fit for another request after a
-// whole answer, and notes for how long.
+// whole answer, and records for how long.
 func (c *conn) reusable(response *http.Response) bool {
-	if !c.sentWhole() || c.odd || response.Close || c.reader.Buffered() > 0 {
+	if !c.sentWhole() || c.foreign || response.Close || c.reader.Buffered() > 0 {
 		return false
 	}
-	c.restFrom(time.Now(), restFor(response.Header.Get("Keep-Alive")))
+	c.setIdle(time.Now(), idleTimeFrom(response.Header.Get("Keep-Alive")))
 	return true
 }
 
-// restFrom lets the connection rest for so long.
-func (c *conn) restFrom(now time.Time, rest time.Duration) { c.rest, c.until = rest, now.Add(rest) }
+// setIdle lets the connection stay idle for so long.
+func (c *conn) setIdle(now time.Time, idle time.Duration) {
+	c.idleFor, c.idleUntil = idle, now.Add(idle)
+}
 
 // sentWhole reports whether the request was sent to its end.
 func (c *conn) sentWhole() bool {
@@ -160,8 +163,8 @@
 	}
 }
 
-// restFor returns how long a connection may rest, by the Keep-Alive header.
-func restFor(header string) time.Duration {
+// idleTimeFrom returns how long a connection may stay idle, by the Keep-Alive header.
+func idleTimeFrom(header string) time.Duration {
 	for field := range strings.SplitSeq(header, ",") {
 		value, ok := strings.CutPrefix(strings.TrimSpace(field), "timeout=")
 		if !ok {
--- a/internal/backend/ended.go
+++ b/internal/backend/ended.go
@@ -17,22 +17,23 @@
 	// the backend server goes on. Source: a process that ends closes its sockets one after the other,
 	// within some milliseconds.
 	endSettles = 50 * time.Millisecond
-	// freshRest is how long a connection that was made for the question is kept for a request before
-	// any answer has said how long connections may rest.
-	freshRest = time.Second
+	// defaultIdle is how long a connection that was made for the check is kept for a request before
+	// any answer has said how long connections may stay idle. Not measured: short, since nothing is
+	// known of the backend server.
+	defaultIdle = time.Second
 )
 
-// Ended reports whether the backend server has ended, which it is asked right after a connection to it
-// was lost. One that goes on has left another connection open, or takes the next one, which is then
-// kept for a request; one that has ended refuses it. Since a process that ends does not close all at
-// once, the question is put again a moment later, and later is called if the backend server has ended
-// then.
-func (p *Pool) Ended(later func()) bool {
-	open, refused := p.listens()
+// CheckEnded reports whether the backend server has ended. It is called right after a connection to it
+// was lost. One that goes on has left another connection open, or takes a new one, which is then kept
+// for a request; one that has ended refuses it. Since a process that ends does not close all its
+// sockets at once, that is checked again after endSettles, and later is called if the backend server
+// has ended then.
+func (p *Pool) CheckEnded(later func()) bool {
+	open, refused := p.checkListening()
 	if open {
 		go func() {
 			time.Sleep(endSettles)
-			if _, refused := p.listens(); refused {
+			if _, refused := p.checkListening(); refused {
 				later()
 			}
 		}()
@@ -40,37 +41,37 @@
 	return refused
 }
 
-// listens reports whether a connection is open, be it one that rests or a new one, or whether a new one was
-// refused; neither is known if it took too long.
-func (p *Pool) listens() (open, refused bool) {
-	if p.anyOpen() {
+// checkListening reports whether a connection is open, an idle or a new one, or whether a new one was refused; both
+// are false if it took too long.
+func (p *Pool) checkListening() (open, refused bool) {
+	if p.anyIdleOpen() {
 		return true, false
 	}
-	c, refused := p.knock()
+	c, refused := p.tryConnect()
 	if c != nil {
-		p.keep(c)
+		p.addIdle(c)
 	}
 	return c != nil, refused
 }
 
-// anyOpen reports whether a connection that rests is open still. It spares the backend server a new one: on a
+// anyIdleOpen reports whether an idle connection is still open. It spares the backend server a new one: on a
 // quiet day with backend servers that break connections there were half as many again without it.
-func (p *Pool) anyOpen() bool {
+func (p *Pool) anyIdleOpen() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return slices.ContainsFunc(p.idle, (*conn).quiet)
+	return slices.ContainsFunc(p.idle, (*conn).open)
 }
 
-// keep keeps a connection that was made for the question, for as long as others may rest.
-func (p *Pool) keep(c *conn) {
+// addIdle keeps a connection that was made for the check, for as long as others may stay idle.
+func (p *Pool) addIdle(c *conn) {
 	p.mu.Lock()
-	c.restFrom(time.Now(), p.rest)
+	c.setIdle(time.Now(), p.idleFor)
 	p.mu.Unlock()
 	p.giveBack(c, true)
 }
 
-// knock opens a connection, or says that it was refused.
-func (p *Pool) knock() (c *conn, refused bool) {
+// tryConnect opens a connection, or reports that it was refused.
+func (p *Pool) tryConnect() (c *conn, refused bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), endedConnect)
 	defer cancel()
 	c, err := p.connect(ctx)
--- a/internal/backend/ended_test.go
+++ b/internal/backend/ended_test.go
@@ -32,7 +32,7 @@
 	var connects int
 	listener, pool := listen(t, &connects)
 	_ = listener.Close()
-	if !pool.Ended(func() { t.Error("told twice") }) {
+	if !pool.CheckEnded(func() { t.Error("told twice") }) {
 		t.Fatal("nobody listens, and it has not ended")
 	}
 }
@@ -51,7 +51,7 @@
 			go serve(socket, func(id string, _ int) string { return reply(id, "done", "") })
 		}
 	}()
-	if pool.Ended(func() { t.Error("it is said to have ended") }) {
+	if pool.CheckEnded(func() { t.Error("it is said to have ended") }) {
 		t.Fatal("it is said to have ended")
 	}
 	time.Sleep(100 * time.Millisecond)
@@ -69,7 +69,7 @@
 	var connects int
 	listener, pool := listen(t, &connects)
 	ended := make(chan struct{})
-	if pool.Ended(func() { close(ended) }) {
+	if pool.CheckEnded(func() { close(ended) }) {
 		t.Fatal("it still listens")
 	}
 	_ = listener.Close() // also resets what it has not accepted
--- a/internal/backend/quiet.go
+++ b/internal/backend/open.go
@@ -7,9 +7,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// quiet reports whether an idle connection is open and has nothing to read. Bytes
+// open reports whether an idle connection is open and has nothing to read. Bytes
 // that come unasked belong to no request.
-func (c *conn) quiet() bool {
+func (c *conn) open() bool {
 	tcp, ok := c.socket.(*net.TCPConn)
 	if !ok {
 		return c.reader.Buffered() == 0
@@ -18,9 +18,9 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
-	err = raw.Control(func(fd uintptr) { quiet = nothingToRead(int(fd)) })
-	return err == nil && quiet
+	open := false
+	err = raw.Control(func(fd uintptr) { open = nothingToRead(int(fd)) })
+	return err == nil && open
 }
 
 func nothingToRead(fd int) bool {
--- a/internal/body/body.go
+++ b/internal/body/body.go
@@ -7,7 +7,7 @@
 //	b.Prepare(deadline)             // what is short is read now
 //	b.Rewind(out)                   // for each attempt
 //	if b.Spent() { ... }            // it can no longer be sent from its start
-//	first, err := b.First(64 << 10) // by which a body is known; b.Known does not wait for the caller
+//	first, err := b.First(64 << 10) // for its fingerprint; b.TryFirst does not wait for the caller
 //
 // A short body is read whole before anything is sent, so that no attempt waits
 // for the caller. Of a longer one the first part is kept, and the rest streams
@@ -45,8 +45,8 @@
 // ErrUnread means that the caller has not sent enough of the body yet.
 var ErrUnread = errors.New("request body is not read yet")
 
-// errTakenBack means that a later attempt has the body.
-var errTakenBack = errors.New("request body is being sent elsewhere")
+// errSuperseded means that a later attempt has the body.
+var errSuperseded = errors.New("request body is being sent elsewhere")
 
 // Body lets each attempt read the caller's body from its start, as long as what
 // was read is still kept. It bounds the body's length. A nil Body is that of a
@@ -54,16 +54,16 @@
 type Body struct {
 	controller *http.ResponseController
 	length     int64 // as the caller announced it; below zero if it did not
-	asks       bool  // the caller sends it once it is asked for it
+	expects    bool  // the caller sends it once it is asked for it
 
-	whole   atomic.Bool // readAll has read it to its end
-	mu      sync.Mutex
-	source  io.Reader
-	left    int64
-	kept    []byte // from the start on
-	ended   bool   // the source was read to its end
-	lost    bool   // more was read than is kept
-	attempt int    // only the newest attempt may read
+	whole      atomic.Bool // readAll has read it to its end
+	mu         sync.Mutex
+	source     io.Reader
+	left       int64
+	kept       []byte // from the start on
+	ended      bool   // the source was read to its end
+	overflowed bool   // more was read than is kept
+	attempt    int    // only the newest attempt may read
 }
 
 // New returns the request's body made ready for attempts; it is nil without one.
@@ -75,7 +75,7 @@
 		controller: http.NewResponseController(w),
 		source:     r.Body,
 		length:     r.ContentLength,
-		asks:       r.Header.Get("Expect") != "",
+		expects:    r.Header.Get("Expect") != "",
 		left:       limit,
 	}
 }
@@ -88,7 +88,7 @@
 	}
 	// Both fail only for a connection that is gone, which the reading shows.
 	_ = b.controller.EnableFullDuplex()
-	if b.asks || b.length < 0 || b.length > maxKept {
+	if b.expects || b.length < 0 || b.length > maxKept {
 		_ = b.controller.SetReadDeadline(deadline.Add(readSlack))
 		return nil
 	}
@@ -139,18 +139,18 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.lost
+	return b.overflowed
 }
 
-// First returns the first bytes of the body, at most so many and no more than is kept. It reads on from the caller
-// where nobody has come so far, which is left for the attempts to read.
+// First returns the first bytes of the body, at most so many and no more than is kept. What has not been
+// read yet it reads from the caller and keeps for the attempts.
 func (b *Body) First(limit int) ([]byte, error) {
 	if b == nil {
 		return nil, nil
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for missing := b.missing(limit); missing > 0; missing = b.missing(limit) {
+	for missing := b.unread(limit); missing > 0; missing = b.unread(limit) {
 		if _, err := b.read(make([]byte, min(readAhead, missing))); err != nil && !errors.Is(err, io.EOF) {
 			return nil, err
 		}
@@ -158,32 +158,32 @@
 	return b.kept[:min(len(b.kept), limit)], nil
 }
 
-// Known returns the first bytes of the body like First, but fails if that would wait for the caller: one
+// TryFirst returns the first bytes of the body like First, but fails if that would wait for the caller: one
 // that waits for an answer itself sends nothing more.
-func (b *Body) Known(limit int) ([]byte, error) {
+func (b *Body) TryFirst(limit int) ([]byte, error) {
 	if b == nil {
 		return nil, nil
 	}
 	if !b.mu.TryLock() {
-		return nil, ErrUnread // somebody waits for the caller
+		return nil, ErrUnread // another read waits for the caller
 	}
 	defer b.mu.Unlock()
-	if b.missing(limit) > 0 {
+	if b.unread(limit) > 0 {
 		return nil, ErrUnread
 	}
 	return b.kept[:min(len(b.kept), limit)], nil
 }
 
-// missing is how much has yet to be read, at the most, for the first bytes of the body. The caller holds mu.
-func (b *Body) missing(limit int) int {
-	if b.ended || b.lost {
+// unread returns how much has yet to be read, at the most, for the first bytes of the body. The caller holds mu.
+func (b *Body) unread(limit int) int {
+	if b.ended || b.overflowed {
 		return 0
 	}
 	return max(0, min(limit, maxKept)-len(b.kept))
 }
 
-// Finish ends the reading of what is left of the body, which whoever still sends
-// it does beside the answer. It returns once nobody reads any more.
+// Finish ends the reading of the rest of the body, which an attempt may still send after it was
+// answered. It returns once that has stopped.
 //
 // Of a body that was read to its end nothing is left to end: net/http then waits on the
 // connection for the caller to go away, and a read that is ended takes it for gone, with the
@@ -206,7 +206,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if attempt != b.attempt {
-		return 0, errTakenBack
+		return 0, errSuperseded
 	}
 	if offset < len(b.kept) {
 		return copy(p, b.kept[offset:]), nil
@@ -233,8 +233,8 @@
 // by which it is known.
 func (b *Body) keep(piece []byte) {
 	room := maxKept - len(b.kept)
-	if b.lost || len(piece) > room {
-		b.lost = true
+	if b.overflowed || len(piece) > room {
+		b.overflowed = true
 		piece = piece[:min(len(piece), room)]
 	}
 	b.kept = append(b.kept, piece...)
--- a/internal/body/body_test.go
+++ b/internal/body/body_test.go
@@ -106,7 +106,7 @@
 			_, _ = io.Copy(io.Discard, out.Body) // waits for the caller
 		}()
 		for range 20 {
-			if known, err := b.Known(100); err == nil {
+			if known, err := b.TryFirst(100); err == nil {
 				t.Errorf("known is %q", known)
 			}
 			time.Sleep(time.Millisecond)
@@ -114,7 +114,7 @@
 		_, _ = sent.Write([]byte(" and more"))
 		_ = sent.Close()
 		<-reading
-		if known, err := b.Known(100); err != nil || string(known) != "a book and more" {
+		if known, err := b.TryFirst(100); err != nil || string(known) != "a book and more" {
 			t.Errorf("known is %q, %v", known, err)
 		}
 	})
--- a/internal/fingerprint/fingerprint.go
+++ b/internal/fingerprint/fingerprint.go
@@ -3,7 +3,7 @@
 // # Usage
 //
 //	r := fingerprint.Request{Method: "POST", Host: "a.example", Path: "/orders/7", Customer: "library-12", Body: body.First}
-//	if suspects.Mention(r.Head()) { // costs no look at the body
+//	if view.HasHead(r.Head()) { // the body is not read
 //		id, err := r.Digest()
 //	}
 //
--- a/internal/framing/framing.go
+++ b/internal/framing/framing.go
@@ -68,7 +68,7 @@
 	if !ok {
 		return false
 	}
-	return !watched.vouches(r.Method)
+	return !watched.isUnambiguous(r.Method)
 }
 
 // conn keeps the head of the present request.
@@ -95,11 +95,11 @@
 		c.restart()
 		c.early = true
 	}
-	c.keep(p[:n])
+	c.collect(p[:n])
 	return n, err
 }
 
-func (c *conn) keep(piece []byte) {
+func (c *conn) collect(piece []byte) {
 	if c.complete || len(c.head) > maxHead {
 		return
 	}
@@ -125,9 +125,9 @@
 	c.complete = false
 }
 
-// vouches reports whether the head is whole, is that of a request of the method,
+// isUnambiguous reports whether the head is whole, is that of a request of the method,
 // and has no Content-Length.
-func (c *conn) vouches(method string) bool {
+func (c *conn) isUnambiguous(method string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.complete || !bytes.HasPrefix(c.head, []byte(method+" ")) {
--- a/internal/hop/forward.go
+++ b/internal/hop/forward.go
@@ -140,8 +140,8 @@
 	return copyFlushing(w, response.Body, *buffer)
 }
 
-// copyFlushing passes on each piece as it comes, since nobody knows when the
-// next one will.
+// copyFlushing passes on each piece as it comes, since it is not known when the
+// next one does.
 func copyFlushing(w http.ResponseWriter, body io.Reader, buffer []byte) error {
 	flusher := http.NewResponseController(w)
 	if err := flusher.Flush(); err != nil {
--- a/internal/hop/trip.go
+++ b/internal/hop/trip.go
@@ -56,16 +56,16 @@
 // request is sent only on a connection, so without one it was not; unreachable
 // is the code for that.
 func Classify(ctx context.Context, connected bool, unreachable result.Code, err error) *result.Error {
-	slowAfter := errors.Is(ctx.Err(), context.DeadlineExceeded)
+	expired := errors.Is(ctx.Err(), context.DeadlineExceeded)
 	gone := errors.Is(ctx.Err(), context.Canceled)
 	switch {
-	case !connected && slowAfter:
+	case !connected && expired:
 		return result.Wrap(result.DeadlineBeforeRun, err)
 	case !connected && gone:
 		return result.Wrap(result.CancelledBefore, err)
 	case !connected:
 		return result.Wrap(unreachable, err)
-	case slowAfter:
+	case expired:
 		return result.Wrap(result.DeadlineWhileRunning, err)
 	case gone:
 		return result.Wrap(result.CallerGone, err)
--- a/internal/runs/runs.go
+++ b/internal/runs/runs.go
@@ -54,7 +54,7 @@
 	mu sync.Mutex
 	// young and old are by id; old is forgotten when young becomes old.
 	young, old map[string]Run
-	turned     time.Time // when that was
+	rotatedAt  time.Time // when young last became old
 }
 
 // New returns a table without runs.
@@ -68,15 +68,15 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.turn(now)
+	t.rotate(now)
 	if before, ok := t.find(run.ID); ok && before.Retry {
 		run.Retry = true
 	}
 	t.young[run.ID] = run
 }
 
-// Caller returns the run that sent the request with that id; it says false if none did, as
-// far as is known.
+// Caller returns the run that sent the request with that id; false if none did, as far as is
+// known.
 func (t *Table) Caller(now time.Time, id string) (Run, bool) {
 	head := id
 	for range mostHeads {
@@ -85,18 +85,18 @@
 			return Run{}, false
 		}
 		head = head[:end]
-		if run, ok := t.look(now, head); ok {
+		if run, ok := t.lookUp(now, head); ok {
 			return run, true
 		}
 	}
 	return Run{}, false
 }
 
-// look returns the run of that id.
-func (t *Table) look(now time.Time, id string) (Run, bool) {
+// lookUp returns the run of that id.
+func (t *Table) lookUp(now time.Time, id string) (Run, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.turn(now)
+	t.rotate(now)
 	return t.find(id)
 }
 
@@ -109,10 +109,10 @@
 	return run, ok
 }
 
-// turn forgets runs that began long ago. The caller holds mu.
-func (t *Table) turn(now time.Time) {
-	if now.Sub(t.turned) < remembered {
+// rotate forgets runs that began long ago. The caller holds mu.
+func (t *Table) rotate(now time.Time) {
+	if now.Sub(t.rotatedAt) < remembered {
 		return
 	}
-	t.old, t.young, t.turned = t.young, make(map[string]Run), now
+	t.old, t.young, t.rotatedAt = t.young, make(map[string]Run), now
 }
--- a/internal/sidecar/ends.go
+++ b/internal/sidecar/ends.go
@@ -46,7 +46,7 @@
 func (s *Sidecar) recordAnswered(server *server, call hop.Call, in *http.Request) {
 	server.recordAlive()
 	if q := s.config.Quarantine; q != nil && !q.Quiet() {
-		q.RecordAnswer(s.fingerprintOf(in, call.Body.Known))
+		q.RecordAnswer(s.fingerprintOf(in, call.Body.TryFirst))
 	}
 }
 
@@ -58,9 +58,9 @@
 		return
 	}
 	took := time.Since(began)
-	request := s.fingerprintOf(in, call.Body.Known)
+	request := s.fingerprintOf(in, call.Body.TryFirst)
 	report := func() { s.reportEnded(server, request, s.headers.Load().id(in.Header), took) }
-	if server.pool.Ended(report) {
+	if server.pool.CheckEnded(report) {
 		report()
 	}
 }
