--- a/internal/sidecar/eject.go
+++ b/internal/sidecar/eject.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// tryAgainAfter is the least pause between two tries to be ejected; a random part as long
+	// tryPause is the least pause between two tries to be ejected; a random part as long
 	// again is added, so that two do not keep in step. Not measured: a lease that another holds
 	// runs out within two seconds.
-	tryAgainAfter = 300 * time.Millisecond
-	// tryAgainSuspected is the pause while the backend server is suspected. Being asked last
+	tryPause = 300 * time.Millisecond
+	// suspectedTryPause is the pause while the backend server is suspected. Being asked last
 	// spares its callers already; each try costs a call to every other backend server of the
 	// service. Source: a pause that doubles in place of it made no difference beyond the error
 	// (docs/design/0010-hanging.md).
-	tryAgainSuspected = 5 * time.Second
+	suspectedTryPause = 5 * time.Second
 )
 
 // isEjected reports whether the backend server is ejected now. Leases that ran out,
@@ -66,7 +66,7 @@
 // be ejected here.
 func (t *task) stayEjected(now time.Time, adoption fleet.Adoption) {
 	if adoption == fleet.AdoptionSteer {
-		t.renew(now)
+		t.renewLeases(now)
 		return
 	}
 	t.subject.Return(now)
@@ -91,8 +91,8 @@
 	t.askOthers(now, t.declared.others)
 }
 
-// renew asks again for the leases that are needed to stay ejected.
-func (t *task) renew(now time.Time) {
+// renewLeases asks again for the leases that are needed to stay ejected.
+func (t *task) renewLeases(now time.Time) {
 	if now.Sub(t.ejecting.askedAt) < floor.RenewEvery {
 		return
 	}
@@ -116,9 +116,9 @@
 	return t.subject.IsOutlier(slices.Collect(maps.Values(t.ejecting.summaries)))
 }
 
-// tryEnter ejects the backend server if the leases are enough, or ends the try once
-// all have answered.
-func (t *task) tryEnter(now time.Time) {
+// ejectIfAllowed ejects the backend server if it is an outlier and the leases are enough, or ends
+// the try once all have answered.
+func (t *task) ejectIfAllowed(now time.Time) {
 	verdict := t.subject.Verdict(now)
 	verdict.Sick = verdict.Sick && t.isOutlier()
 	if verdict.Sick && t.ledger.Eject(now, t.declared.Service.Floor) {
@@ -126,15 +126,15 @@
 		t.ejecting.keptBy = ""
 		t.subject.Eject(now)
 		t.log(event.ServerEjected, "cause", verdict.Cause, "severity", verdict.Severity)
-		t.trim(now)
+		t.trimLeases(now)
 		return
 	}
 	if len(t.ejecting.pending) > 0 {
 		return
 	}
-	pause := tryAgainAfter
+	pause := tryPause
 	if t.suspicion.Suspected() {
-		pause = tryAgainSuspected
+		pause = suspectedTryPause
 	}
 	t.ejecting.notBefore = now.Add(pause + rand.N(pause))
 	kept := fmt.Sprintf("%d leases to keep serving, floor %d", len(t.ledger.Holding(now)), t.declared.Service.Floor)
--- a/internal/sidecar/ends.go
+++ b/internal/sidecar/ends.go
@@ -12,8 +12,8 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// fingerprintOf returns what tells whether the request is one that came before. The function returns the first
-// bytes of its body.
+// fingerprintOf returns what the request's fingerprint is made of. The function returns the first bytes of its
+// body.
 func (s *Sidecar) fingerprintOf(in *http.Request, body func(limit int) ([]byte, error)) fingerprint.Request {
 	return fingerprint.Request{
 		Method:   in.Method,
@@ -25,19 +25,36 @@
 	}
 }
 
-// mayRun returns why the request is not sent to a backend server, if it has ended each one that ran it. The
-// sidecar is the last gate: whatever an ingress knows, none of its backend servers gets such a request.
-// It is asked before the request waits for a slot, so that it is refused at once, and again when it
-// has one, which is when it may be the one that is tried once more.
-func (s *Sidecar) mayRun(ctx context.Context, call hop.Call, in *http.Request, hasSlot bool) error {
-	q := s.config.Quarantine
-	if q == nil || q.Quiet() {
+// mayWait returns why the request may not wait for a slot: it is quarantined, and no trial of it is due.
+func (s *Sidecar) mayWait(call hop.Call, in *http.Request) error {
+	id, quarantined := s.quarantined(call, in)
+	if !quarantined || s.config.Quarantine.TrialDue(id) {
 		return nil
 	}
-	status, id := q.Status(s.fingerprintOf(in, call.Body.First))
-	if status != quarantine.Quarantined || !hasSlot && q.TrialDue(id) || hasSlot && q.StartTrial(ctx, id) {
+	return refuseQuarantined(id)
+}
+
+// mayRun returns why the request, which has a slot, may not run: it is quarantined, and this is not its trial. An
+// ingress knows nothing of quarantines; no backend server of this host is sent a request without this check.
+func (s *Sidecar) mayRun(ctx context.Context, call hop.Call, in *http.Request) error {
+	id, quarantined := s.quarantined(call, in)
+	if !quarantined || s.config.Quarantine.StartTrial(ctx, id) {
 		return nil
 	}
+	return refuseQuarantined(id)
+}
+
+// quarantined reports whether the request is quarantined, and returns its fingerprint if it is.
+func (s *Sidecar) quarantined(call hop.Call, in *http.Request) (string, bool) {
+	q := s.config.Quarantine
+	if q == nil || q.Quiet() {
+		return "", false
+	}
+	status, id := q.Status(s.fingerprintOf(in, call.Body.First))
+	return id, status == quarantine.Quarantined
+}
+
+func refuseQuarantined(id string) error {
 	return result.New(result.Quarantined).WithDetail("fingerprint %s", id)
 }
 
--- a/internal/sidecar/lease.go
+++ b/internal/sidecar/lease.go
@@ -75,15 +75,15 @@
 		t.ejecting.askAll = true
 	}
 	if t.ejecting.open {
-		t.tryEnter(now)
+		t.ejectIfAllowed(now)
 		return
 	}
-	t.trim(now)
+	t.trimLeases(now)
 }
 
-// trim gives back the leases beyond what the floor needs, those of suspects
+// trimLeases gives back the leases beyond what the floor needs, those of suspects
 // first.
-func (t *task) trim(now time.Time) {
+func (t *task) trimLeases(now time.Time) {
 	healthy := func(name string) bool { return !t.ejecting.summaries[name].Suspect }
 	t.giveBack(t.ledger.Trim(now, t.declared.Service.Floor, healthy))
 }
@@ -104,8 +104,8 @@
 	_ = t.config.Peer.Release(ctx, other, release) // a lease that is not released runs out by itself
 }
 
-// answer answers another backend server that asks for a lease.
-func (t *task) answer(now time.Time, r floor.Request) LeaseAnswer {
+// answerRequest answers another backend server that asks for a lease.
+func (t *task) answerRequest(now time.Time, r floor.Request) LeaseAnswer {
 	t.isEjected(now)
 	dead := t.subject.Verdict(now).Cause == detect.CauseRefuses
 	cold := t.subject.Share(now) < 1
--- a/internal/sidecar/reservation.go
+++ b/internal/sidecar/reservation.go
@@ -12,7 +12,9 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// ReservationLife is how long a reservation is good for, by the sidecar's clock.
+// ReservationLife is how long a reservation is good for, by the sidecar's clock. Not measured: the
+// request follows its reservation by a round trip; one that was called indeterminate begins no later
+// than this after it was sent.
 const ReservationLife = time.Second
 
 // reservation is a slot kept for a request that must not run more than once, until
@@ -41,42 +43,43 @@
 		return "", err
 	}
 	id := uuid.NewString()
-	t := &reservation{slot: slot, expires: time.Now().Add(ReservationLife)}
-	t.lapse = time.AfterFunc(ReservationLife, func() { s.reservations.drop(id) })
+	kept := &reservation{slot: slot, expires: time.Now().Add(ReservationLife)}
+	kept.lapse = time.AfterFunc(ReservationLife, func() { s.reservations.drop(id) })
 	s.reservations.mu.Lock()
 	defer s.reservations.mu.Unlock()
-	s.reservations.byID[id] = t
+	s.reservations.byID[id] = kept
 	return id, nil
 }
 
 // drop gives the slot of an unused reservation back.
-func (x *reservations) drop(id string) {
-	if t, ok := x.take(id); ok {
-		t.slot.release()
+func (r *reservations) drop(id string) {
+	if kept, ok := r.take(id); ok {
+		kept.slot.release()
 	}
 }
 
-func (x *reservations) take(id string) (*reservation, bool) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	t, ok := x.byID[id]
-	delete(x.byID, id)
-	return t, ok
+// take removes the reservation and returns it.
+func (r *reservations) take(id string) (*reservation, bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	kept, ok := r.byID[id]
+	delete(r.byID, id)
+	return kept, ok
 }
 
 // redeem returns the slot that was kept if the reservation is good for the call. After that
 // it is not good for any.
-func (x *reservations) redeem(call hop.Call, now time.Time) (*slot, error) {
-	t, ok := x.take(call.Reservation)
+func (r *reservations) redeem(call hop.Call, now time.Time) (*slot, error) {
+	kept, ok := r.take(call.Reservation)
 	if !ok {
 		return nil, result.New(result.ReservationExpired)
 	}
-	t.lapse.Stop()
-	if now.After(t.expires) || t.slot.server.declared.Load().BackendServer.Name != call.BackendServer {
-		t.slot.release()
+	kept.lapse.Stop()
+	if now.After(kept.expires) || kept.slot.server.declared.Load().BackendServer.Name != call.BackendServer {
+		kept.slot.release()
 		return nil, result.New(result.ReservationExpired)
 	}
-	return t.slot, nil
+	return kept.slot, nil
 }
 
 // serveReservation answers an ingress that asks for a reservation.
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -11,7 +11,8 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// mailboxSize is how many messages may wait for a server's task.
+// mailboxSize is how many messages may wait for a server's task. Not measured: a message is handled
+// in about a microsecond, and a sender waits when the mailbox is full.
 const mailboxSize = 256
 
 // server is the handle of one backend server's task.
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -59,11 +59,12 @@
 )
 
 const (
-	// connectTimeout bounds the opening of a connection to a backend server
-	// on the same host.
+	// connectTimeout bounds the opening of a connection to a backend server on the same host.
+	// Not measured: one is made or refused within microseconds, but for a full accept queue.
 	connectTimeout = 500 * time.Millisecond
-	// unacknowledged is how long bytes to a backend server may stay without an
-	// acknowledgement before the connection counts as lost.
+	// unacknowledged is how long bytes to a backend server may stay without an acknowledgement
+	// before the connection counts as lost. Not measured: loopback acknowledges at once, so that
+	// only what stands still itself takes this long.
 	unacknowledged = 5 * time.Second
 )
 
@@ -77,8 +78,8 @@
 	Logger *slog.Logger
 	// Scope receives the metrics.
 	Scope tally.Scope
-	// Answered is reported of each answer of a backend server of this host, whether it is a
-	// good one or says that it failed; nil if nobody is told.
+	// Answered is called for each answer of a backend server of this host, with whether it is
+	// good or says that it failed; nil if nobody needs that.
 	Answered func(good bool)
 	// Runs learns what the backend servers of this host run; nil keeps it to the sidecar.
 	Runs *runs.Table
@@ -263,11 +264,11 @@
 	}
 }
 
-// slotToRun returns a slot for the request, unless no backend server is to be sent it. One that has no slot
-// yet is refused at once; the slot that a reservation has kept is given back.
+// slotToRun returns a slot for the request, unless that is quarantined. A quarantined one is refused before it
+// waits for a slot; a slot that a reservation has kept for it is released.
 func (s *Sidecar) slotToRun(ctx context.Context, call hop.Call, in *http.Request) (*slot, error) {
 	if call.Reservation == "" {
-		if err := s.mayRun(ctx, call, in, false); err != nil {
+		if err := s.mayWait(call, in); err != nil {
 			return nil, err
 		}
 	}
@@ -275,7 +276,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := s.mayRun(ctx, call, in, true); err != nil {
+	if err := s.mayRun(ctx, call, in); err != nil {
 		slot.release()
 		return nil, err
 	}
--- a/internal/sidecar/slots.go
+++ b/internal/sidecar/slots.go
@@ -20,8 +20,8 @@
 // release takes a slot back and gives it to those that wait. A probation request also
 // shows whether the backend server has recovered.
 func (t *task) release(now time.Time, m releaseMessage) {
-	granted, late := t.queue.Done(now, m.took)
-	t.answerWaiting(now, granted, late)
+	granted, expired := t.queue.Done(now, m.took)
+	t.answerWaiting(now, granted, expired)
 	if !m.probation {
 		return
 	}
@@ -48,12 +48,12 @@
 
 // answerWaiting answers waiting requests: those that got a slot, and those whose deadline
 // is too near to run.
-func (t *task) answerWaiting(now time.Time, granted, late []uint64) {
+func (t *task) answerWaiting(now time.Time, granted, expired []uint64) {
 	for _, id := range granted {
 		t.slotGiven(now)
 		t.reply(id, grant{})
 	}
-	for _, id := range late {
+	for _, id := range expired {
 		t.reply(id, refused(result.DeadlineBeforeRun, 0))
 	}
 }
--- a/internal/sidecar/slow.go
+++ b/internal/sidecar/slow.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// slowWatch tells a server's task when a running request has outlasted nearly all others
-// of its route, and when that one has ended. The task hears of the one before the other.
+// slowWatch reports to a server's task when a running request has outlasted nearly all others of
+// its route, and when that one has ended, in that order.
 type slowWatch struct {
 	server *server
 	began  time.Time
--- a/internal/sidecar/task.go
+++ b/internal/sidecar/task.go
@@ -13,9 +13,9 @@
 	"github.com/tideliftd/tidelift/internal/suspicion"
 )
 
-// judgeEvery is how often a task does what is due without a message. Not measured: swift detection
+// tickEvery is how often a task does what is due without a message. Not measured: swift detection
 // allows 200 ms, the least span of its evidence.
-const judgeEvery = 100 * time.Millisecond
+const tickEvery = 100 * time.Millisecond
 
 // task owns the state of one backend server.
 type task struct {
@@ -57,7 +57,7 @@
 
 // run handles messages one at a time until the server ends.
 func (t *task) run() {
-	ticker := time.NewTicker(judgeEvery)
+	ticker := time.NewTicker(tickEvery)
 	defer ticker.Stop()
 	for {
 		select {
@@ -71,8 +71,8 @@
 	}
 }
 
-// show publishes the load, and whether the backend server is draining, without a message.
-func (t *task) show(now time.Time) {
+// publish lets others read the load, and whether the backend server is draining, without a message.
+func (t *task) publish(now time.Time) {
 	t.server.loadBits.Store(math.Float64bits(t.queue.Load()))
 	t.server.draining.Store(t.isDraining(now))
 }
@@ -82,7 +82,7 @@
 	t.countSurvivedProbe(now)
 	t.expire(now)
 	t.judge(now)
-	t.show(now)
+	t.publish(now)
 }
 
 // handle handles one message.
@@ -110,13 +110,13 @@
 	case reportMessage:
 		m.reply <- t.report(now)
 	case askedMessage:
-		m.reply <- t.answer(now, m.request)
+		m.reply <- t.answerRequest(now, m.request)
 	case releasedMessage:
 		t.ledger.RecordRelease(m.release)
 	case leaseMessage:
 		t.recordLease(now, m)
 	}
-	t.show(now)
+	t.publish(now)
 }
 
 // observe records the outcome of a request, for the suspicion and for an ejection.
