--- a/internal/detect/detect.go
+++ b/internal/detect/detect.go
@@ -174,12 +174,6 @@
 	s.slow.add(now, slow, s.baseline.slow(), s.rules.SickSlow, s.rules)
 }
 
-// OverdueLimit is how long a request may take before it counts as overdue;
-// zero means that nothing is known to compare with.
-func (s *Subject) OverdueLimit() time.Duration {
-	return s.rules.OverdueLimit(s.baseline.Typical)
-}
-
 // Verdict returns what the observations so far amount to.
 func (s *Subject) Verdict(now time.Time) Verdict {
 	severity := s.failure.rate + s.slow.rate
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -107,7 +107,13 @@
 
 // TrialDue reports whether the request may be tried once more.
 func (r Record) TrialDue(now time.Time) bool {
-	return r.Quarantined() && r.TrialHost == "" && now.Sub(r.LastEnd()) >= TrialAfter
+	from, ok := r.trialFrom()
+	return ok && !now.Before(from)
+}
+
+// trialFrom returns from when on the request may be tried once more, if it may be at all.
+func (r Record) trialFrom() (time.Time, bool) {
+	return r.LastEnd().Add(TrialAfter), r.Quarantined() && r.TrialHost == ""
 }
 
 // settled returns the record with EverQuarantined as it follows from the rest. A merge does not do that, since what
--- a/internal/quarantine/view.go
+++ b/internal/quarantine/view.go
@@ -42,8 +42,8 @@
 		}
 		v.heads[r.Head] = struct{}{}
 		v.statuses[r.ID] = r.Status()
-		if r.Quarantined() && r.TrialHost == "" {
-			v.trialFrom[r.ID] = r.LastEnd().Add(TrialAfter)
+		if from, ok := r.trialFrom(); ok {
+			v.trialFrom[r.ID] = from
 		}
 	}
 	return v
--- a/internal/quarantinesync/lift.go
+++ b/internal/quarantinesync/lift.go
@@ -10,14 +10,9 @@
 // Lift ends a quarantine by an operator's word, and returns once the store has it.
 func (s *Syncer) Lift(ctx context.Context, id string) (quarantine.Record, error) {
 	reply := make(chan answer, 1)
-	s.send(ctx, liftMessage{id: id, reply: reply})
-	var lifted answer
-	select {
-	case lifted = <-reply:
-	case <-ctx.Done():
-		return quarantine.Record{}, result.Wrap(result.PlatformDown, ctx.Err())
-	case <-s.ended:
-		return quarantine.Record{}, result.New(result.Stopping)
+	lifted, err := s.ask(ctx, liftMessage{id: id, reply: reply}, reply)
+	if err != nil {
+		return quarantine.Record{}, err
 	}
 	if !lifted.ok {
 		return quarantine.Record{}, result.New(result.NotDeclared).WithDetail("nothing is held against a request %q", id)
--- a/internal/quarantinesync/quarantinesync.go
+++ b/internal/quarantinesync/quarantinesync.go
@@ -41,6 +41,7 @@
 
 	"github.com/tideliftd/tidelift/internal/fingerprint"
 	"github.com/tideliftd/tidelift/internal/quarantine"
+	"github.com/tideliftd/tidelift/internal/result"
 	"github.com/tideliftd/tidelift/internal/store"
 )
 
@@ -177,7 +178,20 @@
 	}
 }
 
-// send gives the task a message, unless it has ended.
+// ask sends the task a message and returns its answer.
+func (s *Syncer) ask(ctx context.Context, message any, reply chan answer) (answer, error) {
+	s.send(ctx, message)
+	select {
+	case a := <-reply:
+		return a, nil
+	case <-ctx.Done():
+		return answer{}, result.Wrap(result.PlatformDown, ctx.Err())
+	case <-s.ended:
+		return answer{}, result.New(result.Stopping)
+	}
+}
+
+// send sends the task a message, unless it has ended.
 func (s *Syncer) send(ctx context.Context, message any) {
 	select {
 	case s.messages <- message:
--- a/internal/quarantinesync/trial.go
+++ b/internal/quarantinesync/trial.go
@@ -34,14 +34,8 @@
 // proposal asks the task for the record by which this host may send the request.
 func (s *Syncer) proposal(ctx context.Context, id string) (quarantine.Record, bool) {
 	reply := make(chan answer, 1)
-	s.send(ctx, trialMessage{id: id, reply: reply})
-	select {
-	case c := <-reply:
-		return c.record, c.ok
-	case <-ctx.Done():
-	case <-s.ended:
-	}
-	return quarantine.Record{}, false
+	proposed, err := s.ask(ctx, trialMessage{id: id, reply: reply}, reply)
+	return proposed.record, err == nil && proposed.ok // without an answer there is no trial
 }
 
 // claim writes the record if the store has the request in quarantine and nobody has tried it.
