--- a/internal/ingress/attempt_test.go
+++ b/internal/ingress/attempt_test.go
@@ -133,7 +133,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	pool := balance.NewPool(balance.Config{DataCentre: "dc", Random: rand.Uint64})
+	pool := balance.NewPool(balance.Config{DataCentre: "dc", Random: rand.Uint64, Start: time.Now()})
 	pool.Reconfigure(declaration.Services[0], fleet.NewIndex(declaration))
 	return pool
 }
