--- /dev/null
+++ b/internal/failures/table.go
@@ -0,0 +1,83 @@
+package failures
+
+import (
+	"github.com/tideliftd/tidelift/internal/detect"
+	"github.com/tideliftd/tidelift/internal/result"
+)
+
+// table has a row for each result code, by its number.
+var table = map[int]Meaning{
+	// The request itself is wrong.
+	result.MalformedRequest.Number: {Final: true},
+	result.NoRoute.Number:          {},
+	result.AmbiguousFraming.Number: {},
+	result.HeadersTooLarge.Number:  {},
+	result.BodyTooLarge.Number:     {},
+	result.BadDeadline.Number:      {},
+	result.UpgradeRefused.Number:   {},
+	result.ProtocolVersion.Number:  {},
+	result.KeyMissing.Number:       {},
+	result.KeyUnknown.Number:       {},
+
+	// The request is refused on its own account or its customer's, whichever backend server is asked.
+	result.CustomerShare.Number:     {Final: true, ComeBack: true},
+	result.PlaceLost.Number:         {Final: true, ComeBack: true},
+	result.CustomerLimit.Number:     {ComeBack: true},
+	result.Quarantined.Number:       {Final: true}, // it would be refused again
+	result.DeadlineBeforeRun.Number: {Final: true},
+	result.CancelledBefore.Number:   {Final: true},
+
+	// The daemon that was asked cannot serve it.
+	result.NotReady.Number: {ComeBack: true},
+	result.NoneAble.Number: {ComeBack: true},
+
+	// The backend server takes no work.
+	result.Stopping.Number:      {Target: NoWork, ComeBack: true},
+	result.Draining.Number:      {Target: NoWork, ComeBack: true},
+	result.Ejected.Number:       {Target: NoWork, ComeBack: true},
+	result.UnknownServer.Number: {Target: NoWork, ComeBack: true},
+
+	// It does not take this request now.
+	result.Busy.Number:         {Target: NoSlot, ComeBack: true},
+	result.QueueFull.Number:    {Target: QueueFull, ComeBack: true},
+	result.QueueTooSlow.Number: {Target: QueueFull, ComeBack: true},
+	result.Suspected.Number:    {Target: Suspected, ComeBack: true},
+	result.Unproven.Number:     {Target: Hanging, ComeBack: true},
+	result.RetryLimit.Number:   {Target: NoRetries, ComeBack: true},
+
+	// The request did not come to run there.
+	result.ReservationExpired.Number: {ComeBack: true},
+	result.MovedOn.Number:            {ComeBack: true},
+	result.NotTaken.Number:           {Reached: true, ComeBack: true},
+	result.Misdirected.Number:        {Reached: true, ComeBack: true},
+
+	// The backend server or its daemon cannot be reached.
+	result.PeerUnreachable.Number:       {Target: HostUnreachable, Evidence: detect.Refused, ComeBack: true},
+	result.ReservationUnanswered.Number: {Target: HostSilent, Evidence: detect.TimedOut, ComeBack: true},
+	result.ServerUnreachable.Number:     {Target: Unreachable, Evidence: detect.Refused, ComeBack: true},
+
+	// The request may have run.
+	result.DeadlineWhileRunning.Number: {Final: true, Reached: true, Evidence: detect.TimedOut},
+	result.CallerGone.Number:           {Final: true, Reached: true},
+	result.StoppedWhileRunning.Number:  {Reached: true},
+	result.AttemptOverdue.Number:       {Reached: true, Evidence: detect.TimedOut},
+	result.ConnectionLost.Number:       {Reached: true, Evidence: detect.Lost},
+	result.UnframedAnswer.Number:       {Reached: true, Evidence: detect.Lost},
+	result.AnswerCut.Number:            {Reached: true, Evidence: detect.Lost},
+	result.SpoiltAnswer.Number:         {Reached: true, Evidence: detect.Lost},
+	result.ServerFailed.Number:         {Reached: true, Evidence: detect.Error},
+	result.ServerError.Number:          {Reached: true}, // the answer that it stands for was evidence already
+
+	// Operators' calls, with which no sidecar answers a request.
+	result.BadDeclaration.Number:  {},
+	result.RevisionChanged.Number: {},
+	result.PlatformDown.Number:    {ComeBack: true},
+	result.NotDeclared.Number:     {},
+	result.ChangeUnknown.Number:   {Reached: true},
+	result.ValueTooLarge.Number:   {},
+	result.MalformedCall.Number:   {},
+	result.ChangeIDReused.Number:  {},
+	result.TokenRefused.Number:    {},
+	result.RoleRefused.Number:     {},
+	result.PeerSilent.Number:      {Reached: true, ComeBack: true},
+}
--- a/internal/ingress/attempts.go
+++ b/internal/ingress/attempts.go
@@ -7,6 +7,7 @@
 
 	"github.com/tideliftd/tidelift/internal/event"
 	"github.com/tideliftd/tidelift/internal/experiment"
+	"github.com/tideliftd/tidelift/internal/failures"
 	"github.com/tideliftd/tidelift/internal/result"
 	"github.com/tideliftd/tidelift/internal/retry"
 	"github.com/tideliftd/tidelift/internal/retryafter"
@@ -75,7 +76,7 @@
 
 // logAttempt leaves a line on a failed attempt, unless it only sends the request on.
 func (in *Ingress) logAttempt(r *request, a *attempt, trace *attemptTrace, failure *result.Error, again bool) {
-	if again && isPassedOver(failure.Code) {
+	if again && failures.Of(failure.Code).PassedOver() {
 		trace.passedOver.add(failure.Code)
 		return
 	}
@@ -102,7 +103,7 @@
 	if r.body.Spent() {
 		return false
 	}
-	if retry.IsFull(trace.last.Code) && time.Now().After(r.targetAt) {
+	if failures.Of(trace.last.Code).Target == failures.QueueFull && time.Now().After(r.targetAt) {
 		return false // the others are as full, and it has waited for its time
 	}
 	decision := retry.Decide(retry.Attempt{Sent: trace.sent, Most: r.attempts, Full: trace.full, NonIdempotent: r.nonIdempotent, Subrequest: r.subrequest, Err: trace.last})
@@ -134,7 +135,7 @@
 // noneAble is the answer when no target is left to try: the last failure, unless there
 // was none or the last one asked gets no work.
 func noneAble(r *request, trace *attemptTrace) *result.Error {
-	if trace.last == nil || takesNoWork(trace.last) {
+	if trace.last == nil || failures.Of(trace.last.Code).TakesNoWork() {
 		return result.New(result.NoneAble).WithRetryAfter(retryafter.NoneAble).
 			WithDetail("%d backend servers known, %d tried (%s)", len(r.service.pool.Targets()), len(trace.tried), trace.passedOver)
 	}
--- a/internal/ingress/hedge.go
+++ b/internal/ingress/hedge.go
@@ -9,8 +9,8 @@
 	"github.com/tideliftd/tidelift/internal/balance"
 	"github.com/tideliftd/tidelift/internal/event"
 	"github.com/tideliftd/tidelift/internal/experiment"
+	"github.com/tideliftd/tidelift/internal/failures"
 	"github.com/tideliftd/tidelift/internal/result"
-	"github.com/tideliftd/tidelift/internal/retry"
 )
 
 const (
@@ -213,7 +213,7 @@
 // finish runs the attempt. One that retries the request has taken a retry, which ends here.
 func (a *attempt) finish(ctx context.Context) finished {
 	f := a.runKept(ctx)
-	reached := f.err == nil || retry.Reached(result.From(f.err).Code)
+	reached := f.err == nil || failures.Of(result.From(f.err).Code).Reached
 	if reached {
 		a.request.reached.Store(true)
 	}
--- a/internal/ingress/passedover.go
+++ b/internal/ingress/passedover.go
@@ -36,15 +36,3 @@
 	}
 	return strings.Join(words, ", ")
 }
-
-// isPassedOver says whether the refusal only sends the request on: nothing ran, and it says
-// nothing of the path. Such refusals are counted on the request's next line: on a day
-// of high load there were eight for each request, and a line each was three quarters of the log.
-func isPassedOver(code result.Code) bool {
-	switch code.Number {
-	case result.Busy.Number, result.Suspected.Number, result.Unproven.Number, result.RetryLimit.Number,
-		result.QueueTooSlow.Number, result.QueueFull.Number:
-		return true
-	}
-	return false
-}
--- a/internal/ingress/reach.go
+++ b/internal/ingress/reach.go
@@ -38,7 +38,7 @@
 // lost takes it that a request could not reach the host. Its targets are passed
 // over until the host has answered.
 func (x *reach) lost(host fleet.Host) {
-	if x.in.config.Ping == nil || host.Name == x.in.config.Host {
+	if host.Name == x.in.config.Host {
 		return
 	}
 	x.mu.Lock()
--- a/internal/ingress/refuse.go
+++ b/internal/ingress/refuse.go
@@ -9,6 +9,7 @@
 
 	"github.com/tideliftd/tidelift/internal/body"
 	"github.com/tideliftd/tidelift/internal/event"
+	"github.com/tideliftd/tidelift/internal/failures"
 	"github.com/tideliftd/tidelift/internal/fleet"
 	"github.com/tideliftd/tidelift/internal/result"
 	"github.com/tideliftd/tidelift/internal/retryafter"
@@ -18,7 +19,7 @@
 // come back, unless that is of no use.
 func (in *Ingress) fail(w http.ResponseWriter, r *http.Request, started time.Time, err error) {
 	e := result.From(err)
-	if isRefusal(e.Code) && e.RetryAfter == 0 {
+	if failures.Of(e.Code).ComeBack && e.RetryAfter == 0 {
 		e = e.WithRetryAfter(retryafter.Unspecified)
 	}
 	in.metrics.refused.Inc(e.Code)
@@ -35,15 +36,6 @@
 	result.Write(w, e)
 }
 
-// isRefusal says whether callers read the code's status as a promise that the request was
-// not run, and may send it again with another outcome.
-func isRefusal(code result.Code) bool {
-	if code.Number == result.Quarantined.Number {
-		return false
-	}
-	return code.Status == http.StatusServiceUnavailable || code.Status == http.StatusTooManyRequests
-}
-
 // bodyFailure is the failure of a request whose body could not be read. Nothing
 // of it was sent.
 func bodyFailure(err error) *result.Error {
--- a/internal/ingress/trace.go
+++ b/internal/ingress/trace.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"github.com/tideliftd/tidelift/internal/balance"
+	"github.com/tideliftd/tidelift/internal/failures"
 	"github.com/tideliftd/tidelift/internal/result"
-	"github.com/tideliftd/tidelift/internal/retry"
 )
 
 // attemptTrace is what became of a request's attempts so far.
@@ -48,7 +48,8 @@
 
 // add takes the failure of an attempt.
 func (t *attemptTrace) add(c choice, failure *result.Error, far bool) {
-	if failure.Code.Number == result.RetryLimit.Number {
+	meaning := failures.Of(failure.Code)
+	if meaning.Target == failures.NoRetries {
 		t.limited++
 		t.tried = append(t.tried, c.target)
 		if t.last == nil { // else the failure before it is what the caller is told
@@ -56,31 +57,36 @@
 		}
 		return
 	}
-	switch failure.Code.Number {
-	case result.Suspected.Number: // may be asked again, and is passed over until then
-	case result.Busy.Number:
-		if far {
-			t.busyFar++
-		}
-		t.busy = append(t.busy, busyTarget{c.target, failure.RetryAfter})
-		t.tried = append(t.tried, c.target)
-	case result.Unproven.Number:
-		t.hanging = append(t.hanging, c.target)
-	default:
-		t.tried = append(t.tried, c.target)
-	}
+	t.addTarget(c.target, failure, far)
 	t.last = failure
 	if failure.Code.Ran == result.RanUnknown {
 		t.mayHaveRun = failure
 	}
-	if retry.Reached(failure.Code) {
+	if meaning.Reached {
 		t.sent++
 	}
-	if retry.IsFull(failure.Code) {
+	if meaning.Target == failures.QueueFull {
 		t.full++
 	}
 }
 
+// addTarget keeps whether the target may be asked once more.
+func (t *attemptTrace) addTarget(target *balance.Target, failure *result.Error, far bool) {
+	switch failures.Of(failure.Code).Target {
+	case failures.Suspected: // may be asked again, and is passed over until then
+	case failures.Hanging:
+		t.hanging = append(t.hanging, target)
+	case failures.NoSlot:
+		if far {
+			t.busyFar++
+		}
+		t.busy = append(t.busy, busyTarget{target, failure.RetryAfter})
+		t.tried = append(t.tried, target)
+	case failures.Unchanged, failures.QueueFull, failures.NoRetries, failures.NoWork, failures.HostUnreachable, failures.HostSilent, failures.Unreachable:
+		t.tried = append(t.tried, target)
+	}
+}
+
 // mayFind says whether another look may find somebody: not if queues are full or
 // everybody was tried. Where nobody is known yet somebody may soon be.
 func (t *attemptTrace) mayFind(r *request) bool {
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -55,7 +55,10 @@
 // than a thirteenth of the window may count in a later one.
 package retry
 
-import "github.com/tideliftd/tidelift/internal/result"
+import (
+	"github.com/tideliftd/tidelift/internal/failures"
+	"github.com/tideliftd/tidelift/internal/result"
+)
 
 // MaxQueues is how many backend servers with a full queue are asked. Source: of two
 // drawn at random the less loaded one is asked first, so that after three the service
@@ -94,15 +97,16 @@
 
 // Decide says whether the attempt may be tried again on another backend server.
 func Decide(a Attempt) Decision {
+	meaning := failures.Of(a.Err.Code)
 	switch {
-	case isFinal(a.Err.Code):
+	case meaning.Final:
 		return Final
-	case IsFull(a.Err.Code):
+	case meaning.Target == failures.QueueFull:
 		if a.Full >= MaxQueues && !a.Subrequest {
 			return Final
 		}
 		return Free
-	case !Reached(a.Err.Code):
+	case !meaning.Reached:
 		return Free
 	case a.Sent >= a.Most:
 		return Final
@@ -112,28 +116,3 @@
 		return Final
 	}
 }
-
-// isFinal says whether the failure is the answer, whoever else might be asked.
-func isFinal(code result.Code) bool {
-	switch code.Number {
-	case result.CustomerShare.Number, result.PlaceLost.Number, result.DeadlineBeforeRun.Number, result.CancelledBefore.Number,
-		result.DeadlineWhileRunning.Number, result.CallerGone.Number, result.MalformedRequest.Number, result.Quarantined.Number:
-		return true
-	}
-	return false
-}
-
-// IsFull says whether a sidecar refused for want of a slot in time.
-func IsFull(code result.Code) bool {
-	return code.Number == result.QueueFull.Number || code.Number == result.QueueTooSlow.Number
-}
-
-// Reached says whether the request reached the backend server, be it that it
-// did not run it.
-func Reached(code result.Code) bool {
-	switch code.Number {
-	case result.NotTaken.Number, result.Misdirected.Number:
-		return true
-	}
-	return code.Ran == result.RanUnknown
-}
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -14,6 +14,7 @@
 	"github.com/tideliftd/tidelift/internal/backend"
 	"github.com/tideliftd/tidelift/internal/detect"
 	"github.com/tideliftd/tidelift/internal/dial"
+	"github.com/tideliftd/tidelift/internal/failures"
 	"github.com/tideliftd/tidelift/internal/fleet"
 	"github.com/tideliftd/tidelift/internal/hop"
 	"github.com/tideliftd/tidelift/internal/result"
@@ -246,7 +247,7 @@
 
 // failed takes a failure as evidence.
 func (s *slot) failed(failure *result.Error) {
-	s.saw.Outcome, s.seen = detect.FromResult(failure.Code)
+	s.saw.Outcome, s.seen = failures.Evidence(failure.Code)
 	if failure.Code.Number == result.CallerGone.Number && s.isSlow() {
 		s.saw.Outcome, s.seen = detect.TimedOut, true // whoever asked did not wait for longer than others have to
 	}
