--- a/internal/ingress/admit.go
+++ b/internal/ingress/admit.go
@@ -8,6 +8,7 @@
 	"sync/atomic"
 	"time"
 
+	"github.com/tideliftd/tidelift/internal/attempts"
 	"github.com/tideliftd/tidelift/internal/body"
 	"github.com/tideliftd/tidelift/internal/experiment"
 	"github.com/tideliftd/tidelift/internal/fleet"
@@ -22,14 +23,11 @@
 	*http.Request
 	service       *service
 	name          string
-	began         time.Time
 	latencyTarget time.Duration // within which an answer is worth most
-	targetAt      time.Time     // until when it may wait in a crowded queue
 	deadline      time.Time
 	customer      string
 	queuesAs      string // whose turns it takes in queues
-	nonIdempotent bool
-	attempts      int // the most backend servers it may be sent to
+	terms         attempts.Terms
 	priority      int
 	body          *body.Body
 	route         route.Name
@@ -38,7 +36,6 @@
 	ofRetry       bool              // a run that is a retry itself has sent it
 	charged       bool              // as such it counts here, and must be ended
 	reached       atomic.Bool       // a backend server, or may have
-	subrequest    bool              // a backend server sent it for a request that it is running
 }
 
 // subrequestPriority is the rank of what a backend server calls while it runs a request: before
@@ -81,6 +78,7 @@
 		return nil, e
 	}
 	name := match.Choose(rand.Uint64())
+	service := current.services[name]
 	routeName := route.NameOf(match.Route)
 	if e := in.withinLimit(who.name); e != nil {
 		return nil, e
@@ -92,29 +90,32 @@
 	own := *r
 	admitted := &request{
 		Request:       &own,
-		service:       current.services[name],
+		service:       service,
 		name:          name,
-		began:         now,
 		latencyTarget: min(match.Target, left),
-		targetAt:      now.Add(min(match.Target, left)),
 		deadline:      now.Add(left),
 		customer:      who.name,
 		queuesAs:      in.queuesAs(current, who),
-		nonIdempotent: !match.Idempotent(r.Method),
-		attempts:      match.Attempts,
-		priority:      who.priority,
-		body:          body.New(w, r, match.MaxBody),
-		route:         routeName,
-		latency:       in.latencies.of(routeName),
+		terms: attempts.Terms{
+			Service:       &service.attempts,
+			NonIdempotent: !match.Idempotent(r.Method),
+			MaxSent:       match.Attempts,
+			Began:         now,
+			TargetAt:      now.Add(min(match.Target, left)),
+		},
+		priority: who.priority,
+		body:     body.New(w, r, match.MaxBody),
+		route:    routeName,
+		latency:  in.latencies.of(routeName),
 
 		mayBeCall: current.mayBeCall(who),
 	}
 	if in.config.Off.Has(experiment.Aims) {
-		admitted.targetAt = admitted.deadline
+		admitted.terms.TargetAt = admitted.deadline
 	}
 	if admitted.mayBeCall && in.subrequest.Is(admitted.route) && !in.config.Off.Has(experiment.Subrequests) {
-		admitted.subrequest = true
-		admitted.targetAt = admitted.deadline
+		admitted.terms.Subrequest = true
+		admitted.terms.TargetAt = admitted.deadline
 		admitted.priority = subrequestPriority
 	}
 	in.count(admitted, now)
--- a/internal/ingress/attempt.go
+++ b/internal/ingress/attempt.go
@@ -8,6 +8,7 @@
 
 	"github.com/go-faster/errors"
 
+	"github.com/tideliftd/tidelift/internal/attempts"
 	"github.com/tideliftd/tidelift/internal/hop"
 	"github.com/tideliftd/tidelift/internal/result"
 )
@@ -19,32 +20,34 @@
 type attempt struct {
 	in      *Ingress
 	request *request
-	choice
-	hedge     bool        // it is a hedge beside a slow attempt
-	overdue   atomic.Bool // it took far longer than others would
-	startedAt time.Time
-	cancel    context.CancelCauseFunc // ends it
+	attempts.Choice
+	grant       retryGrant  // of the retry that it is
+	reservation string      // leave of the target's sidecar to run the request; empty if there is none
+	hedge       bool        // it is a hedge beside a slow attempt
+	overdue     atomic.Bool // it took far longer than others would
+	startedAt   time.Time
+	cancel      context.CancelCauseFunc // ends it
 }
 
 // run sends the request and returns the head of the answer.
 func (a *attempt) run(ctx context.Context) (*http.Response, error) {
 	started := time.Now()
 	clock := a.startClock()
-	a.target.Begin()
+	a.Target.Begin()
 	own := *a.request.Request // a hedge beside it has a body of its own
 	a.request.body.Rewind(&own)
-	answer, err := a.in.send(ctx, a.request, &own, a.choice)
+	answer, err := a.send(ctx, &own)
 	clock.stop()
 	if err != nil {
 		failure := a.failure(ctx, err)
 		a.cancel(nil)
-		a.target.End()
+		a.Target.End()
 		a.learn(failure, time.Since(started))
 		return nil, failure
 	}
 	a.observe(answer, time.Since(started)-answer.Waited)
 	answer.Response.Body = hop.OnClose(answer.Response.Body, func() {
-		a.target.End()
+		a.Target.End()
 		a.cancel(nil)
 	})
 	return answer.Response, nil
@@ -66,5 +69,5 @@
 
 // far says whether the target is in another data centre.
 func (a *attempt) far() bool {
-	return a.target.Placement().Host.DataCentre != a.in.config.DataCentre
+	return a.Target.Placement().Host.DataCentre != a.in.config.DataCentre
 }
--- a/internal/ingress/attempt_test.go
+++ b/internal/ingress/attempt_test.go
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	"github.com/tideliftd/tidelift/internal/attempts"
 	"github.com/tideliftd/tidelift/internal/balance"
 	"github.com/tideliftd/tidelift/internal/experiment"
 	"github.com/tideliftd/tidelift/internal/fleet"
@@ -18,7 +19,7 @@
 func TestNoHedgeInAPlannedStop(t *testing.T) {
 	in := &Ingress{}
 	slowAfter := &attempt{startedAt: time.Now().Add(-time.Second)}
-	r := &round{in: in, request: &request{attempts: 2}, trace: &attemptTrace{}, slowAfter: time.Millisecond, running: []*attempt{slowAfter}}
+	r := &round{in: in, request: &request{terms: attempts.Terms{MaxSent: 2}}, progress: &progress{}, slowAfter: time.Millisecond, running: []*attempt{slowAfter}}
 	if !r.mayHedge() {
 		t.Fatal("a late attempt of a repeatable request has no hedge")
 	}
@@ -32,12 +33,12 @@
 func TestWhatMustNotRunTwiceIsNeverHedged(t *testing.T) {
 	slowAfter := &attempt{startedAt: time.Now().Add(-time.Second)}
 	for name, r := range map[string]*round{
-		"once":          {request: &request{attempts: 2, nonIdempotent: true}, trace: &attemptTrace{}},
-		"one attempt":   {request: &request{attempts: 1}, trace: &attemptTrace{}},
-		"sent before":   {request: &request{attempts: 2}, trace: &attemptTrace{sent: 1}},
-		"not late yet":  {request: &request{attempts: 2}, trace: &attemptTrace{}, slowAfter: time.Hour},
-		"failed beside": {request: &request{attempts: 2}, trace: &attemptTrace{}, failed: &finished{}},
-		"nothing known": {request: &request{attempts: 2}, trace: &attemptTrace{}, slowAfter: 0},
+		"once":          {request: &request{terms: attempts.Terms{MaxSent: 2, NonIdempotent: true}}, progress: &progress{}},
+		"one attempt":   {request: &request{terms: attempts.Terms{MaxSent: 1}}, progress: &progress{}},
+		"sent before":   {request: &request{terms: attempts.Terms{MaxSent: 2}}, progress: &progress{History: attempts.History{Sent: 1}}},
+		"not late yet":  {request: &request{terms: attempts.Terms{MaxSent: 2}}, progress: &progress{}, slowAfter: time.Hour},
+		"failed beside": {request: &request{terms: attempts.Terms{MaxSent: 2}}, progress: &progress{}, failed: &finished{}},
+		"nothing known": {request: &request{terms: attempts.Terms{MaxSent: 2}}, progress: &progress{}, slowAfter: 0},
 	} {
 		r.in, r.running = &Ingress{}, []*attempt{slowAfter}
 		if name != "nothing known" {
@@ -60,10 +61,10 @@
 	pool := balance.NewPool(balance.Config{DataCentre: "dc", Random: rand.Uint64})
 	pool.Reconfigure(declaration.Services[0], index)
 	in := &Ingress{config: Config{Logger: slog.New(slog.DiscardHandler)}}
-	r := &round{in: in, trace: &attemptTrace{}, done: make(chan finished)}
-	r.request = &request{attempts: 3, service: &service{limit: &retryLimit{}}}
+	r := &round{in: in, progress: &progress{}, done: make(chan finished)}
+	r.request = &request{terms: attempts.Terms{MaxSent: 3}, service: &service{limit: &retryLimit{}}}
 	for range running {
-		a := &attempt{in: in, request: r.request, choice: choice{target: pool.Targets()[0]}, cancel: func(error) {}}
+		a := &attempt{in: in, request: r.request, Choice: attempts.Choice{Target: pool.Targets()[0]}, cancel: func(error) {}}
 		r.running = append(r.running, a)
 	}
 	return r
@@ -81,7 +82,7 @@
 	if end == nil || end.attempt != first {
 		t.Fatalf("ended with %+v, want the attempt that failed", end)
 	}
-	if r.trace.sent != 0 {
+	if r.progress.Sent != 0 {
 		t.Fatal("the failure that ends the round is in the trace already")
 	}
 }
@@ -92,8 +93,8 @@
 	first, second := r.running[0], r.running[1]
 	r.take(finished{attempt: first, err: result.New(result.ConnectionLost)})
 	end := r.take(finished{attempt: second, err: result.New(result.DeadlineWhileRunning)})
-	if end == nil || end.attempt != second || r.trace.sent != 1 {
-		t.Fatalf("ended with %+v, %d in the trace", end, r.trace.sent)
+	if end == nil || end.attempt != second || r.progress.Sent != 1 {
+		t.Fatalf("ended with %+v, %d in the trace", end, r.progress.Sent)
 	}
 }
 
@@ -113,7 +114,7 @@
 			}
 			asked[target] = true
 			r.avoid = append(r.avoid, target)
-			r.running = append(r.running, &attempt{in: r.in, request: r.request, choice: choice{target: target}})
+			r.running = append(r.running, &attempt{in: r.in, request: r.request, Choice: attempts.Choice{Target: target}})
 			r.take(finished{attempt: r.running[1], err: result.New(result.RetryLimit), unsent: true})
 		}
 		if r.asked != (turn > 0) {
--- a/internal/ingress/clock.go
+++ b/internal/ingress/clock.go
@@ -21,7 +21,7 @@
 // never strikes.
 func (a *attempt) startClock() *overdueClock {
 	c := &overdueClock{attempt: a}
-	limit := a.request.service.overdueLimit(a.target)
+	limit := a.request.service.overdueLimit(a.Target)
 	if limit == 0 {
 		return c
 	}
--- a/internal/ingress/customer_test.go
+++ b/internal/ingress/customer_test.go
@@ -110,10 +110,10 @@
 		}
 		return r
 	}
-	if fail("/closed/x", "school-key").subrequest {
+	if fail("/closed/x", "school-key").terms.Subrequest {
 		t.Error("a request with a key is taken for a call")
 	}
-	if !fail("/open/x", "").subrequest {
+	if !fail("/open/x", "").terms.Subrequest {
 		t.Error("the test shows nothing: a request without a key is not taken for a call either")
 	}
 }
--- a/internal/ingress/failures_test.go
+++ b/internal/ingress/failures_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"github.com/tideliftd/tidelift/internal/attempts"
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
@@ -65,11 +66,11 @@
 	a := &attempt{
 		in:      &Ingress{},
 		request: &request{service: &service{pool: pool, judge: &judge{observations: make(chan observation, 1)}}},
-		choice:  choice{target: pool.Targets()[0]},
+		Choice:  attempts.Choice{Target: pool.Targets()[0]},
 	}
 	failure := result.New(code).WithRetryAfter(time.Minute)
-	history := &attemptTrace{}
-	history.add(a.choice, failure, false)
+	history := &attempts.History{}
+	history.Record(a.Target, failure, false)
 	a.learn(failure, time.Second)
 	_, suspected := pool.PickSuspected(time.Now(), nil)
 	var words []string
@@ -78,15 +79,15 @@
 			words = append(words, word)
 		}
 	}
-	add(len(history.tried) > 0, "tried")
-	add(len(history.busy) > 0, "busy")
-	add(len(history.hanging) > 0, "hanging")
-	add(history.full > 0, "full")
-	add(history.limited > 0, "limited")
-	add(history.sent > 0, "sent")
-	add(history.mayHaveRun != nil, "may-have-run")
-	add(pool.Paused(a.target, time.Now()), "paused")
+	add(len(history.Tried) > 0, "tried")
+	add(len(history.Busy) > 0, "busy")
+	add(len(history.Hanging) > 0, "hanging")
+	add(history.FullQueues > 0, "full")
+	add(history.NoRetries > 0, "limited")
+	add(history.Sent > 0, "sent")
+	add(history.MayHaveRun != nil, "may-have-run")
+	add(pool.Paused(a.Target, time.Now()), "paused")
 	add(suspected, "suspected")
-	add(a.target.Load() > 0 && pool.BusyShare() > 0, "loaded")
+	add(a.Target.Load() > 0 && pool.BusyShare() > 0, "loaded")
 	return strings.Join(words, " ")
 }
--- a/internal/ingress/hedge.go
+++ b/internal/ingress/hedge.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"github.com/tideliftd/tidelift/internal/attempts"
 	"github.com/tideliftd/tidelift/internal/balance"
 	"github.com/tideliftd/tidelift/internal/event"
 	"github.com/tideliftd/tidelift/internal/experiment"
@@ -32,7 +33,7 @@
 type round struct {
 	in        *Ingress
 	request   *request
-	trace     *attemptTrace
+	progress  *progress
 	running   []*attempt
 	avoid     []*balance.Target // where a hedge is not sent
 	failed    *finished         // the last that failed, which is not in the trace yet
@@ -52,17 +53,17 @@
 
 // isAnswer says whether the attempt has an answer that is passed on.
 func (f finished) isAnswer() bool {
-	return f.err == nil && !mayImprove(f.attempt.request, f.response)
+	return f.err == nil && !f.attempt.request.terms.MayImprove(f.response)
 }
 
 // runRound runs the attempt and, where it is slow, hedges of it. It returns the one that
 // has the answer, or the last that failed; the failures of the others are in the trace.
-func (in *Ingress) runRound(ctx context.Context, first *attempt, trace *attemptTrace) finished {
+func (in *Ingress) runRound(ctx context.Context, first *attempt, p *progress) finished {
 	r := &round{
 		in:        in,
 		request:   first.request,
-		trace:     trace,
-		avoid:     trace.notBusy(),
+		progress:  p,
+		avoid:     p.NotBusy(),
 		slowAfter: first.request.slowAfter(),
 		done:      make(chan finished),
 	}
@@ -85,7 +86,7 @@
 // firstLook returns the timer of the looks for a hedge. It never fires if none may be sent.
 func (r *round) firstLook() *time.Timer {
 	look := time.NewTimer(r.slowAfter)
-	if r.slowAfter == 0 || r.request.nonIdempotent || r.in.config.Off.Has(experiment.Hedges) {
+	if r.slowAfter == 0 || r.request.terms.NonIdempotent || r.in.config.Off.Has(experiment.Hedges) {
 		look.Stop()
 	}
 	return look
@@ -96,8 +97,8 @@
 func (r *round) take(f finished) *finished {
 	r.running = slices.DeleteFunc(r.running, func(a *attempt) bool { return a == f.attempt })
 	if f.unsent {
-		r.avoid = slices.DeleteFunc(r.avoid, func(t *balance.Target) bool { return t == f.attempt.target })
-		r.refused = append(r.refused, f.attempt.target)
+		r.avoid = slices.DeleteFunc(r.avoid, func(t *balance.Target) bool { return t == f.attempt.Target })
+		r.refused = append(r.refused, f.attempt.Target)
 		if len(r.running) == 0 {
 			return r.failed // the attempt that it was to be a hedge of
 		}
@@ -123,8 +124,8 @@
 	}
 	f := *r.failed
 	r.failed = nil
-	failure := r.trace.take(f)
-	r.in.logAttempt(r.request, f.attempt, r.trace, failure, true)
+	failure := r.progress.record(f)
+	r.in.logAttempt(r.request, f.attempt, r.progress, failure, true)
 }
 
 // start runs an attempt beside the round.
@@ -132,7 +133,7 @@
 	ctx, a.cancel = context.WithCancelCause(ctx)
 	a.startedAt = time.Now()
 	r.running = append(r.running, a)
-	r.avoid = append(r.avoid, a.target)
+	r.avoid = append(r.avoid, a.Target)
 	go func() { r.done <- a.finish(ctx) }()
 }
 
@@ -149,7 +150,8 @@
 		in:      r.in,
 		request: r.request,
 		hedge:   true,
-		choice:  choice{target: target, refuseIfBusy: !r.request.subrequest, refuseIfHanging: !r.asked, grant: grantOwn},
+		Choice:  attempts.Choice{Target: target, RefuseIfBusy: !r.request.terms.Subrequest, RefuseIfHanging: !r.asked},
+		grant:   grantOwn,
 	})
 }
 
@@ -168,10 +170,10 @@
 // mayHedge says whether the request may have another hedge now. In a planned stop none is
 // sent, since others may not take it any more.
 func (r *round) mayHedge() bool {
-	if r.slowAfter == 0 || r.request.nonIdempotent || r.in.settling.Load() || r.request.body.Spent() {
+	if r.slowAfter == 0 || r.request.terms.NonIdempotent || r.in.settling.Load() || r.request.body.Spent() {
 		return false
 	}
-	if r.sent() >= r.request.attempts {
+	if r.sent() >= r.request.terms.MaxSent {
 		return false
 	}
 	newest := r.running[len(r.running)-1]
@@ -180,7 +182,7 @@
 
 // sent counts the backend servers that the request has reached or may yet reach.
 func (r *round) sent() int {
-	sent := r.trace.sent + len(r.running)
+	sent := r.progress.Sent + len(r.running)
 	if r.failed != nil {
 		sent++
 	}
@@ -234,14 +236,14 @@
 
 // takeSlot has the target keep a slot for the hedge, and takes a refusal as evidence.
 func (a *attempt) takeSlot(ctx context.Context) error {
-	reservation, err := a.in.reserve(ctx, a.request, a.choice)
+	reservation, err := a.reserve(ctx)
 	if err != nil {
 		a.learn(result.From(err), 0)
 		return err
 	}
 	a.reservation = reservation
 	event.Log(a.in.config.Logger, event.RequestHedged,
-		"request", a.in.requestID(a.request.Request), "service", a.request.name, "backend_server", a.target.Name,
-		"after_ms", time.Since(a.request.began).Milliseconds())
+		"request", a.in.requestID(a.request.Request), "service", a.request.name, "backend_server", a.Target.Name,
+		"after_ms", time.Since(a.request.terms.Began).Milliseconds())
 	return nil
 }
--- a/internal/ingress/learn.go
+++ b/internal/ingress/learn.go
@@ -23,14 +23,14 @@
 
 // observe takes the head of an answer as evidence.
 func (a *attempt) observe(answer sidecar.Answer, took time.Duration) {
-	a.request.service.pool.Report(a.target, answer.Load, time.Now())
-	if a.refuseIfBusy {
+	a.request.service.pool.Report(a.Target, answer.Load, time.Now())
+	if a.RefuseIfBusy {
 		a.request.service.pool.Looked(true)
 	}
 	outcome, seen := detect.FromAnswer(answer.Response)
 	switch {
 	case seen && outcome != detect.OK:
-		a.target.Fail()
+		a.Target.Fail()
 	case seen:
 		a.request.latency.Good(took)
 	}
@@ -42,22 +42,22 @@
 func (a *attempt) learn(failure *result.Error, took time.Duration) {
 	meaning := failures.Of(failure.Code)
 	if meaning.Reached {
-		a.target.Fail()
+		a.Target.Fail()
 	}
 	a.tell(detect.Observation{Outcome: meaning.Evidence, Took: took, WasOverdue: a.overdue.Load()}, meaning.Evidence != "")
 	pool := a.request.service.pool
 	switch meaning.Target {
 	case failures.NoSlot:
-		pool.Report(a.target, 1, time.Now())
+		pool.Report(a.Target, 1, time.Now())
 		pool.Looked(false)
 	case failures.Suspected:
-		pool.Suspect(a.target, time.Now().Add(a.stayAway(failure)))
+		pool.Suspect(a.Target, time.Now().Add(a.stayAway(failure)))
 	case failures.NoWork:
-		pool.Pause(a.target, time.Now().Add(pauseFor(failure)))
+		pool.Pause(a.Target, time.Now().Add(pauseFor(failure)))
 	case failures.HostUnreachable, failures.HostSilent:
 		a.lostHost(meaning.Target)
 	case failures.Unreachable:
-		pool.Pause(a.target, time.Now().Add(unreachablePause))
+		pool.Pause(a.Target, time.Now().Add(unreachablePause))
 	case failures.Unchanged, failures.QueueFull, failures.Hanging, failures.NoRetries: // nothing that outlasts the request
 	}
 }
@@ -66,23 +66,23 @@
 // it answers; without a way to ask it only this one, for a moment.
 func (a *attempt) lostHost(state failures.Target) {
 	if a.in.config.Ping != nil {
-		a.in.reach.lost(a.target.Placement().Host)
+		a.in.reach.lost(a.Target.Placement().Host)
 		return
 	}
 	if state == failures.HostUnreachable {
-		a.request.service.pool.Pause(a.target, time.Now().Add(unreachablePause))
+		a.request.service.pool.Pause(a.Target, time.Now().Add(unreachablePause))
 	}
 }
 
 // tell gives the service's judge what the attempt saw.
 func (a *attempt) tell(saw detect.Observation, seen bool) {
-	if !seen && !a.probation {
+	if !seen && !a.Probation {
 		return
 	}
-	if a.probation && saw.Outcome == detect.Overdue {
+	if a.Probation && saw.Outcome == detect.Overdue {
 		return // the probation's end says more
 	}
-	a.request.service.judge.record(observation{target: a.target, probation: a.probation, seen: seen, saw: saw})
+	a.request.service.judge.record(observation{target: a.Target, probation: a.Probation, seen: seen, saw: saw})
 }
 
 // stayAway is how long to keep away from a suspected target. Those near it find out
--- a/internal/ingress/passedover_test.go
+++ b/internal/ingress/passedover_test.go
@@ -16,12 +16,12 @@
 	r := newTestRound(t, 1)
 	in := &Ingress{config: Config{Logger: slog.New(slog.NewJSONHandler(&log, nil))}}
 	for _, code := range []result.Code{result.Busy, result.Suspected, result.Busy, result.QueueTooSlow} {
-		in.logAttempt(r.request, r.running[0], r.trace, result.New(code), true)
+		in.logAttempt(r.request, r.running[0], r.progress, result.New(code), true)
 	}
 	if log.Len() > 0 {
 		t.Fatalf("a line for each: %s", &log)
 	}
-	in.logAttempt(r.request, r.running[0], r.trace, result.New(result.ConnectionLost), false)
+	in.logAttempt(r.request, r.running[0], r.progress, result.New(result.ConnectionLost), false)
 	if got := log.String(); strings.Count(got, "\n") != 1 || !strings.Contains(got, `"passed_over":"busy 2, suspected 1, queue-too-slow 1"`) {
 		t.Fatalf("got %s", got)
 	}
--- a/internal/ingress/reservation.go
+++ b/internal/ingress/reservation.go
@@ -24,15 +24,15 @@
 
 // reserve asks the target's sidecar, directly if it is the daemon's own, to keep a slot for
 // the request, and returns its leave to run it.
-func (in *Ingress) reserve(ctx context.Context, r *request, c choice) (string, error) {
-	call := in.call(r, c)
+func (a *attempt) reserve(ctx context.Context) (string, error) {
+	call := a.call()
 	if call.TimeLeft <= 0 {
 		return "", result.New(result.DeadlineBeforeRun)
 	}
-	if address, remote := in.remote(c.target); remote {
-		return in.askReservation(ctx, call, address)
+	if address, remote := a.in.remote(a.Target); remote {
+		return a.in.askReservation(ctx, call, address)
 	}
-	return in.config.LocalReservation(ctx, call)
+	return a.in.config.LocalReservation(ctx, call)
 }
 
 // reservationTime is how long the call's reservation may take. One that waits for a slot
--- a/internal/ingress/send.go
+++ b/internal/ingress/send.go
@@ -17,38 +17,39 @@
 
 // send passes the request, as out has it, to the target's sidecar, directly if it is the
 // daemon's own.
-func (in *Ingress) send(ctx context.Context, r *request, out *http.Request, c choice) (sidecar.Answer, error) {
-	call := in.call(r, c)
+func (a *attempt) send(ctx context.Context, out *http.Request) (sidecar.Answer, error) {
+	call := a.call()
 	if call.TimeLeft <= 0 {
 		return sidecar.Answer{}, result.New(result.DeadlineBeforeRun)
 	}
-	if address, remote := in.remote(c.target); remote {
-		return in.sendRemote(ctx, call, out, address)
+	if address, remote := a.in.remote(a.Target); remote {
+		return a.in.sendRemote(ctx, call, out, address)
 	}
-	return in.config.Local(ctx, call, out)
+	return a.in.config.Local(ctx, call, out)
 }
 
-// call says what is asked of the target's sidecar.
-func (in *Ingress) call(r *request, c choice) hop.Call {
+// call returns what is asked of the target's sidecar.
+func (a *attempt) call() hop.Call {
+	r := a.request
 	return hop.Call{
-		BackendServer:    c.target.Name,
+		BackendServer:    a.Target.Name,
 		TimeLeft:         time.Until(r.deadline),
-		TargetLeft:       time.Until(r.targetAt),
+		TargetLeft:       time.Until(r.terms.TargetAt),
 		Usual:            r.usual(),
 		LatencyTarget:    r.latencyTarget,
 		SlowAfter:        r.slowAfter(),
 		Customer:         r.queuesAs,
-		NonIdempotent:    r.nonIdempotent,
-		DespiteSuspicion: c.despiteSuspicion,
-		RefuseIfBusy:     c.refuseIfBusy,
-		RefuseIfHanging:  c.refuseIfHanging,
-		Retry:            c.grant != grantNone || r.ofRetry,
-		Reservation:      c.reservation,
+		NonIdempotent:    r.terms.NonIdempotent,
+		DespiteSuspicion: a.DespiteSuspicion,
+		RefuseIfBusy:     a.RefuseIfBusy,
+		RefuseIfHanging:  a.RefuseIfHanging,
+		Retry:            a.grant != grantNone || r.ofRetry,
+		Reservation:      a.reservation,
 		Body:             r.body,
-		Host:             in.config.Host,
-		Origin:           in.config.Service,
+		Host:             a.in.config.Host,
+		Origin:           a.in.config.Service,
 		Priority:         r.priority,
-		Baseline:         c.target.Baseline(),
+		Baseline:         a.Target.Baseline(),
 	}
 }
 
--- a/internal/ingress/serve.go
+++ b/internal/ingress/serve.go
@@ -34,7 +34,7 @@
 	}
 	ctx, answered, cancel := in.untilAnswered(r.Context(), request.deadline)
 	defer cancel()
-	response, err := in.attempts(ctx, request)
+	response, err := in.tryAll(ctx, request)
 	answered()
 	if err != nil {
 		failure := lastAnswer(ctx, err)
--- a/internal/ingress/service.go
+++ b/internal/ingress/service.go
@@ -4,9 +4,11 @@
 	"math/rand/v2"
 	"time"
 
+	"github.com/tideliftd/tidelift/internal/attempts"
 	"github.com/tideliftd/tidelift/internal/balance"
 	"github.com/tideliftd/tidelift/internal/customer"
 	"github.com/tideliftd/tidelift/internal/detect"
+	"github.com/tideliftd/tidelift/internal/experiment"
 	"github.com/tideliftd/tidelift/internal/fleet"
 	"github.com/tideliftd/tidelift/internal/retry"
 	"github.com/tideliftd/tidelift/internal/route"
@@ -28,6 +30,8 @@
 	judge *judge
 	rules detect.Rules
 	calls callCounters
+	// attempts is what the decisions on requests know of it.
+	attempts attempts.Service
 }
 
 // Reconfigure puts a declaration in force. Requests that have begun go on
@@ -90,6 +94,7 @@
 		s.judge = old.judge
 		s.limit = old.limit
 	}
+	s.attempts = attempts.Service{Pool: s.pool, RetryLeft: s.limit.left, IgnoreHanging: in.config.Off.Has(experiment.HangChecks)}
 	s.pool.Reconfigure(declared, index)
 	if s.judge == nil {
 		s.judge = newJudge(in.config, s.pool)
--- a/internal/retry/budgets.go
+++ b/internal/retry/budgets.go
@@ -1,3 +1,47 @@
+// Package retry keeps the retries of a whole service within its limit. Whether a failed attempt
+// may be tried again, if the limit leaves a retry for it, is decided in package attempts.
+//
+// The limit is on what all daemons together do to a service: in any window of time its backend
+// servers get at most a share of its requests, and a slack, as retries. A retry is a request that is
+// sent to a backend server once more, and each call of a run that was a retry itself. Nobody counts
+// the sum. A Budgets is what one daemon answers for: the requests that begin on its host, and what
+// the backend servers of its host call. It takes a retry only from what those requests earned, so
+// that the sum holds whatever else happens: no daemon needs to know how many there are, one
+// that starts again has earned nothing yet, and one that is cut off earns no more than before.
+//
+// A host's budgets are in budgets.go, one of them in budget.go, what it counts over time in window.go,
+// what hosts lend each other in lend.go, and what runs call in calls.go.
+//
+// # Usage
+//
+//	budgets := retry.NewBudgets(retry.Config{Began: now})
+//	budgets.Resize(now, map[string]retry.Size{"lookup": {Share: 0.2, Slack: 56, Window: 10 * time.Second, Hosts: 21}})
+//	budgets.Request(now, "lookup") // for each request that begins here
+//	if budgets.Take(now, "lookup") {
+//		// send it
+//		budgets.End(now, "lookup", reached)
+//	}
+//	...
+//	if budgets.Begin(now, run, nil) { // the backend server of the host is sent a request
+//		defer budgets.Finish(now, run)
+//	}
+//	budgets.Call(now, run, "records") // the run calls another service
+//
+// # Rules
+//
+//   - A request earns most of its share of a retry in the window in which it is sent, and a quarter in
+//     the next one. Each daemon's retries of any window are paid in this way from its requests of that
+//     window and the one before, so all daemons' together are too: at most the share of the better of
+//     both.
+//   - Three quarters of the slack are shared by the hosts that the platform's store listed. Each uses its
+//     part once nobody can have used it within a window, and while the store has its record.
+//   - A host that has no retry left may borrow one, which counts at the lender.
+//   - A retry runs only where there is room for the calls that it may make, by what runs of its
+//     service called in the last minutes. Calls beyond that are made, and paid back.
+//
+// The bound does not cover calls whose id does not tell of the run that made them, nor a fleet of
+// which more than a quarter has not been heard of by the rest. A retry that waits for a slot for more
+// than a thirteenth of the window may count in a later one.
 package retry
 
 import (
