--- a/internal/attempts/attempts.go
+++ b/internal/attempts/attempts.go
@@ -40,6 +40,9 @@
 //   - one that may have a free slot, of which a few are asked;
 //   - the one where the wait for a slot is shortest;
 //   - a suspected one, unless queues are full.
+//
+// When is a hedge sent, and where (hedge.go)? Once the attempt sent last is slow, if the request may
+// run more than once and has attempts left, to a backend server that keeps a slot for it.
 package attempts
 
 import (
@@ -57,6 +60,8 @@
 	// IgnoreHanging says that requests that must not be lost are sent to backend servers that
 	// seem to hang, too.
 	IgnoreHanging bool
+	// NoHedges says that no hedges are sent.
+	NoHedges bool
 }
 
 // Terms are what holds for one request.
--- a/internal/attempts/history.go
+++ b/internal/attempts/history.go
@@ -79,8 +79,8 @@
 	h.Tried = append(h.Tried, target)
 }
 
-// NotBusy returns those that were tried, but for those that only had no free slot then.
-func (h *History) NotBusy() []*balance.Target {
+// triedNotBusy returns those that were tried, without those that only had no free slot then.
+func (h *History) triedNotBusy() []*balance.Target {
 	isBusy := func(tried *balance.Target) bool {
 		return slices.ContainsFunc(h.Busy, func(b Busy) bool { return b.Target == tried })
 	}
--- a/internal/ingress/hedge.go
+++ b/internal/ingress/hedge.go
@@ -7,22 +7,11 @@
 	"time"
 
 	"github.com/tideliftd/tidelift/internal/attempts"
-	"github.com/tideliftd/tidelift/internal/balance"
 	"github.com/tideliftd/tidelift/internal/event"
-	"github.com/tideliftd/tidelift/internal/experiment"
 	"github.com/tideliftd/tidelift/internal/failures"
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-const (
-	// hedgeLooks is how often another backend server is looked for in the time after
-	// which a request is slow, from then on.
-	hedgeLooks = 4
-	// shortestLook bounds that, so that looking costs little where answers take
-	// milliseconds. Source: a few round trips between data centres.
-	shortestLook = 10 * time.Millisecond
-)
-
 // round is an attempt of a request and, once that is slow and if the request may be
 // retried, hedges of it at other backend servers. The first whole answer wins and the
 // rest is cancelled. A hedge is sent only where a slot is kept for it; that of a call of a
@@ -31,16 +20,13 @@
 //
 // One goroutine owns the round; each attempt runs in its own and tells what became of it.
 type round struct {
-	in        *Ingress
-	request   *request
-	progress  *progress
-	running   []*attempt
-	avoid     []*balance.Target // where a hedge is not sent
-	failed    *finished         // the last that failed, which is not in the trace yet
-	slowAfter time.Duration     // after which an attempt is slow; zero if none is
-	refused   []*balance.Target // that had no slot or no retry for a hedge; asked again after all others
-	asked     bool              // all have been asked once
-	done      chan finished
+	in       *Ingress
+	request  *request
+	progress *progress
+	running  []*attempt
+	hedging  attempts.Hedging
+	failed   *finished // the last that failed, which is not in the progress yet
+	done     chan finished
 }
 
 // finished is what became of an attempt.
@@ -60,12 +46,11 @@
 // has the answer, or the last that failed; the failures of the others are in the trace.
 func (in *Ingress) runRound(ctx context.Context, first *attempt, p *progress) finished {
 	r := &round{
-		in:        in,
-		request:   first.request,
-		progress:  p,
-		avoid:     p.NotBusy(),
-		slowAfter: first.request.slowAfter(),
-		done:      make(chan finished),
+		in:       in,
+		request:  first.request,
+		progress: p,
+		hedging:  attempts.NewHedging(first.request.terms, first.request.slowAfter(), &p.History),
+		done:     make(chan finished),
 	}
 	r.start(ctx, first)
 	look := r.firstLook()
@@ -78,15 +63,16 @@
 			}
 		case <-look.C:
 			r.tryHedge(ctx)
-			look.Reset(max(r.slowAfter/hedgeLooks, shortestLook))
+			look.Reset(r.hedging.NextLook())
 		}
 	}
 }
 
 // firstLook returns the timer of the looks for a hedge. It never fires if none may be sent.
 func (r *round) firstLook() *time.Timer {
-	look := time.NewTimer(r.slowAfter)
-	if r.slowAfter == 0 || r.request.terms.NonIdempotent || r.in.config.Off.Has(experiment.Hedges) {
+	after, ok := r.hedging.FirstLook()
+	look := time.NewTimer(after)
+	if !ok {
 		look.Stop()
 	}
 	return look
@@ -97,8 +83,7 @@
 func (r *round) take(f finished) *finished {
 	r.running = slices.DeleteFunc(r.running, func(a *attempt) bool { return a == f.attempt })
 	if f.unsent {
-		r.avoid = slices.DeleteFunc(r.avoid, func(t *balance.Target) bool { return t == f.attempt.Target })
-		r.refused = append(r.refused, f.attempt.Target)
+		r.hedging.Refused(f.attempt.Target)
 		if len(r.running) == 0 {
 			return r.failed // the attempt that it was to be a hedge of
 		}
@@ -133,67 +118,36 @@
 	ctx, a.cancel = context.WithCancelCause(ctx)
 	a.startedAt = time.Now()
 	r.running = append(r.running, a)
-	r.avoid = append(r.avoid, a.Target)
+	r.hedging.Sent(a.Target)
 	go func() { r.done <- a.finish(ctx) }()
 }
 
-// tryHedge sends a hedge if the attempt sent last is slow and another may be sent.
+// tryHedge sends a hedge if one may be sent now and this host has a retry for it.
 func (r *round) tryHedge(ctx context.Context) {
-	if !r.mayHedge() {
+	choice := r.hedging.Choose(time.Now(), &r.progress.History, r.runs())
+	if choice.Target == nil || !r.request.service.limit.takeOwn() {
 		return
 	}
-	target, ok := r.pick(time.Now())
-	if !ok || !r.request.service.limit.takeOwn() {
-		return
-	}
-	r.start(ctx, &attempt{
-		in:      r.in,
-		request: r.request,
-		hedge:   true,
-		Choice:  attempts.Choice{Target: target, RefuseIfBusy: !r.request.terms.Subrequest, RefuseIfHanging: !r.asked},
-		grant:   grantOwn,
-	})
-}
-
-// pick chooses where a hedge may be sent: one that has not refused one yet, and once all have,
-// any again, also one that seems to hang.
-func (r *round) pick(now time.Time) (*balance.Target, bool) {
-	pool := r.request.service.pool
-	if target, ok := pool.Pick(now, slices.Concat(r.avoid, r.refused)); ok {
-		return target, true
-	}
-	r.refused = nil
-	r.asked = true
-	return pool.Pick(now, r.avoid)
+	r.start(ctx, &attempt{in: r.in, request: r.request, Choice: choice, grant: grantOwn, hedge: true})
 }
 
-// mayHedge says whether the request may have another hedge now. In a planned stop none is
-// sent, since others may not take it any more.
-func (r *round) mayHedge() bool {
-	if r.slowAfter == 0 || r.request.terms.NonIdempotent || r.in.settling.Load() || r.request.body.Spent() {
-		return false
-	}
-	if r.sent() >= r.request.terms.MaxSent {
-		return false
+// runs returns what runs of the request.
+func (r *round) runs() attempts.Running {
+	running := attempts.Running{
+		Count: len(r.running), NewestBegan: r.running[len(r.running)-1].startedAt,
+		BodySpent: r.request.body.Spent(), Stopping: r.in.settling.Load(),
 	}
-	newest := r.running[len(r.running)-1]
-	return time.Since(newest.startedAt) >= r.slowAfter
-}
-
-// sent counts the backend servers that the request has reached or may yet reach.
-func (r *round) sent() int {
-	sent := r.progress.Sent + len(r.running)
 	if r.failed != nil {
-		sent++
+		running.Failed = 1
 	}
-	return sent
+	return running
 }
 
 // cancelRest ends the attempts that the winner leaves over. Those that began before it
 // are overdue, which is evidence.
 func (r *round) cancelRest(winner *attempt) {
 	for _, a := range r.running {
-		if a.startedAt.Before(winner.startedAt) {
+		if attempts.IsOvertaken(a.startedAt, winner.startedAt) {
 			a.cancel(errOverdue)
 			continue
 		}
--- a/internal/ingress/service.go
+++ b/internal/ingress/service.go
@@ -94,7 +94,10 @@
 		s.judge = old.judge
 		s.limit = old.limit
 	}
-	s.attempts = attempts.Service{Pool: s.pool, RetryLeft: s.limit.left, IgnoreHanging: in.config.Off.Has(experiment.HangChecks)}
+	s.attempts = attempts.Service{
+		Pool: s.pool, RetryLeft: s.limit.left,
+		IgnoreHanging: in.config.Off.Has(experiment.HangChecks), NoHedges: in.config.Off.Has(experiment.Hedges),
+	}
 	s.pool.Reconfigure(declared, index)
 	if s.judge == nil {
 		s.judge = newJudge(in.config, s.pool)
