--- a/internal/ingress/admit.go
+++ b/internal/ingress/admit.go
@@ -21,21 +21,21 @@
 // request is a caller's request with what the declaration says of it.
 type request struct {
 	*http.Request
-	service       *service
-	name          string
-	latencyTarget time.Duration // within which an answer is worth most
-	deadline      time.Time
-	customer      string
-	queuesAs      string // whose turns it takes in queues
-	terms         attempts.Terms
-	priority      int
-	body          *body.Body
-	route         route.Name
-	latency       *latency.Estimate // of its route
-	mayBeCall     bool              // nothing rules out that a backend server sent it
-	ofRetry       bool              // a run that is a retry itself has sent it
-	charged       bool              // as such it counts here, and must be ended
-	reached       atomic.Bool       // a backend server, or may have
+	service         *service
+	serviceName     string
+	latencyTarget   time.Duration // within which an answer is worth most
+	deadline        time.Time
+	customer        string
+	queueCustomer   string // whose turns it takes in queues
+	terms           attempts.Terms
+	priority        int
+	body            *body.Body
+	route           route.Name
+	latency         *latency.Estimate // of its route
+	mayBeSubrequest bool              // nothing rules out that a backend server sent it
+	sentByRetry     bool              // a run that is a retry itself has sent it
+	countsAsRetry   bool              // as such it counts here, and must be ended
+	reached         atomic.Bool       // a backend server, or may have
 }
 
 // subrequestPriority is the rank of what a backend server calls while it runs a request: before
@@ -91,11 +91,11 @@
 	admitted := &request{
 		Request:       &own,
 		service:       service,
-		name:          name,
+		serviceName:   name,
 		latencyTarget: min(match.Target, left),
 		deadline:      now.Add(left),
 		customer:      who.name,
-		queuesAs:      in.queuesAs(current, who),
+		queueCustomer: in.queueCustomer(current, who),
 		terms: attempts.Terms{
 			Service:       &service.attempts,
 			NonIdempotent: !match.Idempotent(r.Method),
@@ -108,17 +108,17 @@
 		route:    routeName,
 		latency:  in.latencies.of(routeName),
 
-		mayBeCall: current.mayBeCall(who),
+		mayBeSubrequest: current.mayBeSubrequest(who),
 	}
 	if in.config.Off.Has(experiment.Aims) {
 		admitted.terms.TargetAt = admitted.deadline
 	}
-	if admitted.mayBeCall && in.subrequest.Is(admitted.route) && !in.config.Off.Has(experiment.Subrequests) {
+	if admitted.mayBeSubrequest && in.subrequest.Is(admitted.route) && !in.config.Off.Has(experiment.Subrequests) {
 		admitted.terms.Subrequest = true
 		admitted.terms.TargetAt = admitted.deadline
 		admitted.priority = subrequestPriority
 	}
-	in.count(admitted, now)
+	in.countForLimit(admitted, now)
 	return admitted, nil
 }
 
--- a/internal/ingress/attempt.go
+++ b/internal/ingress/attempt.go
@@ -23,7 +23,7 @@
 	attempts.Choice
 	grant       retryGrant  // of the retry that it is
 	reservation string      // leave of the target's sidecar to run the request; empty if there is none
-	hedge       bool        // it is a hedge beside a slow attempt
+	isHedge     bool        // it is a hedge beside a slow attempt
 	overdue     atomic.Bool // it took far longer than others would
 	startedAt   time.Time
 	cancel      context.CancelCauseFunc // ends it
@@ -42,10 +42,10 @@
 		failure := a.failure(ctx, err)
 		a.cancel(nil)
 		a.Target.End()
-		a.learn(failure, time.Since(started))
+		a.learnFromFailure(failure, time.Since(started))
 		return nil, failure
 	}
-	a.observe(answer, time.Since(started)-answer.Waited)
+	a.learnFromAnswer(answer, time.Since(started)-answer.Waited)
 	answer.Response.Body = hop.OnClose(answer.Response.Body, func() {
 		a.Target.End()
 		a.cancel(nil)
--- a/internal/ingress/attempt_test.go
+++ b/internal/ingress/attempt_test.go
@@ -13,8 +13,8 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// newTestRound returns a round with so many attempts that run.
-func newTestRound(t *testing.T, running int) *round {
+// newTestRace returns a round with so many attempts that run.
+func newTestRace(t *testing.T, running int) *race {
 	t.Helper()
 	declaration, err := fleet.Parse("fleet.yaml", []byte(twoServers))
 	if err != nil {
@@ -24,7 +24,7 @@
 	pool := balance.NewPool(balance.Config{DataCentre: "dc", Random: rand.Uint64})
 	pool.Reconfigure(declaration.Services[0], index)
 	in := &Ingress{config: Config{Logger: slog.New(slog.DiscardHandler)}}
-	r := &round{in: in, progress: &progress{}, done: make(chan finished)}
+	r := &race{in: in, progress: &progress{}, done: make(chan outcome)}
 	r.request = &request{terms: attempts.Terms{Service: &attempts.Service{Pool: pool}, MaxSent: 3}, service: &service{limit: &retryLimit{}}}
 	r.hedging = attempts.NewHedging(r.request.terms, time.Millisecond, &r.progress.History)
 	for range running {
@@ -37,12 +37,12 @@
 // TestAHedgeWithoutASlotEndsTheRoundOfAFailedAttempt lets an attempt fail while a hedge of
 // it still looks for a slot.
 func TestAHedgeWithoutASlotEndsTheRoundOfAFailedAttempt(t *testing.T) {
-	r := newTestRound(t, 2)
+	r := newTestRace(t, 2)
 	first, looking := r.running[0], r.running[1]
-	if end := r.take(finished{attempt: first, err: result.New(result.ConnectionLost)}); end != nil {
+	if end := r.handle(outcome{attempt: first, err: result.New(result.ConnectionLost)}); end != nil {
 		t.Fatal("the round ended while a hedge may still be sent")
 	}
-	end := r.take(finished{attempt: looking, err: result.New(result.Busy), unsent: true})
+	end := r.handle(outcome{attempt: looking, err: result.New(result.Busy), hedgeRefused: true})
 	if end == nil || end.attempt != first {
 		t.Fatalf("ended with %+v, want the attempt that failed", end)
 	}
@@ -53,10 +53,10 @@
 
 // TestTheLastFailureEndsTheRound keeps the one before it in the trace.
 func TestTheLastFailureEndsTheRound(t *testing.T) {
-	r := newTestRound(t, 2)
+	r := newTestRace(t, 2)
 	first, second := r.running[0], r.running[1]
-	r.take(finished{attempt: first, err: result.New(result.ConnectionLost)})
-	end := r.take(finished{attempt: second, err: result.New(result.DeadlineWhileRunning)})
+	r.handle(outcome{attempt: first, err: result.New(result.ConnectionLost)})
+	end := r.handle(outcome{attempt: second, err: result.New(result.DeadlineWhileRunning)})
 	if end == nil || end.attempt != second || r.progress.Sent != 1 {
 		t.Fatalf("ended with %+v, %d in the trace", end, r.progress.Sent)
 	}
--- a/internal/ingress/attempts.go
+++ b/internal/ingress/attempts.go
@@ -22,7 +22,7 @@
 			r.service.limit.giveBack(p.grant)
 			return p.end(p.NoneLeft(len(r.service.pool.Targets()), p.passedOver.String()))
 		}
-		f := in.runRound(ctx, &attempt{in: in, request: r, Choice: choice, grant: p.grant}, p)
+		f := in.race(ctx, &attempt{in: in, request: r, Choice: choice, grant: p.grant}, p)
 		if f.isAnswer() {
 			p.closeAnswer()
 			return f.response, nil
@@ -68,7 +68,7 @@
 		return
 	}
 	event.Log(in.config.Logger, event.AttemptFailed,
-		"request", in.requestID(r.Request), "service", r.name, "backend_server", a.Target.Name, "trial", a.Probation,
+		"request", in.requestID(r.Request), "service", r.serviceName, "backend_server", a.Target.Name, "trial", a.Probation,
 		"no_wait", a.RefuseIfBusy, "proven", a.RefuseIfHanging, "insist", a.DespiteSuspicion,
 		"tried", len(p.Tried), "sent", p.Sent, "once", r.terms.NonIdempotent, "code", failure.Code.Number, "result", failure.Code.Name,
 		"why", failure.Error(), "again", retried, "passed_over", p.passedOver.String())
--- a/internal/ingress/clock.go
+++ b/internal/ingress/clock.go
@@ -18,7 +18,7 @@
 }
 
 // startClock starts the attempt's clock. Without others to compare with it
-// never strikes.
+// never expires.
 func (a *attempt) startClock() *overdueClock {
 	c := &overdueClock{attempt: a}
 	limit := a.request.service.overdueLimit(a.Target)
@@ -27,11 +27,11 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.timer = time.AfterFunc(limit, c.strike)
+	c.timer = time.AfterFunc(limit, c.expire)
 	return c
 }
 
-// stop ends the watch. After it the clock does not strike any more.
+// stop ends the watch. After it the clock does not expire any more.
 func (c *overdueClock) stop() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -41,13 +41,13 @@
 	}
 }
 
-// strike takes it as evidence that the attempt is overdue.
-func (c *overdueClock) strike() {
+// expire reports that the attempt is overdue, which is evidence.
+func (c *overdueClock) expire() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.stopped {
 		return
 	}
 	c.attempt.overdue.Store(true)
-	c.attempt.tell(detect.Observation{Outcome: detect.Overdue}, true)
+	c.attempt.report(detect.Observation{Outcome: detect.Overdue}, true)
 }
--- a/internal/ingress/customer.go
+++ b/internal/ingress/customer.go
@@ -51,16 +51,16 @@
 	return who, nil
 }
 
-// mayBeCall says whether a backend server may have sent the request. Backend servers hold no
+// mayBeSubrequest says whether a backend server may have sent the request. Backend servers hold no
 // customer's key, so that a request with one is no call, however often the two fail together:
 // on a day of high load most hosts took all routes for called, and one such request asked
 // dozens of backend servers for a slot.
-func (s *state) mayBeCall(who identity) bool { return s.customers == nil || who.name == "" }
+func (s *state) mayBeSubrequest(who identity) bool { return s.customers == nil || who.name == "" }
 
-// queuesAs returns whose turns a request takes where others wait. Where customers are known,
+// queueCustomer returns whose turns a request takes where others wait. Where customers are known,
 // what comes without one takes those of its host: together they would be one customer among
 // hundreds, and most of them are calls, without which a customer's request fails.
-func (in *Ingress) queuesAs(s *state, who identity) string {
+func (in *Ingress) queueCustomer(s *state, who identity) string {
 	if who.name != "" || s.customers == nil {
 		return who.name
 	}
--- a/internal/ingress/customer_test.go
+++ b/internal/ingress/customer_test.go
@@ -52,16 +52,16 @@
 		name, path, key string
 		code            result.Code
 		customer        string
-		queuesAs        string
+		queueCustomer   string
 		priority        int
-		mayBeCall       bool
+		mayBeSubrequest bool
 	}{
-		{name: "a customer with a rank", path: "/closed/x", key: "county-key", customer: "county", queuesAs: "county"},
-		{name: "a customer without a rank", path: "/closed/x", key: "school-key", customer: "school", queuesAs: "school", priority: 2},
+		{name: "a customer with a rank", path: "/closed/x", key: "county-key", customer: "county", queueCustomer: "county"},
+		{name: "a customer without a rank", path: "/closed/x", key: "school-key", customer: "school", queueCustomer: "school", priority: 2},
 		{name: "no key", path: "/closed/x", code: result.KeyMissing},
 		{name: "an unknown key", path: "/closed/x", key: "other", code: result.KeyUnknown},
-		{name: "public without a key", path: "/open/x", queuesAs: "host csepel-1", priority: 2, mayBeCall: true},
-		{name: "public with a key", path: "/open/x", key: "school-key", customer: "school", queuesAs: "school", priority: 2},
+		{name: "public without a key", path: "/open/x", queueCustomer: "host csepel-1", priority: 2, mayBeSubrequest: true},
+		{name: "public with a key", path: "/open/x", key: "school-key", customer: "school", queueCustomer: "school", priority: 2},
 		{name: "public with an unknown key", path: "/open/x", key: "other", code: result.KeyUnknown},
 	}
 	for _, test := range tests {
@@ -77,8 +77,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if admitted.customer != test.customer || admitted.queuesAs != test.queuesAs || admitted.priority != test.priority || admitted.mayBeCall != test.mayBeCall {
-				t.Errorf("customer %q, queues as %q, priority %d, may be a call: %v", admitted.customer, admitted.queuesAs, admitted.priority, admitted.mayBeCall)
+			if admitted.customer != test.customer || admitted.queueCustomer != test.queueCustomer || admitted.priority != test.priority || admitted.mayBeSubrequest != test.mayBeSubrequest {
+				t.Errorf("customer %q, queues as %q, priority %d, may be a call: %v", admitted.customer, admitted.queueCustomer, admitted.priority, admitted.mayBeSubrequest)
 			}
 			if got := admitted.Header.Get(fleet.DefaultCustomerHeader); got != test.customer {
 				t.Errorf("the backend server is told %q", got)
@@ -100,7 +100,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			in.noteFailed(r, result.New(result.NoneAble))
+			in.reportFailed(r, result.New(result.NoneAble))
 			in.ServerAnswered(false)
 			time.Sleep(120 * time.Millisecond) // until the next failure counts on its own
 		}
--- a/internal/ingress/failures_test.go
+++ b/internal/ingress/failures_test.go
@@ -71,7 +71,7 @@
 	failure := result.New(code).WithRetryAfter(time.Minute)
 	history := &attempts.History{}
 	history.Record(a.Target, failure, false)
-	a.learn(failure, time.Second)
+	a.learnFromFailure(failure, time.Second)
 	_, suspected := pool.PickSuspected(time.Now(), nil)
 	var words []string
 	add := func(is bool, word string) {
--- a/internal/ingress/hedge.go
+++ b/internal/ingress/hedge.go
@@ -12,45 +12,45 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// round is an attempt of a request and, once that is slow and if the request may be
+// race is an attempt of a request and, once that is slow and if the request may be
 // retried, hedges of it at other backend servers. The first whole answer wins and the
 // rest is cancelled. A hedge is sent only where a slot is kept for it; that of a call of a
 // backend server waits for one, since such calls go first. The slow attempt goes on meanwhile,
 // since its answer may be the first.
 //
 // One goroutine owns the round; each attempt runs in its own and tells what became of it.
-type round struct {
+type race struct {
 	in       *Ingress
 	request  *request
 	progress *progress
 	running  []*attempt
 	hedging  attempts.Hedging
-	failed   *finished // the last that failed, which is not in the progress yet
-	done     chan finished
+	failed   *outcome // the last that failed, which is not in the progress yet
+	done     chan outcome
 }
 
-// finished is what became of an attempt.
-type finished struct {
-	attempt  *attempt
-	response *http.Response
-	err      error
-	unsent   bool // it is a hedge for which no slot was found
+// outcome is what became of an attempt.
+type outcome struct {
+	attempt      *attempt
+	response     *http.Response
+	err          error
+	hedgeRefused bool // it is a hedge for which no slot was found
 }
 
 // isAnswer says whether the attempt has an answer that is passed on.
-func (f finished) isAnswer() bool {
+func (f outcome) isAnswer() bool {
 	return f.err == nil && !f.attempt.request.terms.MayImprove(f.response)
 }
 
-// runRound runs the attempt and, where it is slow, hedges of it. It returns the one that
+// race runs the attempt and, where it is slow, hedges of it. It returns the one that
 // has the answer, or the last that failed; the failures of the others are in the trace.
-func (in *Ingress) runRound(ctx context.Context, first *attempt, p *progress) finished {
-	r := &round{
+func (in *Ingress) race(ctx context.Context, first *attempt, p *progress) outcome {
+	r := &race{
 		in:       in,
 		request:  first.request,
 		progress: p,
 		hedging:  attempts.NewHedging(first.request.terms, first.request.slowAfter(), &p.History),
-		done:     make(chan finished),
+		done:     make(chan outcome),
 	}
 	r.start(ctx, first)
 	look := r.firstLook()
@@ -58,7 +58,7 @@
 	for {
 		select {
 		case f := <-r.done:
-			if end := r.take(f); end != nil {
+			if end := r.handle(f); end != nil {
 				return *end
 			}
 		case <-look.C:
@@ -69,7 +69,7 @@
 }
 
 // firstLook returns the timer of the looks for a hedge. It never fires if none may be sent.
-func (r *round) firstLook() *time.Timer {
+func (r *race) firstLook() *time.Timer {
 	after, ok := r.hedging.FirstLook()
 	look := time.NewTimer(after)
 	if !ok {
@@ -78,18 +78,18 @@
 	return look
 }
 
-// take takes what became of an attempt, and returns the one that ends the round; nil if it
+// handle records what became of an attempt, and returns the one that ends the round; nil if it
 // goes on.
-func (r *round) take(f finished) *finished {
+func (r *race) handle(f outcome) *outcome {
 	r.running = slices.DeleteFunc(r.running, func(a *attempt) bool { return a == f.attempt })
-	if f.unsent {
+	if f.hedgeRefused {
 		r.hedging.Refused(f.attempt.Target)
 		if len(r.running) == 0 {
 			return r.failed // the attempt that it was to be a hedge of
 		}
 		return nil
 	}
-	r.noteFailed()
+	r.recordFailed()
 	if f.isAnswer() {
 		r.cancelRest(f.attempt)
 		return &f
@@ -101,9 +101,9 @@
 	return nil
 }
 
-// noteFailed puts the last failure into the trace, once another attempt has ended after
+// recordFailed puts the last failure into the trace, once another attempt has ended after
 // it.
-func (r *round) noteFailed() {
+func (r *race) recordFailed() {
 	if r.failed == nil {
 		return
 	}
@@ -114,7 +114,7 @@
 }
 
 // start runs an attempt beside the round.
-func (r *round) start(ctx context.Context, a *attempt) {
+func (r *race) start(ctx context.Context, a *attempt) {
 	ctx, a.cancel = context.WithCancelCause(ctx)
 	a.startedAt = time.Now()
 	r.running = append(r.running, a)
@@ -123,16 +123,16 @@
 }
 
 // tryHedge sends a hedge if one may be sent now and this host has a retry for it.
-func (r *round) tryHedge(ctx context.Context) {
+func (r *race) tryHedge(ctx context.Context) {
 	choice := r.hedging.Choose(time.Now(), &r.progress.History, r.runs())
 	if choice.Target == nil || !r.request.service.limit.takeOwn() {
 		return
 	}
-	r.start(ctx, &attempt{in: r.in, request: r.request, Choice: choice, grant: grantOwn, hedge: true})
+	r.start(ctx, &attempt{in: r.in, request: r.request, Choice: choice, grant: grantOwn, isHedge: true})
 }
 
 // runs returns what runs of the request.
-func (r *round) runs() attempts.Running {
+func (r *race) runs() attempts.Running {
 	running := attempts.Running{
 		Count: len(r.running), NewestBegan: r.running[len(r.running)-1].startedAt,
 		BodySpent: r.request.body.Spent(), Stopping: r.in.settling.Load(),
@@ -145,7 +145,7 @@
 
 // cancelRest ends the attempts that the winner leaves over. Those that began before it
 // are overdue, which is evidence.
-func (r *round) cancelRest(winner *attempt) {
+func (r *race) cancelRest(winner *attempt) {
 	for _, a := range r.running {
 		if attempts.IsOvertaken(a.startedAt, winner.startedAt) {
 			a.cancel(errOverdue)
@@ -157,7 +157,7 @@
 }
 
 // drain takes what becomes of the attempts that were left over.
-func (r *round) drain(count int) {
+func (r *race) drain(count int) {
 	for range count {
 		f := <-r.done
 		if f.response != nil {
@@ -167,8 +167,8 @@
 }
 
 // finish runs the attempt. One that retries the request has taken a retry, which ends here.
-func (a *attempt) finish(ctx context.Context) finished {
-	f := a.runKept(ctx)
+func (a *attempt) finish(ctx context.Context) outcome {
+	f := a.runReserved(ctx)
 	reached := f.err == nil || failures.Of(result.From(f.err).Code).Reached
 	if reached {
 		a.request.reached.Store(true)
@@ -177,27 +177,27 @@
 	return f
 }
 
-// runKept runs the attempt, a hedge only once a slot is kept for it.
-func (a *attempt) runKept(ctx context.Context) finished {
-	if a.hedge {
-		if err := a.takeSlot(ctx); err != nil {
-			return finished{attempt: a, err: err, unsent: true}
+// runReserved runs the attempt, a hedge only once a slot is kept for it.
+func (a *attempt) runReserved(ctx context.Context) outcome {
+	if a.isHedge {
+		if err := a.reserveSlot(ctx); err != nil {
+			return outcome{attempt: a, err: err, hedgeRefused: true}
 		}
 	}
 	response, err := a.run(ctx) //nolint:bodyclose // whoever takes it closes it
-	return finished{attempt: a, response: response, err: err}
+	return outcome{attempt: a, response: response, err: err}
 }
 
-// takeSlot has the target keep a slot for the hedge, and takes a refusal as evidence.
-func (a *attempt) takeSlot(ctx context.Context) error {
+// reserveSlot has the target keep a slot for the hedge, and takes a refusal as evidence.
+func (a *attempt) reserveSlot(ctx context.Context) error {
 	reservation, err := a.reserve(ctx)
 	if err != nil {
-		a.learn(result.From(err), 0)
+		a.learnFromFailure(result.From(err), 0)
 		return err
 	}
 	a.reservation = reservation
 	event.Log(a.in.config.Logger, event.RequestHedged,
-		"request", a.in.requestID(a.request.Request), "service", a.request.name, "backend_server", a.Target.Name,
+		"request", a.in.requestID(a.request.Request), "service", a.request.serviceName, "backend_server", a.Target.Name,
 		"after_ms", time.Since(a.request.terms.Began).Milliseconds())
 	return nil
 }
--- a/internal/ingress/latencies.go
+++ b/internal/ingress/latencies.go
@@ -22,8 +22,8 @@
 	return known.(*latency.Estimate)
 }
 
-// keep forgets the routes for which the function says no.
-func (p *latencies) keep(declared func(route.Name) bool) {
+// retain forgets the routes for which the function says no.
+func (p *latencies) retain(declared func(route.Name) bool) {
 	p.byRoute.Range(func(name, _ any) bool {
 		if !declared(name.(route.Name)) {
 			p.byRoute.Delete(name)
--- a/internal/ingress/learn.go
+++ b/internal/ingress/learn.go
@@ -21,8 +21,8 @@
 	unreachablePause = 500 * time.Millisecond
 )
 
-// observe takes the head of an answer as evidence.
-func (a *attempt) observe(answer sidecar.Answer, took time.Duration) {
+// learnFromAnswer takes the head of an answer as evidence.
+func (a *attempt) learnFromAnswer(answer sidecar.Answer, took time.Duration) {
 	a.request.service.pool.Report(a.Target, answer.Load, time.Now())
 	if a.RefuseIfBusy {
 		a.request.service.pool.Looked(true)
@@ -34,17 +34,17 @@
 	case seen:
 		a.request.latency.Good(took)
 	}
-	a.tell(detect.Observation{Outcome: outcome, Took: took, WasOverdue: a.overdue.Load()}, seen)
+	a.report(detect.Observation{Outcome: outcome, Took: took, WasOverdue: a.overdue.Load()}, seen)
 }
 
-// learn takes a failure as evidence, and keeps away from a target that refuses
+// learnFromFailure takes a failure as evidence, and keeps away from a target that refuses
 // for a while.
-func (a *attempt) learn(failure *result.Error, took time.Duration) {
+func (a *attempt) learnFromFailure(failure *result.Error, took time.Duration) {
 	meaning := failures.Of(failure.Code)
 	if meaning.Reached {
 		a.Target.Fail()
 	}
-	a.tell(detect.Observation{Outcome: meaning.Evidence, Took: took, WasOverdue: a.overdue.Load()}, meaning.Evidence != "")
+	a.report(detect.Observation{Outcome: meaning.Evidence, Took: took, WasOverdue: a.overdue.Load()}, meaning.Evidence != "")
 	pool := a.request.service.pool
 	switch meaning.Target {
 	case failures.NoSlot:
@@ -66,7 +66,7 @@
 // it answers; without a way to ask it only this one, for a moment.
 func (a *attempt) lostHost(state failures.Target) {
 	if a.in.config.Ping != nil {
-		a.in.reach.lost(a.Target.Placement().Host)
+		a.in.reach.recordLost(a.Target.Placement().Host)
 		return
 	}
 	if state == failures.HostUnreachable {
@@ -74,8 +74,8 @@
 	}
 }
 
-// tell gives the service's judge what the attempt saw.
-func (a *attempt) tell(saw detect.Observation, seen bool) {
+// report gives the service's judge what the attempt saw.
+func (a *attempt) report(saw detect.Observation, seen bool) {
 	if !seen && !a.Probation {
 		return
 	}
--- a/internal/ingress/limit.go
+++ b/internal/ingress/limit.go
@@ -26,9 +26,9 @@
 	borrow  func(ctx context.Context, service string) bool // nil if no other host is asked
 }
 
-// left says whether a retry is likely to be had now. Every request asks it, and whether others may
+// likelyLeft reports whether a retry is likely to be had now. Every request asks it, and whether others may
 // be asked is the cheaper question of the two by far.
-func (l *retryLimit) left(now time.Time) bool {
+func (l *retryLimit) likelyLeft(now time.Time) bool {
 	return l.budgets.MayBorrow(now, l.service) || l.budgets.Left(now, l.service)
 }
 
--- a/internal/ingress/passedover_test.go
+++ b/internal/ingress/passedover_test.go
@@ -13,7 +13,7 @@
 // which counts them.
 func TestWhatOnlySendsARequestOnIsCounted(t *testing.T) {
 	var log bytes.Buffer
-	r := newTestRound(t, 1)
+	r := newTestRace(t, 1)
 	in := &Ingress{config: Config{Logger: slog.New(slog.NewJSONHandler(&log, nil))}}
 	for _, code := range []result.Code{result.Busy, result.Suspected, result.Busy, result.QueueTooSlow} {
 		in.logAttempt(r.request, r.running[0], r.progress, result.New(code), true)
--- a/internal/ingress/progress.go
+++ b/internal/ingress/progress.go
@@ -17,7 +17,7 @@
 
 // record enters an attempt that failed, or whose answer is kept if nothing better comes, and
 // returns its failure.
-func (p *progress) record(f finished) *result.Error {
+func (p *progress) record(f outcome) *result.Error {
 	failure := p.failureOf(f)
 	p.Record(f.attempt.Target, failure, f.attempt.far())
 	return failure
@@ -25,7 +25,7 @@
 
 // failureOf returns the attempt's failure. An answer of a backend server that says that it failed
 // is kept in place of the one before.
-func (p *progress) failureOf(f finished) *result.Error {
+func (p *progress) failureOf(f outcome) *result.Error {
 	if f.err != nil {
 		return result.From(f.err)
 	}
--- a/internal/ingress/reach.go
+++ b/internal/ingress/reach.go
@@ -35,9 +35,9 @@
 	away map[string]bool
 }
 
-// lost takes it that a request could not reach the host. Its targets are passed
+// recordLost records that a request could not reach the host. Its targets are passed
 // over until the host has answered.
-func (x *reach) lost(host fleet.Host) {
+func (x *reach) recordLost(host fleet.Host) {
 	if host.Name == x.in.config.Host {
 		return
 	}
@@ -49,11 +49,11 @@
 	x.away[host.Name] = true
 	event.Log(x.in.config.Logger, event.HostAway, "host", host.Name)
 	x.pause(host.Name, time.Now().Add(reachFor))
-	go x.look(host)
+	go x.awaitAnswers(host)
 }
 
-// look asks the host's daemon until it answers in good time.
-func (x *reach) look(host fleet.Host) {
+// awaitAnswers asks the host's daemon until it answers in good time.
+func (x *reach) awaitAnswers(host fleet.Host) {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(x.in.ended, reachFor)
 	defer cancel()
--- a/internal/ingress/serve.go
+++ b/internal/ingress/serve.go
@@ -25,7 +25,7 @@
 		in.fail(w, r, started, err)
 		return
 	}
-	defer in.endCall(request)
+	defer in.endRetry(request)
 	defer request.body.Finish()
 	if err := request.body.Prepare(request.deadline); err != nil {
 		in.giveBack(request)
@@ -41,7 +41,7 @@
 		if failure.Code.Ran == result.RanNo {
 			in.giveBack(request)
 		}
-		in.noteFailed(request, failure)
+		in.reportFailed(request, failure)
 		in.fail(w, r, started, failure)
 		return
 	}
--- a/internal/ingress/service.go
+++ b/internal/ingress/service.go
@@ -49,7 +49,7 @@
 	for _, declared := range index.Declaration.Services {
 		next.services[declared.Name] = in.reconfigureService(declared, index)
 	}
-	in.latencies.keep(next.routes.Has)
+	in.latencies.retain(next.routes.Has)
 	in.subrequest.Keep(next.routes.Has)
 	old := in.state.Swap(next)
 	if old != nil {
@@ -95,7 +95,7 @@
 		s.limit = old.limit
 	}
 	s.attempts = attempts.Service{
-		Pool: s.pool, RetryLeft: s.limit.left,
+		Pool: s.pool, RetryLeft: s.limit.likelyLeft,
 		IgnoreHanging: in.config.Off.Has(experiment.HangChecks), NoHedges: in.config.Off.Has(experiment.Hedges),
 	}
 	s.pool.Reconfigure(declared, index)
--- a/internal/ingress/subrequest.go
+++ b/internal/ingress/subrequest.go
@@ -21,16 +21,16 @@
 	return callCounters{ofFirst: counter("first"), ofRetry: counter("repeat")}
 }
 
-// count counts the request for its service's retry limit. A call of a run that was a retry counts
+// countForLimit counts the request for its service's retry limit. A call of a run that was a retry counts
 // as one itself; any other request earns a part of one.
-func (in *Ingress) count(r *request, now time.Time) {
+func (in *Ingress) countForLimit(r *request, now time.Time) {
 	run, ok := in.config.Runs.Caller(now, in.requestID(r.Request))
 	if !ok {
-		in.config.Retries.Request(now, r.name)
+		in.config.Retries.Request(now, r.serviceName)
 		return
 	}
-	r.charged = in.config.Retries.Call(now, run, r.name)
-	r.ofRetry = run.Retry
+	r.countsAsRetry = in.config.Retries.Call(now, run, r.serviceName)
+	r.sentByRetry = run.Retry
 	if run.Retry {
 		r.service.calls.ofRetry.Inc(1)
 		return
@@ -38,17 +38,17 @@
 	r.service.calls.ofFirst.Inc(1)
 }
 
-// endCall takes it that a request has ended.
-func (in *Ingress) endCall(r *request) {
-	if r.charged {
-		in.config.Retries.End(time.Now(), r.name, r.reached.Load())
+// endRetry ends what a request counted as a retry from its begin on.
+func (in *Ingress) endRetry(r *request) {
+	if r.countsAsRetry {
+		in.config.Retries.End(time.Now(), r.serviceName, r.reached.Load())
 	}
 }
 
-// noteFailed takes it that a request got no answer, which may fail a backend server of this
+// reportFailed records that a request got no answer, which may fail a backend server of this
 // host that sent it. One whose caller has gone away failed before.
-func (in *Ingress) noteFailed(r *request, err error) {
-	if !r.mayBeCall {
+func (in *Ingress) reportFailed(r *request, err error) {
+	if !r.mayBeSubrequest {
 		return
 	}
 	if code := result.From(err).Code; code.Status != result.StatusCallerGone {
