--- a/internal/ingress/admit.go
+++ b/internal/ingress/admit.go
@@ -10,7 +10,6 @@
 
 	"github.com/tideliftd/tidelift/internal/attempts"
 	"github.com/tideliftd/tidelift/internal/body"
-	"github.com/tideliftd/tidelift/internal/experiment"
 	"github.com/tideliftd/tidelift/internal/fleet"
 	"github.com/tideliftd/tidelift/internal/latency"
 	"github.com/tideliftd/tidelift/internal/result"
@@ -110,10 +109,10 @@
 
 		mayBeSubrequest: current.mayBeSubrequest(who),
 	}
-	if in.config.Off.Has(experiment.Aims) {
+	if in.disabled.latencyTargets {
 		admitted.terms.TargetAt = admitted.deadline
 	}
-	if admitted.mayBeSubrequest && in.subrequest.Is(admitted.route) && !in.config.Off.Has(experiment.Subrequests) {
+	if admitted.mayBeSubrequest && in.subrequest.Is(admitted.route) && !in.disabled.subrequests {
 		admitted.terms.Subrequest = true
 		admitted.terms.TargetAt = admitted.deadline
 		admitted.priority = subrequestPriority
--- /dev/null
+++ b/internal/ingress/disabled_test.go
@@ -0,0 +1,52 @@
+package ingress
+
+import (
+	"log/slog"
+	"net/http/httptest"
+	"testing"
+	"time"
+
+	"github.com/uber-go/tally/v4"
+
+	"github.com/tideliftd/tidelift/internal/experiment"
+	"github.com/tideliftd/tidelift/internal/fleet"
+	"github.com/tideliftd/tidelift/internal/route"
+)
+
+// TestWhatIsSwitchedOff goes through the mechanisms, and looks what a subrequest is admitted with.
+func TestWhatIsSwitchedOff(t *testing.T) {
+	for _, mechanism := range append(experiment.All(), "") {
+		in, cleanUp := New(Config{
+			Logger: slog.New(slog.DiscardHandler), Scope: tally.NoopScope, HeaderBytes: 1 << 16,
+			Off: experiment.Off{mechanism},
+		})
+		t.Cleanup(cleanUp)
+		declaration, err := fleet.Parse("fleet.yaml", []byte(twoServers))
+		if err != nil {
+			t.Fatal(err)
+		}
+		in.Reconfigure(fleet.NewIndex(declaration))
+		s, _ := in.service("lookup")
+		if s.attempts.NoHedges != (mechanism == experiment.Hedges) || s.attempts.IgnoreHanging != (mechanism == experiment.HangChecks) {
+			t.Errorf("%q is off: no hedges: %t, hanging ignored: %t", mechanism, s.attempts.NoHedges, s.attempts.IgnoreHanging)
+		}
+		first := admitted(t, in)
+		if waitsForDeadline := first.terms.TargetAt.Equal(first.deadline); waitsForDeadline != (mechanism == experiment.Aims) {
+			t.Errorf("%q is off: a request waits until its deadline: %t", mechanism, waitsForDeadline)
+		}
+		in.LearnSubrequest([]route.Name{first.route})
+		if got := admitted(t, in).terms.Subrequest; got != (mechanism != experiment.Subrequests) {
+			t.Errorf("%q is off: a subrequest is one: %t", mechanism, got)
+		}
+	}
+}
+
+// admitted returns a request as it is admitted.
+func admitted(t *testing.T, in *Ingress) *request {
+	t.Helper()
+	r, err := in.admit(httptest.NewRecorder(), httptest.NewRequest("GET", "http://a.example/x", nil), time.Now())
+	if err != nil {
+		t.Fatal(err)
+	}
+	return r
+}
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -121,6 +121,7 @@
 // Ingress takes callers' requests.
 type Ingress struct {
 	config    Config
+	disabled  disabled
 	transport *http.Transport
 	start     time.Time
 	metrics   metrics
@@ -157,8 +158,9 @@
 		config.Retries = retry.NewBudgets(retry.Config{Began: time.Now()})
 	}
 	in := &Ingress{
-		config: config,
-		start:  time.Now(),
+		config:   config,
+		disabled: disabledBy(config.Off),
+		start:    time.Now(),
 		transport: &http.Transport{
 			DialContext:           dialTo(config),
 			TLSClientConfig:       config.TLS,
--- a/internal/ingress/service.go
+++ b/internal/ingress/service.go
@@ -8,7 +8,6 @@
 	"github.com/tideliftd/tidelift/internal/balance"
 	"github.com/tideliftd/tidelift/internal/customer"
 	"github.com/tideliftd/tidelift/internal/detect"
-	"github.com/tideliftd/tidelift/internal/experiment"
 	"github.com/tideliftd/tidelift/internal/fleet"
 	"github.com/tideliftd/tidelift/internal/retry"
 	"github.com/tideliftd/tidelift/internal/route"
@@ -96,7 +95,7 @@
 	}
 	s.attempts = attempts.Service{
 		Pool: s.pool, RetryLeft: s.limit.likelyLeft,
-		IgnoreHanging: in.config.Off.Has(experiment.HangChecks), NoHedges: in.config.Off.Has(experiment.Hedges),
+		IgnoreHanging: in.disabled.hangChecks, NoHedges: in.disabled.hedges,
 	}
 	s.pool.Reconfigure(declared, index)
 	if s.judge == nil {
