--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -45,8 +45,6 @@
 
 	"github.com/uber-go/tally/v4"
 
-	"github.com/tideliftd/tidelift/internal/balance"
-	"github.com/tideliftd/tidelift/internal/detect"
 	"github.com/tideliftd/tidelift/internal/dial"
 	"github.com/tideliftd/tidelift/internal/experiment"
 	"github.com/tideliftd/tidelift/internal/fleet"
@@ -59,15 +57,10 @@
 	"github.com/tideliftd/tidelift/internal/subrequest"
 )
 
-const (
-	// idleTimeout is how long an idle connection to another daemon is kept.
-	// It is shorter than the daemons keep theirs, so that a request seldom
-	// meets a connection that is just being closed.
-	idleTimeout = 45 * time.Second
-	// drainingPause is how long a target is passed over whose daemon stops. A
-	// daemon that comes back sooner gets work again after it.
-	drainingPause = 3 * time.Second
-)
+// idleTimeout is how long an idle connection to another daemon is kept.
+// It is shorter than the daemons keep theirs, so that a request seldom
+// meets a connection that is just being closed.
+const idleTimeout = 45 * time.Second
 
 // Config says who the daemon is and how the ingress reaches sidecars.
 type Config struct {
@@ -207,82 +200,6 @@
 	in.transport.CloseIdleConnections()
 }
 
-func (in *Ingress) service(name string) (*service, bool) {
-	current := in.state.Load()
-	if current == nil {
-		return nil, false
-	}
-	s, ok := current.services[name]
-	return s, ok
-}
-
-// Explain returns the evidence that this daemon has on a backend server.
-func (in *Ingress) Explain(service, backendServer string) (detect.Explanation, string, bool) {
-	s, ok := in.service(service)
-	if !ok {
-		return detect.Explanation{}, "", false
-	}
-	return s.judge.explain(backendServer)
-}
-
-// Pool returns the backend servers of the service as this daemon sees them.
-func (in *Ingress) Pool(service string) (*balance.Pool, bool) {
-	s, ok := in.service(service)
-	if !ok {
-		return nil, false
-	}
-	return s.pool, true
-}
-
-// Draining keeps away for a while from backend servers that another daemon says
-// take no more work.
-func (in *Ingress) Draining(names []string) {
-	until := time.Now().Add(drainingPause)
-	in.eachTarget(names, func(pool *balance.Pool, target *balance.Target) { pool.Pause(target, until) })
-}
-
-// Trusted takes it that backend servers are no longer suspected.
-func (in *Ingress) Trusted(names []string) {
-	in.eachTarget(names, func(pool *balance.Pool, target *balance.Target) { pool.Trust(target) })
-}
-
-// eachTarget calls the function for the targets of those names.
-func (in *Ingress) eachTarget(names []string, f func(*balance.Pool, *balance.Target)) {
-	current := in.state.Load()
-	if current == nil {
-		return
-	}
-	for _, name := range names {
-		placement, ok := current.index.BackendServer(name)
-		if !ok {
-			continue
-		}
-		pool := current.services[placement.Service.Name].pool
-		for _, target := range pool.Targets() {
-			if target.Name == name {
-				f(pool, target)
-			}
-		}
-	}
-}
-
-// InFlight returns how many callers' requests are being served.
-func (in *Ingress) InFlight() int64 { return in.inFlight.Load() }
-
-// Settle takes it that a planned stop has begun: what is in flight stays where it
-// is, since another backend server may not take it any more.
-func (in *Ingress) Settle() { in.settling.Store(true) }
-
-// Stop refuses new requests from now on.
-func (in *Ingress) Stop() { in.stopping.Store(true) }
-
-// AnswerAll answers at once what callers still wait for: that it was not run, where that
-// is so, and else that nothing more is known of it.
-func (in *Ingress) AnswerAll() {
-	in.Stop()
-	in.answerAll()
-}
-
 // requestID returns the id by which callers name the request; it may be empty.
 func (in *Ingress) requestID(r *http.Request) string {
 	header := in.callers().IDHeader
--- a/internal/ingress/hedge.go
+++ b/internal/ingress/race.go
@@ -7,9 +7,6 @@
 	"time"
 
 	"github.com/tideliftd/tidelift/internal/attempts"
-	"github.com/tideliftd/tidelift/internal/event"
-	"github.com/tideliftd/tidelift/internal/failures"
-	"github.com/tideliftd/tidelift/internal/result"
 )
 
 // race is an attempt of a request and, once that is slow and if the request may be
@@ -165,39 +162,3 @@
 		}
 	}
 }
-
-// finish runs the attempt. One that retries the request has taken a retry, which ends here.
-func (a *attempt) finish(ctx context.Context) outcome {
-	f := a.runReserved(ctx)
-	reached := f.err == nil || failures.Of(result.From(f.err).Code).Reached
-	if reached {
-		a.request.reached.Store(true)
-	}
-	a.request.service.limit.end(a.grant, reached)
-	return f
-}
-
-// runReserved runs the attempt, a hedge only once a slot is kept for it.
-func (a *attempt) runReserved(ctx context.Context) outcome {
-	if a.isHedge {
-		if err := a.reserveSlot(ctx); err != nil {
-			return outcome{attempt: a, err: err, hedgeRefused: true}
-		}
-	}
-	response, err := a.run(ctx) //nolint:bodyclose // whoever takes it closes it
-	return outcome{attempt: a, response: response, err: err}
-}
-
-// reserveSlot has the target keep a slot for the hedge, and takes a refusal as evidence.
-func (a *attempt) reserveSlot(ctx context.Context) error {
-	reservation, err := a.reserve(ctx)
-	if err != nil {
-		a.learnFromFailure(result.From(err), 0)
-		return err
-	}
-	a.reservation = reservation
-	event.Log(a.in.config.Logger, event.RequestHedged,
-		"request", a.in.requestID(a.request.Request), "service", a.request.serviceName, "backend_server", a.Target.Name,
-		"after_ms", time.Since(a.request.terms.Began).Milliseconds())
-	return nil
-}
--- a/internal/ingress/serve.go
+++ b/internal/ingress/serve.go
@@ -1,15 +1,11 @@
 package ingress
 
 import (
-	"context"
 	"net/http"
 	"time"
 
-	"github.com/go-faster/errors"
-
 	"github.com/tideliftd/tidelift/internal/hop"
 	"github.com/tideliftd/tidelift/internal/result"
-	"github.com/tideliftd/tidelift/internal/retryafter"
 )
 
 // ServeHTTP serves one caller's request.
@@ -51,32 +47,3 @@
 		panic(http.ErrAbortHandler) // closes the connection, so that the answer does not look whole
 	}
 }
-
-// errStopped ends what callers still wait for at the end of a planned stop.
-var errStopped = errors.New("the daemon stops")
-
-// untilAnswered returns the context in which a request is served, which ends at its
-// deadline, or, until answered is called, when the daemon has to answer all.
-func (in *Ingress) untilAnswered(ctx context.Context, deadline time.Time) (_ context.Context, answered, end func()) {
-	ctx, cancel := context.WithDeadline(ctx, deadline)
-	ctx, stop := context.WithCancelCause(ctx)
-	detach := context.AfterFunc(in.answering, func() { stop(errStopped) })
-	return ctx, func() { detach() }, func() {
-		detach()
-		stop(nil)
-		cancel()
-	}
-}
-
-// lastAnswer returns the failure of a request, or what is told in its place if a planned
-// stop has ended it.
-func lastAnswer(ctx context.Context, err error) *result.Error {
-	failure := result.From(err)
-	if !errors.Is(context.Cause(ctx), errStopped) {
-		return failure
-	}
-	if failure.Code.Ran != result.RanNo {
-		return result.Wrap(result.StoppedWhileRunning, failure)
-	}
-	return result.Wrap(result.Stopping, err).WithRetryAfter(retryafter.Unspecified)
-}
