--- a/internal/ingress/admit.go
+++ b/internal/ingress/admit.go
@@ -51,74 +51,100 @@
 	return usual
 }
 
-// admit finds the service, the deadline and the customer of a request.
+// admission is what was found out about a request that may be served.
+type admission struct {
+	state    *state
+	match    *route.Match
+	caller   identity
+	timeLeft time.Duration
+}
+
+// admit returns a request as it is served, or the refusal.
 func (in *Ingress) admit(w http.ResponseWriter, r *http.Request, now time.Time) (*request, error) {
-	current, e := in.ready()
+	a, e := in.admission(r)
 	if e != nil {
 		return nil, e
 	}
+	addForwarded(r)
+	r.Header.Del(a.state.index.Declaration.Callers.OriginHeader)
+	admitted := in.newRequest(w, r, now, a)
+	in.putSubrequestFirst(admitted)
+	in.countForLimit(admitted, now)
+	return admitted, nil
+}
+
+// admission finds the route, the customer and the time left of a request, or refuses it: first for
+// what is wrong with it, last for its customer's limit, which counts what is not refused before.
+func (in *Ingress) admission(r *http.Request) (a admission, e *result.Error) {
+	if a.state, e = in.ready(); e != nil {
+		return a, e
+	}
 	if e := in.check(r); e != nil {
-		return nil, e
+		return a, e
 	}
-	match, ok := current.routes.Find(r.Host, r.URL.Path)
+	match, ok := a.state.routes.Find(r.Host, r.URL.Path)
 	if !ok {
-		return nil, result.New(result.NoRoute).WithDetail("host %q, path %q", r.Host, r.URL.Path)
+		return a, result.New(result.NoRoute).WithDetail("host %q, path %q", r.Host, r.URL.Path)
 	}
 	if r.ContentLength > match.MaxBody {
-		return nil, result.New(result.BodyTooLarge).WithDetail("%d bytes; at most %d", r.ContentLength, match.MaxBody)
+		return a, result.New(result.BodyTooLarge).WithDetail("%d bytes; at most %d", r.ContentLength, match.MaxBody)
 	}
-	callers := current.index.Declaration.Callers
-	who, e := current.identify(r, match)
-	if e != nil {
-		return nil, e
+	a.match = match
+	if a.caller, e = a.state.identify(r, match); e != nil {
+		return a, e
 	}
-	left, e := timeLeft(r, callers, match)
-	if e != nil {
-		return nil, e
-	}
-	name := match.Choose(rand.Uint64())
-	service := current.services[name]
-	routeName := route.NameOf(match.Route)
-	if e := in.withinLimit(who.name); e != nil {
-		return nil, e
+	if a.timeLeft, e = timeLeft(r, a.state.index.Declaration.Callers, match); e != nil {
+		return a, e
 	}
-	addForwarded(r)
-	r.Header.Del(callers.OriginHeader)
+	return a, in.withinLimit(a.caller.name)
+}
+
+// newRequest returns the request with what the declaration says of it.
+func (in *Ingress) newRequest(w http.ResponseWriter, r *http.Request, now time.Time, a admission) *request {
+	name := a.match.Choose(rand.Uint64())
+	service := a.state.services[name]
+	routeName := route.NameOf(a.match.Route)
 	// The attempts change the body. net/http must keep its own request as it
 	// was, since by its body it knows whether the caller waits for 100 Continue.
 	own := *r
-	admitted := &request{
+	target := min(a.match.Target, a.timeLeft)
+	made := &request{
 		Request:       &own,
 		service:       service,
 		serviceName:   name,
-		latencyTarget: min(match.Target, left),
-		deadline:      now.Add(left),
-		customer:      who.name,
-		queueCustomer: in.queueCustomer(current, who),
+		latencyTarget: target,
+		deadline:      now.Add(a.timeLeft),
+		customer:      a.caller.name,
+		queueCustomer: in.queueCustomer(a.state, a.caller),
 		terms: attempts.Terms{
 			Service:       &service.attempts,
-			NonIdempotent: !match.Idempotent(r.Method),
-			MaxSent:       match.Attempts,
+			NonIdempotent: !a.match.Idempotent(r.Method),
+			MaxSent:       a.match.Attempts,
 			Began:         now,
-			TargetAt:      now.Add(min(match.Target, left)),
+			TargetAt:      now.Add(target),
 		},
-		priority: who.priority,
-		body:     body.New(w, r, match.MaxBody),
+		priority: a.caller.priority,
+		body:     body.New(w, r, a.match.MaxBody),
 		route:    routeName,
 		latency:  in.latencies.of(routeName),
 
-		mayBeSubrequest: current.mayBeSubrequest(who),
+		mayBeSubrequest: a.state.mayBeSubrequest(a.caller),
 	}
 	if in.disabled.latencyTargets {
-		admitted.terms.TargetAt = admitted.deadline
+		made.terms.TargetAt = made.deadline
 	}
-	if admitted.mayBeSubrequest && in.subrequest.Is(admitted.route) && !in.disabled.subrequests {
-		admitted.terms.Subrequest = true
-		admitted.terms.TargetAt = admitted.deadline
-		admitted.priority = subrequestPriority
-	}
-	in.countForLimit(admitted, now)
-	return admitted, nil
+	return made
+}
+
+// putSubrequestFirst gives a request that a backend server sent while it runs another the first
+// place in queues, and all of its time to wait there.
+func (in *Ingress) putSubrequestFirst(r *request) {
+	if in.disabled.subrequests || !r.mayBeSubrequest || !in.subrequest.Is(r.route) {
+		return
+	}
+	r.terms.Subrequest = true
+	r.terms.TargetAt = r.deadline
+	r.priority = subrequestPriority
 }
 
 // ready returns the state in force, unless the daemon is stopping or has none.
