--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -38,29 +38,29 @@
 // Budget bounds the retries of one service that one daemon answers for. It allows nothing until
 // Resize.
 type Budget struct {
-	size     Size
-	hosts    int // the most that were ever known
-	began    time.Time
-	clear    time.Duration // before that nobody used this host's part of the slack
-	counted  window
-	inFlight int // retries that were taken and have not ended
+	size           Size
+	hosts          int // the most that were ever known
+	began          time.Time
+	slackUnusedFor time.Duration // before the daemon began
+	counted        window
+	inFlight       int // retries that were taken and have not ended
 }
 
 // NewBudget returns the budget of a daemon that began then. One that starts again gets no part of the
 // slack before all that it spent of it in its last incarnation is out of the window.
 func NewBudget(began time.Time) *Budget { return &Budget{began: began} }
 
-// Clear takes it that nobody used this host's part of the slack for that long before the daemon began,
+// Clear records that nobody used this host's part of the slack for that long before the daemon began,
 // so that it need not wait as long for it.
-func (b *Budget) Clear(before time.Duration) { b.clear = before }
+func (b *Budget) Clear(before time.Duration) { b.slackUnusedFor = before }
 
-// Resize takes a new size. What was counted stays; if the window changes, the budget begins anew.
+// Resize puts a new size in force. What was counted stays; if the window changes, the budget begins anew.
 func (b *Budget) Resize(now time.Time, size Size) {
 	if b.size.Window != size.Window {
 		b.counted = window{length: size.Window}
 	}
 	if b.size.Window != size.Window && b.size.Window != 0 {
-		b.began, b.clear = now, 0
+		b.began, b.slackUnusedFor = now, 0
 	}
 	b.size = size
 	b.hosts = max(b.hosts, size.Hosts)
@@ -69,7 +69,7 @@
 // Suspend allows nothing until Resize; what was counted stays.
 func (b *Budget) Suspend() { b.size = Size{Window: b.size.Window} }
 
-// Empty says whether nothing was counted for two windows, and nothing is on its way.
+// Empty reports whether nothing was counted for two windows, and nothing is on its way.
 func (b *Budget) Empty(now time.Time) bool {
 	return b.inFlight == 0 && (b.counted.current(now) == nil || b.counted.empty())
 }
@@ -96,13 +96,13 @@
 
 // slack is this budget's part of the slack.
 func (b *Budget) slack(now time.Time) float64 {
-	if b.size.Hosts == 0 || now.Before(b.began.Add(b.size.Window-b.clear)) {
+	if b.size.Hosts == 0 || now.Before(b.began.Add(b.size.Window-b.slackUnusedFor)) {
 		return 0
 	}
 	return slackPart * b.size.Slack / float64(b.hosts)
 }
 
-// Take takes a retry, or says that none is left. It must be ended.
+// Take takes a retry, and reports whether one was left. It must be ended.
 func (b *Budget) Take(now time.Time) bool {
 	if b.Left(now) < oneRetry {
 		return false
--- a/internal/retry/budgets.go
+++ b/internal/retry/budgets.go
@@ -49,7 +49,7 @@
 	"time"
 )
 
-// Config says whose budgets it is.
+// Config tells whose budgets it is.
 type Config struct {
 	// Began is when the daemon began.
 	Began time.Time
@@ -69,21 +69,21 @@
 	lent    []lent               // the oldest first
 	refused map[string]time.Time // when others had none, by service
 	// calls is the most that a run called of each service, by the run's service and that; those
-	// learned before are in callsBefore, which is forgotten when they turn.
+	// learned before are in callsBefore, which is forgotten once calls are older than learnedFor.
 	calls, callsBefore map[callPath]int
-	turned             time.Time
-	clear              time.Duration // before the daemon began nobody used this host's part of the slack
+	callsSince         time.Time
+	slackUnusedFor     time.Duration // before the daemon began; nobody used this host's part of the slack then
 }
 
 // NewBudgets returns the budgets of one host. It allows nothing until Resize.
 func NewBudgets(config Config) *Budgets {
 	return &Budgets{
 		config: config, budgets: make(map[string]*Budget), running: make(map[string]*running), refused: make(map[string]time.Time),
-		calls: make(map[callPath]int), callsBefore: make(map[callPath]int), turned: config.Began,
+		calls: make(map[callPath]int), callsBefore: make(map[callPath]int), callsSince: config.Began,
 	}
 }
 
-// Resize takes the limits of the services. One that is no longer declared has no retries; its budget
+// Resize puts the limits of the services in force. One that is no longer declared has no retries; its budget
 // is kept until it is empty, so that a service that is declared again has nothing twice.
 func (b *Budgets) Resize(now time.Time, sizes map[string]Size) {
 	b.mu.Lock()
@@ -102,12 +102,12 @@
 	}
 }
 
-// Clear takes it that no daemon of this host used its part of the slack for that long before this one
+// Clear records that no daemon of this host used its part of the slack for that long before this one
 // began.
 func (b *Budgets) Clear(before time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.clear = before
+	b.slackUnusedFor = before
 	for _, budget := range b.budgets {
 		budget.Clear(before)
 	}
@@ -118,7 +118,7 @@
 	budget, ok := b.budgets[service]
 	if !ok {
 		budget = NewBudget(b.config.Began)
-		budget.Clear(b.clear)
+		budget.Clear(b.slackUnusedFor)
 		budget.Resize(b.config.Began, b.sizes[service])
 		b.budgets[service] = budget
 	}
@@ -132,7 +132,7 @@
 	b.budget(service).Earn(now)
 }
 
-// Left says whether a retry may be taken.
+// Left reports whether a retry may be taken.
 func (b *Budgets) Left(now time.Time, service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -140,7 +140,7 @@
 	return b.budget(service).Left(now) >= oneRetry
 }
 
-// Take takes a retry of a request to the service, or says that none is left. It must be ended.
+// Take takes a retry of a request to the service, and reports whether one was left. It must be ended.
 func (b *Budgets) Take(now time.Time, service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -148,7 +148,7 @@
 	return b.budget(service).Take(now)
 }
 
-// End ends a retry that was taken, or a call of a retried run: sent says whether it was sent.
+// End ends a retry that was taken, or a call of a retried run: sent tells whether it was sent.
 func (b *Budgets) End(now time.Time, service string, sent bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/retry/calls.go
+++ b/internal/retry/calls.go
@@ -11,19 +11,19 @@
 // others should not count for long.
 const learnedFor = time.Minute
 
-// callPath says whose runs call whom.
+// callPath is whose runs call which service.
 type callPath struct{ from, to string }
 
 // running is a request that a backend server runs, or several of the same id.
 type running struct {
-	count int
-	made  map[string]int // calls, by service
-	held  map[string]int // retries that are kept for calls, by service
+	count    int
+	made     map[string]int // calls, by service
+	reserved map[string]int // retries that are reserved for calls, by service
 	// borrowed are retries that others lent for calls, by service, each until when it is good.
 	borrowed map[string][]time.Time
 }
 
-// MayRun says whether a retry may run at a backend server of the service on this host: whether
+// MayRun reports whether a retry may run at a backend server of the service on this host: whether
 // the retries that its calls will be are left or may be borrowed.
 func (b *Budgets) MayRun(now time.Time, service string) bool {
 	b.mu.Lock()
@@ -46,7 +46,7 @@
 
 // missing is Missing. The caller holds mu.
 func (b *Budgets) missing(now time.Time, service string) []string {
-	b.turn(now)
+	b.forgetOld(now)
 	b.endLent(now)
 	var missing []string
 	for called, count := range b.expected(service) {
@@ -71,17 +71,17 @@
 	return expected
 }
 
-// turn forgets what was learned long ago. The caller holds mu.
-func (b *Budgets) turn(now time.Time) {
-	if now.Sub(b.turned) < learnedFor {
+// forgetOld forgets what was learned long ago. The caller holds mu.
+func (b *Budgets) forgetOld(now time.Time) {
+	if now.Sub(b.callsSince) < learnedFor {
 		return
 	}
-	b.calls, b.callsBefore, b.turned = make(map[callPath]int), b.calls, now
+	b.calls, b.callsBefore, b.callsSince = make(map[callPath]int), b.calls, now
 }
 
-// Begin takes it that a backend server of the host is sent the request. For a retry it keeps the
-// retries that its calls will be, the borrowed ones among them, or says that they are not left; then it
-// must not be sent. One that was begun must be ended with Finish.
+// Begin records that a backend server of the host is sent the request. For a retry it reserves the
+// retries that its calls will be, the borrowed ones among them; if they are not left it reports false,
+// and the request must not be sent. One that was begun must be ended with Finish.
 func (b *Budgets) Begin(now time.Time, run runs.Run, borrowed []string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -93,31 +93,31 @@
 	}
 	r, ok := b.running[run.ID]
 	if !ok {
-		r = &running{made: make(map[string]int), held: make(map[string]int), borrowed: make(map[string][]time.Time)}
+		r = &running{made: make(map[string]int), reserved: make(map[string]int), borrowed: make(map[string][]time.Time)}
 		b.running[run.ID] = r
 	}
 	r.count++
 	if run.Retry {
-		b.keep(now, r, b.expected(run.Service), borrowed)
+		b.reserve(now, r, b.expected(run.Service), borrowed)
 	}
 	return true
 }
 
-// keep keeps the expected calls' retries for the run. The caller holds mu.
-func (b *Budgets) keep(now time.Time, r *running, expected map[string]int, borrowed []string) {
+// reserve reserves the expected calls' retries for the run. The caller holds mu.
+func (b *Budgets) reserve(now time.Time, r *running, expected map[string]int, borrowed []string) {
 	for _, service := range borrowed {
 		r.borrowed[service] = append(r.borrowed[service], now.Add(LentFor(b.sizes[service].Window)))
 		expected[service]--
 	}
 	for service, count := range expected {
 		for range count {
-			r.held[service]++
+			r.reserved[service]++
 			b.budget(service).Charge()
 		}
 	}
 }
 
-// Finish takes it that a run has ended, and gives back what was kept for its calls and not used.
+// Finish records that a run has ended, and gives back what was reserved for its calls and not used.
 func (b *Budgets) Finish(now time.Time, run runs.Run) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -130,22 +130,22 @@
 		return
 	}
 	delete(b.running, run.ID)
-	for service, count := range r.held {
+	for service, count := range r.reserved {
 		for range count {
 			b.budget(service).End(now, false)
 		}
 	}
 }
 
-// Call takes it that a run of the host calls the service, and says whether the call must be ended
-// with End. That of a retry draws on what was kept for it, or on what is left, and is made also if
+// Call records that a run of the host calls the service, and reports whether the call must be ended
+// with End. That of a retry draws on what was reserved for it, or on what is left, and is made also if
 // nothing is. That of a first run counts as a request.
-func (b *Budgets) Call(now time.Time, from runs.Run, service string) (charged bool) {
+func (b *Budgets) Call(now time.Time, from runs.Run, service string) (mustEnd bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r, ok := b.running[from.ID]
 	if ok {
-		b.learn(now, callPath{from.Service, service}, r)
+		b.recordCall(now, callPath{from.Service, service}, r)
 	}
 	if !from.Retry {
 		b.budget(service).Earn(now)
@@ -154,17 +154,17 @@
 	if ok && r.useBorrowed(now, service) {
 		return false
 	}
-	if ok && r.held[service] > 0 {
-		r.held[service]--
+	if ok && r.reserved[service] > 0 {
+		r.reserved[service]--
 		return true
 	}
 	b.budget(service).Charge()
 	return true
 }
 
-// learn takes it that the run makes a call. The caller holds mu.
-func (b *Budgets) learn(now time.Time, path callPath, r *running) {
-	b.turn(now)
+// recordCall records that the run makes a call. The caller holds mu.
+func (b *Budgets) recordCall(now time.Time, path callPath, r *running) {
+	b.forgetOld(now)
 	r.made[path.to]++
 	b.calls[path] = max(b.calls[path], r.made[path.to])
 }
--- a/internal/retry/daemon_test.go
+++ b/internal/retry/daemon_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// mayRepeat says whether the request may be sent again, to that host.
+// mayRepeat reports whether the request may be sent again, to that host.
 func (d simDaemon) mayRetry(r *simRequest, to *simHost) bool {
 	now := d.fleet.now
 	own := d.budgets.Take(now, string(r.service))
@@ -91,7 +91,7 @@
 	return began
 }
 
-// begins takes it that the backend server of the host is sent a retry, and borrows what its calls
+// begins records that the backend server of the host is sent a retry, and borrows what its calls
 // will need.
 func (d simDaemon) begins(run runs.Run) bool {
 	missing := d.budgets.Missing(d.fleet.now, run.Service)
@@ -129,7 +129,7 @@
 	return func() { d.budgets.Finish(d.fleet.now, run) }
 }
 
-// calls takes it that the run calls a service.
+// calls records that the run calls a service.
 func (d simDaemon) calls(from, call *simRequest) {
 	d.called[call] = true
 	if d.budgets.Call(d.fleet.now, runOf(from, call.ofRetry), string(call.service)) {
@@ -137,7 +137,7 @@
 	}
 }
 
-// arrived takes it that an arrival of the request has ended.
+// arrived records that an arrival of the request has ended.
 func (d simDaemon) arrived(r *simRequest, again bool) {
 	if (again || r.ofRetry) && d.open[r] > 0 {
 		d.open[r]--
--- a/internal/retry/lend.go
+++ b/internal/retry/lend.go
@@ -13,7 +13,7 @@
 	until   time.Time
 }
 
-// Lend takes a retry for another host, or says that there is none to spare. The other may make it
+// Lend takes a retry for another host, and reports whether there was one to spare. The other may make it
 // within LentFor; it counts here as if it were made at the end of that time.
 func (b *Budgets) Lend(now time.Time, service string) bool {
 	b.mu.Lock()
@@ -34,14 +34,14 @@
 	}
 }
 
-// Refused takes it that no other host had a retry of the service to spare.
+// Refused records that no other host had a retry of the service to spare.
 func (b *Budgets) Refused(now time.Time, service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.refused[service] = now
 }
 
-// MayBorrow says whether it is worth while to ask another host for a retry of the service.
+// MayBorrow reports whether it is worth while to ask another host for a retry of the service.
 func (b *Budgets) MayBorrow(now time.Time, service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/retry/window.go
+++ b/internal/retry/window.go
@@ -61,13 +61,13 @@
 // ago returns the cell that many before the newest.
 func (w *window) ago(cells int) cell { return w.cells[w.index(w.newest-int64(cells))] }
 
-// empty says whether nothing was counted.
+// empty reports whether nothing was counted.
 func (w *window) empty() bool { return w.cells == [2 * cellCount]cell{} }
 
 // counts is what was counted since a moment, and in the window before it.
 type counts struct{ before, since, retries int }
 
-// least returns the least of what the function says of the counts, over all moments of the last
+// least returns the least of what the function returns for the counts, over all moments of the last
 // window. Requests of the moment's own cell count as before it.
 func (w *window) least(room func(counts) float64) float64 {
 	const cellsBefore = cellCount - lateCells
