--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -78,7 +78,7 @@
 	return p
 }
 
-// Reconfigure takes the service's backend servers. Those that were there keep
+// Reconfigure puts the service's backend servers in force. Those that were there keep
 // their state.
 func (p *Pool) Reconfigure(service fleet.Service, index *fleet.Index) {
 	old := make(map[string]*Target)
@@ -99,7 +99,7 @@
 	p.view.Store(next)
 }
 
-// add takes a target, of the own data centre or another.
+// add enters a target, of the own data centre or another.
 func (v *view) add(t *Target, own bool) {
 	v.all = append(v.all, t)
 	if own {
@@ -115,14 +115,14 @@
 // Targets returns every target in the order of the declaration.
 func (p *Pool) Targets() []*Target { return p.view.Load().all }
 
-// Report takes the load that came with a target's answer.
+// Report records the load that came with a target's answer.
 func (p *Pool) Report(t *Target, load float64, now time.Time) {
 	t.loadBits.Store(math.Float64bits(load))
 	t.reported.Store(p.clock(now))
 }
 
-// PickProbation takes a target on probation for an idempotent request. It says false if
-// there is none.
+// PickProbation takes a target on probation for an idempotent request, and reports whether there
+// is one.
 func (p *Pool) PickProbation(now time.Time) (*Target, bool) {
 	since := p.clock(now)
 	for _, t := range p.view.Load().all {
@@ -136,8 +136,7 @@
 	return nil, false
 }
 
-// Pick chooses a target that is not among those tried. It says false if there
-// is none.
+// Pick chooses a target that is not among those tried, and reports whether there is one.
 func (p *Pool) Pick(now time.Time, tried []*Target) (*Target, bool) {
 	v := p.view.Load()
 	since := p.clock(now)
--- a/internal/balance/busy.go
+++ b/internal/balance/busy.go
@@ -7,7 +7,7 @@
 	busyWeight = 16
 )
 
-// Looked takes whether a target had a free slot when it was asked for one.
+// Looked records whether a target had a free slot when it was asked for one.
 func (p *Pool) Looked(free bool) {
 	for {
 		old := p.busyShare.Load()
--- a/internal/balance/draw.go
+++ b/internal/balance/draw.go
@@ -70,7 +70,7 @@
 	return best
 }
 
-// usable says whether the target may be drawn: neither paused, suspected nor tried.
+// usable reports whether the target may be drawn: neither paused, suspected nor tried.
 func usable(t *Target, since int64, tried []*Target) bool {
 	return t.pausedUntil.Load() <= since && t.suspectUntil.Load() <= since && !slices.Contains(tried, t)
 }
--- a/internal/balance/pause.go
+++ b/internal/balance/pause.go
@@ -21,13 +21,13 @@
 // Trust lets the target be chosen again.
 func (p *Pool) Trust(t *Target) { t.suspectUntil.Store(0) }
 
-// Paused says whether the target is paused.
+// Paused reports whether the target is paused.
 func (p *Pool) Paused(t *Target, now time.Time) bool {
 	return t.pausedUntil.Load() > p.clock(now)
 }
 
 // PickProbe takes a target of the own data centre that was suspected and may be
-// tried again. It says false if there is none.
+// tried again, and reports whether there is one.
 func (p *Pool) PickProbe(now time.Time) (*Target, bool) {
 	since := p.clock(now)
 	for _, t := range p.view.Load().own {
@@ -43,7 +43,7 @@
 }
 
 // PickSuspected chooses the least loaded target that is passed over for suspicion
-// alone. It says false if there is none.
+// alone, and reports whether there is one.
 func (p *Pool) PickSuspected(now time.Time, tried []*Target) (*Target, bool) {
 	since := p.clock(now)
 	var best *Target
--- a/internal/ingress/attempt.go
+++ b/internal/ingress/attempt.go
@@ -49,11 +49,11 @@
 			return outcome{attempt: a, err: err, hedgeRefused: true}
 		}
 	}
-	response, err := a.run(ctx) //nolint:bodyclose // whoever takes it closes it
+	response, err := a.run(ctx) //nolint:bodyclose // whoever handles the outcome closes it
 	return outcome{attempt: a, response: response, err: err}
 }
 
-// reserveSlot has the target keep a slot for the hedge, and takes a refusal as evidence.
+// reserveSlot has the target keep a slot for the hedge. A refusal is evidence.
 func (a *attempt) reserveSlot(ctx context.Context) error {
 	reservation, err := a.reserve(ctx)
 	if err != nil {
@@ -105,7 +105,7 @@
 	}
 }
 
-// far says whether the target is in another data centre.
+// far reports whether the target is in another data centre.
 func (a *attempt) far() bool {
 	return a.Target.Placement().Host.DataCentre != a.in.config.DataCentre
 }
--- a/internal/ingress/customer.go
+++ b/internal/ingress/customer.go
@@ -51,15 +51,15 @@
 	return who, nil
 }
 
-// mayBeSubrequest says whether a backend server may have sent the request. Backend servers hold no
-// customer's key, so that a request with one is no call, however often the two fail together:
-// on a day of high load most hosts took all routes for called, and one such request asked
-// dozens of backend servers for a slot.
+// mayBeSubrequest reports whether a backend server may have sent the request. Backend servers hold no
+// customer's key, so that a request with one is no subrequest, however often the two fail together.
+// Source: without that, on a day of high load most hosts took all routes for called, and one such
+// request asked dozens of backend servers for a slot.
 func (s *state) mayBeSubrequest(who identity) bool { return s.customers == nil || who.name == "" }
 
-// queueCustomer returns whose turns a request takes where others wait. Where customers are known,
-// what comes without one takes those of its host: together they would be one customer among
-// hundreds, and most of them are calls, without which a customer's request fails.
+// queueCustomer returns the customer as which a request waits in queues, each of which has its turns. Where customers are known,
+// what comes without one waits as its host: together they would be one customer among
+// hundreds, and most of them are subrequests, without which a customer's request fails.
 func (in *Ingress) queueCustomer(s *state, who identity) string {
 	if who.name != "" || s.customers == nil {
 		return who.name
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -81,7 +81,7 @@
 	Logger *slog.Logger
 	// Scope receives the metrics.
 	Scope tally.Scope
-	// Far says whether bytes to another daemon's address are dear and travel compressed,
+	// Far reports whether bytes to another daemon's address are dear and travel compressed,
 	// which they do without TLS alone; nil if none do.
 	Far func(address string) bool
 	// Ping asks another host's daemon for any answer; nil if hosts are not asked.
@@ -91,7 +91,7 @@
 	// Subrequest is told what is seen of routes that the backend servers of this host may
 	// call; nil if nobody is told.
 	Subrequest func([]subrequest.Evidence)
-	// AdmitCustomer says whether a request of the customer is within its limit, and GiveBack
+	// AdmitCustomer decides whether a request of the customer is within its limit, and GiveBack
 	// takes that back for one that reached no backend server; nil if there are no limits.
 	AdmitCustomer func(customer string) quota.Decision
 	GiveBack      func(customer string)
@@ -99,7 +99,7 @@
 	Runs *runs.Table
 	// Retries is the host's budgets of retries; nil keeps one for the ingress alone.
 	Retries *retry.Budgets
-	// HostsCounted says whether the declaration has the hosts that the platform's store listed, so
+	// HostsCounted reports whether the declaration has the hosts that the platform's store listed, so
 	// that they can share what all of them may do together; nil if it always has.
 	HostsCounted func() bool
 	// BorrowRetry takes a retry of a request to the service from another host, to be made at once;
--- a/internal/ingress/judge.go
+++ b/internal/ingress/judge.go
@@ -86,7 +86,7 @@
 
 func (j *judge) end() { close(j.ended) }
 
-// reconfigure takes what is declared of the service.
+// reconfigure puts what is declared of the service in force.
 func (j *judge) reconfigure(declared fleet.Service) {
 	select {
 	case j.changes <- declared:
@@ -174,7 +174,7 @@
 	}
 }
 
-// settled says whether nothing will change without a request.
+// settled reports whether nothing will change without a request.
 func (j *judge) settled(now time.Time) bool {
 	if now.Sub(j.lastSeen) < idleAfter || len(j.held) > 0 {
 		return false
--- a/internal/ingress/learn.go
+++ b/internal/ingress/learn.go
@@ -21,7 +21,7 @@
 	unreachablePause = 500 * time.Millisecond
 )
 
-// learnFromAnswer takes the head of an answer as evidence.
+// learnFromAnswer records what the head of an answer shows.
 func (a *attempt) learnFromAnswer(answer sidecar.Answer, took time.Duration) {
 	a.request.service.pool.Report(a.Target, answer.Load, time.Now())
 	if a.RefuseIfBusy {
@@ -37,8 +37,7 @@
 	a.report(detect.Observation{Outcome: outcome, Took: took, WasOverdue: a.overdue.Load()}, seen)
 }
 
-// learnFromFailure takes a failure as evidence, and keeps away from a target that refuses
-// for a while.
+// learnFromFailure records what a failure shows, and passes a target over for a while that refuses.
 func (a *attempt) learnFromFailure(failure *result.Error, took time.Duration) {
 	meaning := failures.Of(failure.Code)
 	if meaning.Reached {
--- a/internal/ingress/limit.go
+++ b/internal/ingress/limit.go
@@ -7,7 +7,7 @@
 	"github.com/tideliftd/tidelift/internal/retry"
 )
 
-// retryGrant says who answers for a retry that was taken.
+// retryGrant tells who answers for a retry that was taken.
 type retryGrant string
 
 const (
@@ -32,7 +32,7 @@
 	return l.budgets.MayBorrow(now, l.service) || l.budgets.Left(now, l.service)
 }
 
-// takeOwn takes a retry of this host, or says that none is left.
+// takeOwn takes a retry of this host, and reports whether there was one.
 func (l *retryLimit) takeOwn() bool { return l.budgets.Take(time.Now(), l.service) }
 
 // takeAny takes a retry of this host, or else of another if that has one to spare.
@@ -50,8 +50,7 @@
 // giveBack gives a retry back that was taken and not used.
 func (l *retryLimit) giveBack(r retryGrant) { l.end(r, false) }
 
-// end takes it that an attempt for which a retry was taken has ended, and whether it reached a
-// backend server, or may have.
+// end ends the retry of an attempt, which counts if that reached a backend server, or may have.
 func (l *retryLimit) end(r retryGrant, reached bool) {
 	if r == grantOwn {
 		l.budgets.End(time.Now(), l.service, reached)
--- a/internal/ingress/race.go
+++ b/internal/ingress/race.go
@@ -9,13 +9,11 @@
 	"github.com/tideliftd/tidelift/internal/attempts"
 )
 
-// race is an attempt of a request and, once that is slow and if the request may be
-// retried, hedges of it at other backend servers. The first whole answer wins and the
-// rest is cancelled. A hedge is sent only where a slot is kept for it; that of a call of a
-// backend server waits for one, since such calls go first. The slow attempt goes on meanwhile,
-// since its answer may be the first.
+// race is an attempt of a request and, once that is slow, hedges of it at other backend servers.
+// The first whole answer wins and the rest is cancelled. The slow attempt goes on meanwhile, since
+// its answer may be the first. When a hedge is sent, and where, is decided in attempts.Hedging.
 //
-// One goroutine owns the round; each attempt runs in its own and tells what became of it.
+// One goroutine owns the race; each attempt runs in its own and sends its outcome.
 type race struct {
 	in       *Ingress
 	request  *request
@@ -34,13 +32,13 @@
 	hedgeRefused bool // it is a hedge for which no slot was found
 }
 
-// isAnswer says whether the attempt has an answer that is passed on.
+// isAnswer reports whether the attempt has an answer that is passed on.
 func (f outcome) isAnswer() bool {
 	return f.err == nil && !f.attempt.request.terms.MayImprove(f.response)
 }
 
 // race runs the attempt and, where it is slow, hedges of it. It returns the one that
-// has the answer, or the last that failed; the failures of the others are in the trace.
+// has the answer, or the last that failed; the failures of the others are in the progress.
 func (in *Ingress) race(ctx context.Context, first *attempt, p *progress) outcome {
 	r := &race{
 		in:       in,
@@ -75,7 +73,7 @@
 	return look
 }
 
-// handle records what became of an attempt, and returns the one that ends the round; nil if it
+// handle records the outcome of an attempt, and returns the one that ends the race; nil if it
 // goes on.
 func (r *race) handle(f outcome) *outcome {
 	r.running = slices.DeleteFunc(r.running, func(a *attempt) bool { return a == f.attempt })
@@ -98,8 +96,7 @@
 	return nil
 }
 
-// recordFailed puts the last failure into the trace, once another attempt has ended after
-// it.
+// recordFailed enters the last failure in the progress, once another attempt has ended after it.
 func (r *race) recordFailed() {
 	if r.failed == nil {
 		return
@@ -110,7 +107,7 @@
 	r.in.logAttempt(r.request, f.attempt, r.progress, failure, true)
 }
 
-// start runs an attempt beside the round.
+// start runs an attempt beside the race.
 func (r *race) start(ctx context.Context, a *attempt) {
 	ctx, a.cancel = context.WithCancelCause(ctx)
 	a.startedAt = time.Now()
@@ -153,7 +150,7 @@
 	go r.drain(len(r.running))
 }
 
-// drain takes what becomes of the attempts that were left over.
+// drain waits for the attempts that were left over.
 func (r *race) drain(count int) {
 	for range count {
 		f := <-r.done
--- a/internal/ingress/reach.go
+++ b/internal/ingress/reach.go
@@ -97,7 +97,7 @@
 	}
 }
 
-// Away says whether requests could not reach the host and it has not answered
+// Away reports whether requests could not reach the host and it has not answered
 // since.
 func (in *Ingress) Away(host string) bool {
 	in.reach.mu.Lock()
--- a/internal/ingress/refuse.go
+++ b/internal/ingress/refuse.go
@@ -15,7 +15,7 @@
 	"github.com/tideliftd/tidelift/internal/retryafter"
 )
 
-// fail answers with the failure, and leaves a line on it. A refusal always says when to
+// fail answers with the failure, and logs it. A refusal always says when to
 // come back, unless that is of no use.
 func (in *Ingress) fail(w http.ResponseWriter, r *http.Request, started time.Time, err error) {
 	e := result.From(err)
--- a/internal/ingress/reservation.go
+++ b/internal/ingress/reservation.go
@@ -67,7 +67,7 @@
 	return id, nil
 }
 
-// reservationFailure says that the request was not run. If only the time for the
+// reservationFailure returns a failure that promises that the request was not run. If only the time for the
 // reservation is over, another backend server may still be asked.
 func reservationFailure(ctx context.Context, failure *result.Error) error {
 	if errors.Is(ctx.Err(), context.Canceled) {
--- a/internal/ingress/subrequest.go
+++ b/internal/ingress/subrequest.go
@@ -11,7 +11,8 @@
 	"github.com/tideliftd/tidelift/internal/subrequest"
 )
 
-// callCounters count what backend servers of this host call of a service, by the run that does.
+// callCounters count the subrequests of backend servers of this host to a service, by whether the run
+// that sent them was a retry.
 type callCounters struct{ ofFirst, ofRetry tally.Counter }
 
 func newCallCounters(scope tally.Scope, service string) callCounters {
@@ -56,7 +57,7 @@
 	}
 }
 
-// ServerAnswered takes an answer of a backend server of this host: a good one, or one that
+// ServerAnswered records an answer of a backend server of this host: a good one, or one that
 // says that it failed.
 func (in *Ingress) ServerAnswered(good bool) {
 	updates := in.subrequest.Answered(time.Now(), good)
@@ -65,7 +66,7 @@
 	}
 }
 
-// HearSubrequest takes what another host of the same service saw of routes that its backend
+// HearSubrequest records what another host of the same service saw of routes that its backend
 // servers may call, and returns those that are known to be called.
 func (in *Ingress) HearSubrequest(told []subrequest.Evidence) []route.Name {
 	var known []route.Name
@@ -77,15 +78,15 @@
 	return known
 }
 
-// LearnSubrequest takes it from another host of the same service that the routes are called by
-// its backend servers.
+// LearnSubrequest records what another host of the same service knows: its backend servers call
+// the routes.
 func (in *Ingress) LearnSubrequest(routes []route.Name) {
 	for _, name := range routes {
 		in.subrequest.Learn(name)
 	}
 }
 
-// logSubrequest leaves a line on a route that is taken for called from now on, or no longer.
+// logSubrequest logs that a route is taken for called from now on, or no longer.
 func (in *Ingress) logSubrequest(name route.Name, called bool) {
 	event.Log(in.config.Logger, event.RouteSubrequest, "service", in.config.Service, "host", name.Host, "path", name.Path, "called", called)
 }
--- a/internal/ingress/targets.go
+++ b/internal/ingress/targets.go
@@ -11,6 +11,7 @@
 // daemon that comes back sooner gets work again after it.
 const drainingPause = 3 * time.Second
 
+// service returns what is kept of the service.
 func (in *Ingress) service(name string) (*service, bool) {
 	current := in.state.Load()
 	if current == nil {
@@ -45,7 +46,7 @@
 	in.eachTarget(names, func(pool *balance.Pool, target *balance.Target) { pool.Pause(target, until) })
 }
 
-// Trusted takes it that backend servers are no longer suspected.
+// Trusted records that backend servers are no longer suspected.
 func (in *Ingress) Trusted(names []string) {
 	in.eachTarget(names, func(pool *balance.Pool, target *balance.Target) { pool.Trust(target) })
 }
--- a/internal/latency/latency.go
+++ b/internal/latency/latency.go
@@ -6,14 +6,14 @@
 // usual is learned for each route, from its own good answers, and no part of it is a
 // constant of one fleet.
 //
-// A Estimate is the aggregate of one route at one daemon. It takes durations and gives
+// An Estimate is the aggregate of one route at one daemon. It takes durations and gives
 // durations; it has no clock, goroutine or socket. It is safe for concurrent use.
 //
 // # Usage
 //
 //	p := latency.New()
 //	p.Good(180 * time.Millisecond)         // for each good answer
-//	slow := p.Late(400 * time.Millisecond) // the route's target
+//	slow := p.SlowAfter(400 * time.Millisecond) // the route's latency target
 //
 // # Rules
 //
@@ -35,7 +35,7 @@
 const (
 	// shortest is the upper bound of the first class.
 	shortest = time.Millisecond
-	// classes is how many there are; the last takes what is longer. Source: 1 ms times
+	// classes is how many there are; the last counts what is longer. Source: 1 ms times
 	// 1.125 to the 120th is 23 minutes.
 	classes = 120
 	// growth is how much longer the bound of a class is than that of the one before.
@@ -65,10 +65,10 @@
 	sum    float64
 }
 
-// New returns a estimate of which nothing is known.
+// New returns an estimate of which nothing is known.
 func New() *Estimate { return &Estimate{} }
 
-// Good takes how long a good answer took.
+// Good records how long a good answer took.
 func (p *Estimate) Good(took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -69,12 +69,12 @@
 // New returns an empty story of the request of that id.
 func New(request string) *Story { return &Story{request: request} }
 
-// Read takes a log. Lines that are not a daemon's are passed over.
+// Read reads a log. Lines that are not a daemon's are passed over.
 func (s *Story) Read(log io.Reader) error {
 	scanner := bufio.NewScanner(log)
 	scanner.Buffer(nil, maxLine)
 	for scanner.Scan() {
-		s.take(scanner.Bytes())
+		s.readLine(scanner.Bytes())
 	}
 	if err := scanner.Err(); err != nil {
 		return errors.Wrap(err, "read log")
@@ -82,7 +82,7 @@
 	return nil
 }
 
-func (s *Story) take(text []byte) {
+func (s *Story) readLine(text []byte) {
 	start := bytes.IndexByte(text, '{')
 	if start < 0 {
 		return
@@ -108,7 +108,7 @@
 	return false
 }
 
-// Write tells the story in words. It is an error if no log has a line of it.
+// Write writes the story in words, in the order of time. It is an error if no log has a line of it.
 func (s *Story) Write(w io.Writer) error {
 	if len(s.own) == 0 {
 		return errors.Errorf("no log has a line of request %q: it was answered at once, or it is in a log that was not read", s.request)
@@ -149,7 +149,7 @@
 	return line{}, false
 }
 
-// words tells one line of the request's own.
+// words returns one line of the request's own in words.
 func (l line) words() string {
 	code, _ := result.ByNumber(l.Code)
 	if l.Event == event.RequestFailed.Number {
@@ -175,7 +175,7 @@
 	}
 }
 
-// stateWords tells a change of state that came before.
+// stateWords returns a change of state that came before in words.
 func (l line) stateWords(at time.Time) string {
 	text := fmt.Sprintf("%s %s earlier", l.Message, offset(at.Sub(l.Time)))
 	for _, why := range []string{l.Outcome, l.Cause, l.Why} {
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// For waits for the length, or until ctx ends, and says whether ctx goes on.
+// For waits for the length, or until ctx ends, and reports whether ctx goes on.
 func For(ctx context.Context, length time.Duration) bool { return Woken(ctx, length, nil) }
 
 // Woken waits like For, or until there is something to receive from wake or that is closed.
