--- a/internal/ingress/attempts.go
+++ b/internal/ingress/attempts.go
@@ -22,7 +22,7 @@
 			r.service.limit.giveBack(p.grant)
 			return p.end(p.NoneLeft(len(r.service.pool.Targets()), p.passedOver.String()))
 		}
-		f := in.race(ctx, &attempt{in: in, request: r, Choice: choice, grant: p.grant}, p)
+		f := in.runRace(ctx, &attempt{in: in, request: r, Choice: choice, grant: p.grant}, p)
 		if f.isAnswer() {
 			p.closeAnswer()
 			return f.response, nil
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -10,28 +10,45 @@
 //	in.Reconfigure(index)
 //	http.Serve(listener, in)
 //
-// A request passes these steps, each in a file of its own:
+// # The way of a request
 //
-//	check       refuses what is malformed, ambiguous or too large        (check.go)
-//	admit       finds the route and the deadline                         (admit.go)
-//	customer    finds whose key it carries, and holds it to its limit    (customer.go)
-//	attempts    tries, and again where allowed                           (attempts.go)
-//	choose      says whom to ask next, by what was tried so far          (choose.go, trace.go)
-//	hedge       sends hedges of a slow request, the first answer wins    (hedge.go, latencies.go)
-//	attempt     is one sending, watched for being overdue                (attempt.go, clock.go)
-//	reserve     asks a sidecar to keep a slot for the request            (reservation.go)
-//	send        passes the request to the backend server's sidecar       (send.go)
-//	learn       takes what became of an attempt as evidence              (learn.go, judge.go)
-//	answer      passes the answer on                                     (serve.go)
-//	subrequest  learns which routes backend servers of this host call    (subrequest.go)
-//	refuse      answers with the failure, its code and when to come back (refuse.go)
+// ServeHTTP (serve.go) takes a caller's request, in its own goroutine, through these steps:
 //
-// Beside requests, the daemons of hosts that cannot be reached are asked until they
-// answer (reach.go), and each declaration renews what is kept of the services
-// (service.go).
+//  1. admission (admit.go): it is refused if the daemon has no declaration or stops, if it is
+//     malformed, ambiguous or too large (check.go), if no route leads to a service, if its key is
+//     not known (customer.go) or its deadline is no number. The last check is its customer's limit.
+//  2. newRequest (admit.go) draws the service by the route's split and sets the terms on which the
+//     request is served. What a backend server of this host sent for a request that it is running
+//     goes before other work (putSubrequestFirst, and subrequest.go for how that is learned).
+//  3. A short body is read whole, so that it can be sent again (package body).
+//  4. tryAll (attempts.go) sends it to one backend server after another. Package attempts decides:
+//     Choose, whom it goes to; MayRetry, whether there is another attempt after a failure; Failure and
+//     NoneLeft, what the caller is told in the end. The ingress waits before another look, takes a
+//     retry from the service's limit (limit.go) and logs.
+//  5. runRace (race.go) runs one attempt and, if it is slow, hedges of it, as attempts.Hedging decides.
+//     How long answers of the route take is learned in latencies.go. The first answer wins.
+//  6. An attempt (attempt.go) is one sending to the sidecar of the backend server's host (send.go): on
+//     this host by a call, else over the hop. What must not run twice gets a reservation first, as does
+//     each hedge (reservation.go). A clock reports an attempt that is overdue (clock.go).
+//  7. What an answer or a failure shows is learned (learn.go): whether the backend server is asked less
+//     for a while, and evidence for the service's judge (judge.go), which avoids those whose path looks
+//     sick. What a failure means stands in package failures. A host that cannot be reached is asked
+//     until it answers (reach.go).
+//  8. The answer is passed on (serve.go), or the failure is answered with its code and when to come back
+//     (refuse.go). In a planned stop, callers that still wait are told what is known (stop.go).
 //
-// A caller gets the whole answer to its own request or a failure whose code
-// says what is known. Nothing that has been given up is held back.
+// # What it owns
+//
+// For each service of the declaration a balance.Pool with what is known of its backend servers, a
+// judge, which is a goroutine of its own, and the service's retry limit (service.go); for each route a
+// latency.Estimate; the connections to other daemons; which hosts cannot be reached; and what is known
+// of subrequests. Each declaration renews this and keeps what was learned. Other parts of the daemon
+// tell it of backend servers that drain or are trusted again, and ask for its evidence (targets.go).
+//
+// # Promises
+//
+// A caller gets the whole answer to its own request or a failure whose code says what is known. Nothing
+// that has been given up is held back: the work of attempts that are no longer needed is cancelled.
 package ingress
 
 import (
--- a/internal/ingress/race.go
+++ b/internal/ingress/race.go
@@ -37,9 +37,9 @@
 	return f.err == nil && !f.attempt.request.terms.MayImprove(f.response)
 }
 
-// race runs the attempt and, where it is slow, hedges of it. It returns the one that
+// runRace runs the attempt and, where it is slow, hedges of it. It returns the one that
 // has the answer, or the last that failed; the failures of the others are in the progress.
-func (in *Ingress) race(ctx context.Context, first *attempt, p *progress) outcome {
+func (in *Ingress) runRace(ctx context.Context, first *attempt, p *progress) outcome {
 	r := &race{
 		in:       in,
 		request:  first.request,
