--- a/internal/ingress/attempt.go
+++ b/internal/ingress/attempt.go
@@ -8,6 +8,9 @@
 
 	"github.com/go-faster/errors"
 
+	"github.com/tideliftd/tidelift/internal/attempts"
+	"github.com/tideliftd/tidelift/internal/event"
+	"github.com/tideliftd/tidelift/internal/failures"
 	"github.com/tideliftd/tidelift/internal/hop"
 	"github.com/tideliftd/tidelift/internal/result"
 )
@@ -19,32 +22,70 @@
 type attempt struct {
 	in      *Ingress
 	request *request
-	choice
-	hedge     bool        // it is a hedge beside a slow attempt
-	overdue   atomic.Bool // it took far longer than others would
-	startedAt time.Time
-	cancel    context.CancelCauseFunc // ends it
+	attempts.Choice
+	grant       retryGrant  // of the retry that it is
+	reservation string      // leave of the target's sidecar to run the request; empty if there is none
+	isHedge     bool        // it is a hedge beside a slow attempt
+	overdue     atomic.Bool // it took far longer than others would
+	startedAt   time.Time
+	cancel      context.CancelCauseFunc // ends it
+}
+
+// finish runs the attempt. One that retries the request has taken a retry, which ends here.
+func (a *attempt) finish(ctx context.Context) outcome {
+	f := a.runReserved(ctx)
+	reached := f.err == nil || failures.Of(result.From(f.err).Code).Reached
+	if reached {
+		a.request.reached.Store(true)
+	}
+	a.request.service.limit.end(a.grant, reached)
+	return f
+}
+
+// runReserved runs the attempt, a hedge only once a slot is kept for it.
+func (a *attempt) runReserved(ctx context.Context) outcome {
+	if a.isHedge {
+		if err := a.reserveSlot(ctx); err != nil {
+			return outcome{attempt: a, err: err, hedgeRefused: true}
+		}
+	}
+	response, err := a.run(ctx) //nolint:bodyclose // whoever handles the outcome closes it
+	return outcome{attempt: a, response: response, err: err}
+}
+
+// reserveSlot has the target keep a slot for the hedge. A refusal is evidence.
+func (a *attempt) reserveSlot(ctx context.Context) error {
+	reservation, err := a.reserve(ctx)
+	if err != nil {
+		a.learnFromFailure(result.From(err), 0)
+		return err
+	}
+	a.reservation = reservation
+	event.Log(a.in.config.Logger, event.RequestHedged,
+		"request", a.in.requestID(a.request.Request), "service", a.request.serviceName, "backend_server", a.Target.Name,
+		"after_ms", time.Since(a.request.terms.Began).Milliseconds())
+	return nil
 }
 
 // run sends the request and returns the head of the answer.
 func (a *attempt) run(ctx context.Context) (*http.Response, error) {
 	started := time.Now()
 	clock := a.startClock()
-	a.target.Begin()
+	a.Target.Begin()
 	own := *a.request.Request // a hedge beside it has a body of its own
 	a.request.body.Rewind(&own)
-	answer, err := a.in.send(ctx, a.request, &own, a.choice)
+	answer, err := a.send(ctx, &own)
 	clock.stop()
 	if err != nil {
 		failure := a.failure(ctx, err)
 		a.cancel(nil)
-		a.target.End()
-		a.learn(failure, time.Since(started))
+		a.Target.End()
+		a.learnFromFailure(failure, time.Since(started))
 		return nil, failure
 	}
-	a.observe(answer, time.Since(started)-answer.Waited)
+	a.learnFromAnswer(answer, time.Since(started)-answer.Waited)
 	answer.Response.Body = hop.OnClose(answer.Response.Body, func() {
-		a.target.End()
+		a.Target.End()
 		a.cancel(nil)
 	})
 	return answer.Response, nil
@@ -64,7 +105,7 @@
 	}
 }
 
-// far says whether the target is in another data centre.
+// far reports whether the target is in another data centre.
 func (a *attempt) far() bool {
-	return a.target.Placement().Host.DataCentre != a.in.config.DataCentre
+	return a.Target.Placement().Host.DataCentre != a.in.config.DataCentre
 }
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -10,28 +10,45 @@
 //	in.Reconfigure(index)
 //	http.Serve(listener, in)
 //
-// A request passes these steps, each in a file of its own:
+// # The way of a request
 //
-//	check       refuses what is malformed, ambiguous or too large        (check.go)
-//	admit       finds the route and the deadline                         (admit.go)
-//	customer    finds whose key it carries, and holds it to its limit    (customer.go)
-//	attempts    tries, and again where allowed                           (attempts.go)
-//	choose      says whom to ask next, by what was tried so far          (choose.go, trace.go)
-//	hedge       sends hedges of a slow request, the first answer wins    (hedge.go, latencies.go)
-//	attempt     is one sending, watched for being overdue                (attempt.go, clock.go)
-//	reserve     asks a sidecar to keep a slot for the request            (reservation.go)
-//	send        passes the request to the backend server's sidecar       (send.go)
-//	learn       takes what became of an attempt as evidence              (learn.go, judge.go)
-//	answer      passes the answer on                                     (serve.go)
-//	subrequest  learns which routes backend servers of this host call    (subrequest.go)
-//	refuse      answers with the failure, its code and when to come back (refuse.go)
+// ServeHTTP (serve.go) takes a caller's request, in its own goroutine, through these steps:
 //
-// Beside requests, the daemons of hosts that cannot be reached are asked until they
-// answer (reach.go), and each declaration renews what is kept of the services
-// (service.go).
+//  1. admission (admit.go): it is refused if the daemon has no declaration or stops, if it is
+//     malformed, ambiguous or too large (check.go), if no route leads to a service, if its key is
+//     not known (customer.go) or its deadline is no number. The last check is its customer's limit.
+//  2. newRequest (admit.go) draws the service by the route's split and sets the terms on which the
+//     request is served. What a backend server of this host sent for a request that it is running
+//     goes before other work (putSubrequestFirst, and subrequest.go for how that is learned).
+//  3. A short body is read whole, so that it can be sent again (package body).
+//  4. tryAll (attempts.go) sends it to one backend server after another. Package attempts decides:
+//     Choose, whom it goes to; MayRetry, whether there is another attempt after a failure; Failure and
+//     NoneLeft, what the caller is told in the end. The ingress waits before another look, takes a
+//     retry from the service's limit (limit.go) and logs.
+//  5. runRace (race.go) runs one attempt and, if it is slow, hedges of it, as attempts.Hedging decides.
+//     How long answers of the route take is learned in latencies.go. The first answer wins.
+//  6. An attempt (attempt.go) is one sending to the sidecar of the backend server's host (send.go): on
+//     this host by a call, else over the hop. What must not run twice gets a reservation first, as does
+//     each hedge (reservation.go). A clock reports an attempt that is overdue (clock.go).
+//  7. What an answer or a failure shows is learned (learn.go): whether the backend server is asked less
+//     for a while, and evidence for the service's judge (judge.go), which avoids those whose path looks
+//     sick. What a failure means stands in package failures. A host that cannot be reached is asked
+//     until it answers (reach.go).
+//  8. The answer is passed on (serve.go), or the failure is answered with its code and when to come back
+//     (refuse.go). In a planned stop, callers that still wait are told what is known (stop.go).
 //
-// A caller gets the whole answer to its own request or a failure whose code
-// says what is known. Nothing that has been given up is held back.
+// # What it owns
+//
+// For each service of the declaration a balance.Pool with what is known of its backend servers, a
+// judge, which is a goroutine of its own, and the service's retry limit (service.go); for each route a
+// latency.Estimate; the connections to other daemons; which hosts cannot be reached; and what is known
+// of subrequests. Each declaration renews this and keeps what was learned. Other parts of the daemon
+// tell it of backend servers that drain or are trusted again, and ask for its evidence (targets.go).
+//
+// # Promises
+//
+// A caller gets the whole answer to its own request or a failure whose code says what is known. Nothing
+// that has been given up is held back: the work of attempts that are no longer needed is cancelled.
 package ingress
 
 import (
@@ -45,8 +62,6 @@
 
 	"github.com/uber-go/tally/v4"
 
-	"github.com/tideliftd/tidelift/internal/balance"
-	"github.com/tideliftd/tidelift/internal/detect"
 	"github.com/tideliftd/tidelift/internal/dial"
 	"github.com/tideliftd/tidelift/internal/experiment"
 	"github.com/tideliftd/tidelift/internal/fleet"
@@ -59,15 +74,10 @@
 	"github.com/tideliftd/tidelift/internal/subrequest"
 )
 
-const (
-	// idleTimeout is how long an idle connection to another daemon is kept.
-	// It is shorter than the daemons keep theirs, so that a request seldom
-	// meets a connection that is just being closed.
-	idleTimeout = 45 * time.Second
-	// drainingPause is how long a target is passed over whose daemon stops. A
-	// daemon that comes back sooner gets work again after it.
-	drainingPause = 3 * time.Second
-)
+// idleTimeout is how long an idle connection to another daemon is kept.
+// It is shorter than the daemons keep theirs, so that a request seldom
+// meets a connection that is just being closed.
+const idleTimeout = 45 * time.Second
 
 // Config says who the daemon is and how the ingress reaches sidecars.
 type Config struct {
@@ -88,7 +98,7 @@
 	Logger *slog.Logger
 	// Scope receives the metrics.
 	Scope tally.Scope
-	// Far says whether bytes to another daemon's address are dear and travel compressed,
+	// Far reports whether bytes to another daemon's address are dear and travel compressed,
 	// which they do without TLS alone; nil if none do.
 	Far func(address string) bool
 	// Ping asks another host's daemon for any answer; nil if hosts are not asked.
@@ -98,7 +108,7 @@
 	// Subrequest is told what is seen of routes that the backend servers of this host may
 	// call; nil if nobody is told.
 	Subrequest func([]subrequest.Evidence)
-	// AdmitCustomer says whether a request of the customer is within its limit, and GiveBack
+	// AdmitCustomer decides whether a request of the customer is within its limit, and GiveBack
 	// takes that back for one that reached no backend server; nil if there are no limits.
 	AdmitCustomer func(customer string) quota.Decision
 	GiveBack      func(customer string)
@@ -106,7 +116,7 @@
 	Runs *runs.Table
 	// Retries is the host's budgets of retries; nil keeps one for the ingress alone.
 	Retries *retry.Budgets
-	// HostsCounted says whether the declaration has the hosts that the platform's store listed, so
+	// HostsCounted reports whether the declaration has the hosts that the platform's store listed, so
 	// that they can share what all of them may do together; nil if it always has.
 	HostsCounted func() bool
 	// BorrowRetry takes a retry of a request to the service from another host, to be made at once;
@@ -121,6 +131,7 @@
 // Ingress takes callers' requests.
 type Ingress struct {
 	config    Config
+	disabled  disabled
 	transport *http.Transport
 	start     time.Time
 	metrics   metrics
@@ -157,8 +168,9 @@
 		config.Retries = retry.NewBudgets(retry.Config{Began: time.Now()})
 	}
 	in := &Ingress{
-		config: config,
-		start:  time.Now(),
+		config:   config,
+		disabled: disabledBy(config.Off),
+		start:    time.Now(),
 		transport: &http.Transport{
 			DialContext:           dialTo(config),
 			TLSClientConfig:       config.TLS,
@@ -205,82 +217,6 @@
 	in.transport.CloseIdleConnections()
 }
 
-func (in *Ingress) service(name string) (*service, bool) {
-	current := in.state.Load()
-	if current == nil {
-		return nil, false
-	}
-	s, ok := current.services[name]
-	return s, ok
-}
-
-// Explain returns the evidence that this daemon has on a backend server.
-func (in *Ingress) Explain(service, backendServer string) (detect.Explanation, string, bool) {
-	s, ok := in.service(service)
-	if !ok {
-		return detect.Explanation{}, "", false
-	}
-	return s.judge.explain(backendServer)
-}
-
-// Pool returns the backend servers of the service as this daemon sees them.
-func (in *Ingress) Pool(service string) (*balance.Pool, bool) {
-	s, ok := in.service(service)
-	if !ok {
-		return nil, false
-	}
-	return s.pool, true
-}
-
-// Draining keeps away for a while from backend servers that another daemon says
-// take no more work.
-func (in *Ingress) Draining(names []string) {
-	until := time.Now().Add(drainingPause)
-	in.eachTarget(names, func(pool *balance.Pool, target *balance.Target) { pool.Pause(target, until) })
-}
-
-// Trusted takes it that backend servers are no longer suspected.
-func (in *Ingress) Trusted(names []string) {
-	in.eachTarget(names, func(pool *balance.Pool, target *balance.Target) { pool.Trust(target) })
-}
-
-// eachTarget calls the function for the targets of those names.
-func (in *Ingress) eachTarget(names []string, f func(*balance.Pool, *balance.Target)) {
-	current := in.state.Load()
-	if current == nil {
-		return
-	}
-	for _, name := range names {
-		placement, ok := current.index.BackendServer(name)
-		if !ok {
-			continue
-		}
-		pool := current.services[placement.Service.Name].pool
-		for _, target := range pool.Targets() {
-			if target.Name == name {
-				f(pool, target)
-			}
-		}
-	}
-}
-
-// InFlight returns how many callers' requests are being served.
-func (in *Ingress) InFlight() int64 { return in.inFlight.Load() }
-
-// Settle takes it that a planned stop has begun: what is in flight stays where it
-// is, since another backend server may not take it any more.
-func (in *Ingress) Settle() { in.settling.Store(true) }
-
-// Stop refuses new requests from now on.
-func (in *Ingress) Stop() { in.stopping.Store(true) }
-
-// AnswerAll answers at once what callers still wait for: that it was not run, where that
-// is so, and else that nothing more is known of it.
-func (in *Ingress) AnswerAll() {
-	in.Stop()
-	in.answerAll()
-}
-
 // requestID returns the id by which callers name the request; it may be empty.
 func (in *Ingress) requestID(r *http.Request) string {
 	header := in.callers().IDHeader
--- a/internal/ingress/serve.go
+++ b/internal/ingress/serve.go
@@ -1,15 +1,11 @@
 package ingress
 
 import (
-	"context"
 	"net/http"
 	"time"
 
-	"github.com/go-faster/errors"
-
 	"github.com/tideliftd/tidelift/internal/hop"
 	"github.com/tideliftd/tidelift/internal/result"
-	"github.com/tideliftd/tidelift/internal/retryafter"
 )
 
 // ServeHTTP serves one caller's request.
@@ -25,7 +21,7 @@
 		in.fail(w, r, started, err)
 		return
 	}
-	defer in.endCall(request)
+	defer in.endRetry(request)
 	defer request.body.Finish()
 	if err := request.body.Prepare(request.deadline); err != nil {
 		in.giveBack(request)
@@ -34,14 +30,14 @@
 	}
 	ctx, answered, cancel := in.untilAnswered(r.Context(), request.deadline)
 	defer cancel()
-	response, err := in.attempts(ctx, request)
+	response, err := in.tryAll(ctx, request)
 	answered()
 	if err != nil {
 		failure := lastAnswer(ctx, err)
 		if failure.Code.Ran == result.RanNo {
 			in.giveBack(request)
 		}
-		in.noteFailed(request, failure)
+		in.reportFailed(request, failure)
 		in.fail(w, r, started, failure)
 		return
 	}
@@ -51,32 +47,3 @@
 		panic(http.ErrAbortHandler) // closes the connection, so that the answer does not look whole
 	}
 }
-
-// errStopped ends what callers still wait for at the end of a planned stop.
-var errStopped = errors.New("the daemon stops")
-
-// untilAnswered returns the context in which a request is served, which ends at its
-// deadline, or, until answered is called, when the daemon has to answer all.
-func (in *Ingress) untilAnswered(ctx context.Context, deadline time.Time) (_ context.Context, answered, end func()) {
-	ctx, cancel := context.WithDeadline(ctx, deadline)
-	ctx, stop := context.WithCancelCause(ctx)
-	detach := context.AfterFunc(in.answering, func() { stop(errStopped) })
-	return ctx, func() { detach() }, func() {
-		detach()
-		stop(nil)
-		cancel()
-	}
-}
-
-// lastAnswer returns the failure of a request, or what is told in its place if a planned
-// stop has ended it.
-func lastAnswer(ctx context.Context, err error) *result.Error {
-	failure := result.From(err)
-	if !errors.Is(context.Cause(ctx), errStopped) {
-		return failure
-	}
-	if failure.Code.Ran != result.RanNo {
-		return result.Wrap(result.StoppedWhileRunning, failure)
-	}
-	return result.Wrap(result.Stopping, err).WithRetryAfter(retryafter.Unspecified)
-}
--- a/internal/ingress/service.go
+++ b/internal/ingress/service.go
@@ -4,6 +4,7 @@
 	"math/rand/v2"
 	"time"
 
+	"github.com/tideliftd/tidelift/internal/attempts"
 	"github.com/tideliftd/tidelift/internal/balance"
 	"github.com/tideliftd/tidelift/internal/customer"
 	"github.com/tideliftd/tidelift/internal/detect"
@@ -28,6 +29,8 @@
 	judge *judge
 	rules detect.Rules
 	calls callCounters
+	// attempts is what the decisions on requests know of it.
+	attempts attempts.Service
 }
 
 // Reconfigure puts a declaration in force. Requests that have begun go on
@@ -45,7 +48,7 @@
 	for _, declared := range index.Declaration.Services {
 		next.services[declared.Name] = in.reconfigureService(declared, index)
 	}
-	in.latencies.keep(next.routes.Has)
+	in.latencies.retain(next.routes.Has)
 	in.subrequest.Keep(next.routes.Has)
 	old := in.state.Swap(next)
 	if old != nil {
@@ -90,6 +93,10 @@
 		s.judge = old.judge
 		s.limit = old.limit
 	}
+	s.attempts = attempts.Service{
+		Pool: s.pool, RetryLeft: s.limit.likelyLeft,
+		IgnoreHanging: in.disabled.hangChecks, NoHedges: in.disabled.hedges,
+	}
 	s.pool.Reconfigure(declared, index)
 	if s.judge == nil {
 		s.judge = newJudge(in.config, s.pool)
--- a/internal/ingress/subrequest.go
+++ b/internal/ingress/subrequest.go
@@ -11,7 +11,8 @@
 	"github.com/tideliftd/tidelift/internal/subrequest"
 )
 
-// callCounters count what backend servers of this host call of a service, by the run that does.
+// callCounters count the subrequests of backend servers of this host to a service, by whether the run
+// that sent them was a retry.
 type callCounters struct{ ofFirst, ofRetry tally.Counter }
 
 func newCallCounters(scope tally.Scope, service string) callCounters {
@@ -21,16 +22,16 @@
 	return callCounters{ofFirst: counter("first"), ofRetry: counter("repeat")}
 }
 
-// count counts the request for its service's retry limit. A call of a run that was a retry counts
+// countForLimit counts the request for its service's retry limit. A call of a run that was a retry counts
 // as one itself; any other request earns a part of one.
-func (in *Ingress) count(r *request, now time.Time) {
+func (in *Ingress) countForLimit(r *request, now time.Time) {
 	run, ok := in.config.Runs.Caller(now, in.requestID(r.Request))
 	if !ok {
-		in.config.Retries.Request(now, r.name)
+		in.config.Retries.Request(now, r.serviceName)
 		return
 	}
-	r.charged = in.config.Retries.Call(now, run, r.name)
-	r.ofRetry = run.Retry
+	r.countsAsRetry = in.config.Retries.Call(now, run, r.serviceName)
+	r.sentByRetry = run.Retry
 	if run.Retry {
 		r.service.calls.ofRetry.Inc(1)
 		return
@@ -38,17 +39,17 @@
 	r.service.calls.ofFirst.Inc(1)
 }
 
-// endCall takes it that a request has ended.
-func (in *Ingress) endCall(r *request) {
-	if r.charged {
-		in.config.Retries.End(time.Now(), r.name, r.reached.Load())
+// endRetry ends what a request counted as a retry from its begin on.
+func (in *Ingress) endRetry(r *request) {
+	if r.countsAsRetry {
+		in.config.Retries.End(time.Now(), r.serviceName, r.reached.Load())
 	}
 }
 
-// noteFailed takes it that a request got no answer, which may fail a backend server of this
+// reportFailed records that a request got no answer, which may fail a backend server of this
 // host that sent it. One whose caller has gone away failed before.
-func (in *Ingress) noteFailed(r *request, err error) {
-	if !r.mayBeCall {
+func (in *Ingress) reportFailed(r *request, err error) {
+	if !r.mayBeSubrequest {
 		return
 	}
 	if code := result.From(err).Code; code.Status != result.StatusCallerGone {
@@ -56,7 +57,7 @@
 	}
 }
 
-// ServerAnswered takes an answer of a backend server of this host: a good one, or one that
+// ServerAnswered records an answer of a backend server of this host: a good one, or one that
 // says that it failed.
 func (in *Ingress) ServerAnswered(good bool) {
 	updates := in.subrequest.Answered(time.Now(), good)
@@ -65,7 +66,7 @@
 	}
 }
 
-// HearSubrequest takes what another host of the same service saw of routes that its backend
+// HearSubrequest records what another host of the same service saw of routes that its backend
 // servers may call, and returns those that are known to be called.
 func (in *Ingress) HearSubrequest(told []subrequest.Evidence) []route.Name {
 	var known []route.Name
@@ -77,15 +78,15 @@
 	return known
 }
 
-// LearnSubrequest takes it from another host of the same service that the routes are called by
-// its backend servers.
+// LearnSubrequest records what another host of the same service knows: its backend servers call
+// the routes.
 func (in *Ingress) LearnSubrequest(routes []route.Name) {
 	for _, name := range routes {
 		in.subrequest.Learn(name)
 	}
 }
 
-// logSubrequest leaves a line on a route that is taken for called from now on, or no longer.
+// logSubrequest logs that a route is taken for called from now on, or no longer.
 func (in *Ingress) logSubrequest(name route.Name, called bool) {
 	event.Log(in.config.Logger, event.RouteSubrequest, "service", in.config.Service, "host", name.Host, "path", name.Path, "called", called)
 }
--- a/internal/retry/budgets.go
+++ b/internal/retry/budgets.go
@@ -1,3 +1,47 @@
+// Package retry keeps the retries of a whole service within its limit. Whether a failed attempt
+// may be tried again, if the limit leaves a retry for it, is decided in package attempts.
+//
+// The limit is on what all daemons together do to a service: in any window of time its backend
+// servers get at most a share of its requests, and a slack, as retries. A retry is a request that is
+// sent to a backend server once more, and each call of a run that was a retry itself. Nobody counts
+// the sum. A Budgets is what one daemon answers for: the requests that begin on its host, and what
+// the backend servers of its host call. It takes a retry only from what those requests earned, so
+// that the sum holds whatever else happens: no daemon needs to know how many there are, one
+// that starts again has earned nothing yet, and one that is cut off earns no more than before.
+//
+// A host's budgets are in budgets.go, one of them in budget.go, what it counts over time in window.go,
+// what hosts lend each other in lend.go, and what runs call in calls.go.
+//
+// # Usage
+//
+//	budgets := retry.NewBudgets(retry.Config{Began: now})
+//	budgets.Resize(now, map[string]retry.Size{"lookup": {Share: 0.2, Slack: 56, Window: 10 * time.Second, Hosts: 21}})
+//	budgets.Request(now, "lookup") // for each request that begins here
+//	if budgets.Take(now, "lookup") {
+//		// send it
+//		budgets.End(now, "lookup", reached)
+//	}
+//	...
+//	if budgets.Begin(now, run, nil) { // the backend server of the host is sent a request
+//		defer budgets.Finish(now, run)
+//	}
+//	budgets.Call(now, run, "records") // the run calls another service
+//
+// # Rules
+//
+//   - A request earns most of its share of a retry in the window in which it is sent, and a quarter in
+//     the next one. Each daemon's retries of any window are paid in this way from its requests of that
+//     window and the one before, so all daemons' together are too: at most the share of the better of
+//     both.
+//   - Three quarters of the slack are shared by the hosts that the platform's store listed. Each uses its
+//     part once nobody can have used it within a window, and while the store has its record.
+//   - A host that has no retry left may borrow one, which counts at the lender.
+//   - A retry runs only where there is room for the calls that it may make, by what runs of its
+//     service called in the last minutes. Calls beyond that are made, and paid back.
+//
+// The bound does not cover calls whose id does not tell of the run that made them, nor a fleet of
+// which more than a quarter has not been heard of by the rest. A retry that waits for a slot for more
+// than a thirteenth of the window may count in a later one.
 package retry
 
 import (
@@ -5,7 +49,7 @@
 	"time"
 )
 
-// Config says whose budgets it is.
+// Config tells whose budgets it is.
 type Config struct {
 	// Began is when the daemon began.
 	Began time.Time
@@ -25,21 +69,21 @@
 	lent    []lent               // the oldest first
 	refused map[string]time.Time // when others had none, by service
 	// calls is the most that a run called of each service, by the run's service and that; those
-	// learned before are in callsBefore, which is forgotten when they turn.
+	// learned before are in callsBefore, which is forgotten once calls are older than learnedFor.
 	calls, callsBefore map[callPath]int
-	turned             time.Time
-	clear              time.Duration // before the daemon began nobody used this host's part of the slack
+	callsSince         time.Time
+	slackUnusedFor     time.Duration // before the daemon began; nobody used this host's part of the slack then
 }
 
 // NewBudgets returns the budgets of one host. It allows nothing until Resize.
 func NewBudgets(config Config) *Budgets {
 	return &Budgets{
 		config: config, budgets: make(map[string]*Budget), running: make(map[string]*running), refused: make(map[string]time.Time),
-		calls: make(map[callPath]int), callsBefore: make(map[callPath]int), turned: config.Began,
+		calls: make(map[callPath]int), callsBefore: make(map[callPath]int), callsSince: config.Began,
 	}
 }
 
-// Resize takes the limits of the services. One that is no longer declared has no retries; its budget
+// Resize puts the limits of the services in force. One that is no longer declared has no retries; its budget
 // is kept until it is empty, so that a service that is declared again has nothing twice.
 func (b *Budgets) Resize(now time.Time, sizes map[string]Size) {
 	b.mu.Lock()
@@ -58,12 +102,12 @@
 	}
 }
 
-// Clear takes it that no daemon of this host used its part of the slack for that long before this one
+// Clear records that no daemon of this host used its part of the slack for that long before this one
 // began.
 func (b *Budgets) Clear(before time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.clear = before
+	b.slackUnusedFor = before
 	for _, budget := range b.budgets {
 		budget.Clear(before)
 	}
@@ -74,7 +118,7 @@
 	budget, ok := b.budgets[service]
 	if !ok {
 		budget = NewBudget(b.config.Began)
-		budget.Clear(b.clear)
+		budget.Clear(b.slackUnusedFor)
 		budget.Resize(b.config.Began, b.sizes[service])
 		b.budgets[service] = budget
 	}
@@ -88,7 +132,7 @@
 	b.budget(service).Earn(now)
 }
 
-// Left says whether a retry may be taken.
+// Left reports whether a retry may be taken.
 func (b *Budgets) Left(now time.Time, service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -96,7 +140,7 @@
 	return b.budget(service).Left(now) >= oneRetry
 }
 
-// Take takes a retry of a request to the service, or says that none is left. It must be ended.
+// Take takes a retry of a request to the service, and reports whether one was left. It must be ended.
 func (b *Budgets) Take(now time.Time, service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -104,7 +148,7 @@
 	return b.budget(service).Take(now)
 }
 
-// End ends a retry that was taken, or a call of a retried run: sent says whether it was sent.
+// End ends a retry that was taken, or a call of a retried run: sent tells whether it was sent.
 func (b *Budgets) End(now time.Time, service string, sent bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/sidecar/slot.go
+++ b/internal/sidecar/slot.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/tideliftd/tidelift/internal/detect"
+	"github.com/tideliftd/tidelift/internal/failures"
 	"github.com/tideliftd/tidelift/internal/hop"
 	"github.com/tideliftd/tidelift/internal/result"
 )
@@ -58,7 +59,7 @@
 
 // failed observes a failure.
 func (s *slot) failed(failure *result.Error) {
-	s.observation.Outcome, s.isEvidence = detect.FromResult(failure.Code)
+	s.observation.Outcome, s.isEvidence = failures.Evidence(failure.Code)
 	if failure.Code.Number == result.CallerGone.Number && s.isSlow() {
 		s.observation.Outcome, s.isEvidence = detect.TimedOut, true // whoever asked did not wait for longer than others have to
 	}
