--- a/internal/daemon/calls.go
+++ b/internal/daemon/calls.go
@@ -10,62 +10,43 @@
 	"github.com/tideliftd/tidelift/internal/experiment"
 	"github.com/tideliftd/tidelift/internal/fleet"
 	"github.com/tideliftd/tidelift/internal/floor"
-	"github.com/tideliftd/tidelift/internal/result"
 	"github.com/tideliftd/tidelift/internal/sidecar"
 )
 
-// handleControl answers a control call.
-func (d *daemon) handleControl(ctx context.Context, method control.Method, params json.RawMessage) (any, error) {
-	switch method {
-	case control.MethodReport:
-		return d.callReport(params)
-	case control.MethodDrain:
-		return d.callDrain(params)
-	case control.MethodDraining:
-		return d.callDraining(params)
-	case control.MethodPing:
-		return done{}, nil
-	case control.MethodTrusted:
-		return d.callTrusted(params)
-	case control.MethodSubrequest:
-		return d.callSubrequest(params)
-	case control.MethodHost:
-		return d.callHost(params)
-	case control.MethodNotice:
-		return d.callNotice(params)
-	case control.MethodTold:
-		return d.callTold(params)
-	case control.MethodRevision:
-		return d.callRevision(params)
-	case control.MethodQuarantine:
-		return d.callQuarantine(params)
-	case control.MethodLend:
-		return d.callLend(params)
-	case control.MethodCounted:
-		return d.callCounted(ctx, params)
-	case control.MethodAsk:
-		return d.callAsk(params)
-	case control.MethodRelease:
-		return d.callRelease(params)
-	default:
-		return nil, result.New(result.MalformedCall).WithDetail("no method %q", method)
-	}
-}
-
-// done answers a call that has nothing to say.
-type done struct{}
-
-func (d *daemon) callReport(params json.RawMessage) (any, error) {
+// handlers returns who answers each control call.
+func (d *daemon) handlers() control.Handlers {
+	return control.Handlers{
+		control.MethodReport:     d.callReport,
+		control.MethodDrain:      d.callDrain,
+		control.MethodDraining:   d.callDraining,
+		control.MethodPing:       d.callPing,
+		control.MethodTrusted:    d.callTrusted,
+		control.MethodSubrequest: d.callSubrequest,
+		control.MethodHost:       d.callHost,
+		control.MethodNotice:     d.callNotice,
+		control.MethodTold:       d.callTold,
+		control.MethodRevision:   d.callRevision,
+		control.MethodQuarantine: d.callQuarantine,
+		control.MethodLend:       d.callLend,
+		control.MethodCounted:    d.callCounted,
+		control.MethodAsk:        d.callAsk,
+		control.MethodRelease:    d.callRelease,
+	}
+}
+
+func (d *daemon) callPing(context.Context, json.RawMessage) (any, error) { return control.Done{}, nil }
+
+func (d *daemon) callReport(_ context.Context, params json.RawMessage) (any, error) {
 	var name control.Name
-	if err := decode(params, &name); err != nil {
+	if err := control.Decode(params, &name); err != nil {
 		return nil, err
 	}
 	return d.sidecar.Report(name.Name)
 }
 
-func (d *daemon) callDrain(params json.RawMessage) (any, error) {
+func (d *daemon) callDrain(_ context.Context, params json.RawMessage) (any, error) {
 	var drain control.Drain
-	if err := decode(params, &drain); err != nil {
+	if err := control.Decode(params, &drain); err != nil {
 		return nil, err
 	}
 	if err := d.sidecar.Drain(drain.Name, drain.Draining); err != nil {
@@ -74,36 +55,36 @@
 	return d.sidecar.Report(drain.Name)
 }
 
-func (d *daemon) callDraining(params json.RawMessage) (any, error) {
+func (d *daemon) callDraining(_ context.Context, params json.RawMessage) (any, error) {
 	var draining control.Draining
-	if err := decode(params, &draining); err != nil {
+	if err := control.Decode(params, &draining); err != nil {
 		return nil, err
 	}
 	d.ingress.Draining(draining.Names)
-	return done{}, nil
+	return control.Done{}, nil
 }
 
-func (d *daemon) callTrusted(params json.RawMessage) (any, error) {
+func (d *daemon) callTrusted(_ context.Context, params json.RawMessage) (any, error) {
 	var trusted control.Trusted
-	if err := decode(params, &trusted); err != nil {
+	if err := control.Decode(params, &trusted); err != nil {
 		return nil, err
 	}
 	d.ingress.Trusted(trusted.Names)
-	return done{}, nil
+	return control.Done{}, nil
 }
 
-func (d *daemon) callNotice(params json.RawMessage) (any, error) {
+func (d *daemon) callNotice(_ context.Context, params json.RawMessage) (any, error) {
 	var notice control.Notice
-	if err := decode(params, &notice); err != nil {
+	if err := control.Decode(params, &notice); err != nil {
 		return nil, err
 	}
 	d.receiveNotice(notice)
-	return done{}, nil
+	return control.Done{}, nil
 }
 
-func (d *daemon) callTold(params json.RawMessage) (any, error) {
+func (d *daemon) callTold(_ context.Context, params json.RawMessage) (any, error) {
 	var told control.Told
-	if err := decode(params, &told); err != nil {
+	if err := control.Decode(params, &told); err != nil {
 		return nil, err
 	}
 	d.learn(told.Host, told.Hosts)
@@ -114,36 +95,28 @@
 	return rest, nil
 }
 
-func (d *daemon) callRevision(params json.RawMessage) (any, error) {
+func (d *daemon) callRevision(_ context.Context, params json.RawMessage) (any, error) {
 	var above control.Above
-	if err := decode(params, &above); err != nil {
+	if err := control.Decode(params, &above); err != nil {
 		return nil, err
 	}
 	return d.held(above), nil
 }
 
-func (d *daemon) callAsk(params json.RawMessage) (any, error) {
+func (d *daemon) callAsk(_ context.Context, params json.RawMessage) (any, error) {
 	var ask control.Ask
-	if err := decode(params, &ask); err != nil {
+	if err := control.Decode(params, &ask); err != nil {
 		return nil, err
 	}
 	return d.sidecar.Ask(ask.Name, ask.Request)
 }
 
-func (d *daemon) callRelease(params json.RawMessage) (any, error) {
+func (d *daemon) callRelease(_ context.Context, params json.RawMessage) (any, error) {
 	var release control.Release
-	if err := decode(params, &release); err != nil {
+	if err := control.Decode(params, &release); err != nil {
 		return nil, err
 	}
-	return done{}, d.sidecar.Release(release.Name, release.Release)
-}
-
-// decode reads the parameter of a call.
-func decode(params json.RawMessage, into any) error {
-	if err := json.Unmarshal(params, into); err != nil {
-		return result.Wrap(result.MalformedCall, err)
-	}
-	return nil
+	return control.Done{}, d.sidecar.Release(release.Name, release.Release)
 }
 
 // sidecarPeer carries the floor's calls, without a connection where the other
@@ -173,7 +146,7 @@
 
 // ping asks another host's daemon for any answer.
 func (d *daemon) ping(ctx context.Context, host fleet.Host) error {
-	return d.peers.Call(ctx, d.controlOf(host), control.MethodPing, done{}, nil)
+	return d.peers.Call(ctx, d.controlOf(host), control.MethodPing, control.Done{}, nil)
 }
 
 // tellEach makes a call whose answer says nothing to each of the hosts, and waits for none.
--- a/internal/daemon/hosts.go
+++ b/internal/daemon/hosts.go
@@ -76,11 +76,11 @@
 	_ = d.peers.Call(ctx, d.controlOf(host), control.MethodHost, control.Host{Draining: draining}, nil) // told again soon
 }
 
-func (d *daemon) callHost(params json.RawMessage) (any, error) {
+func (d *daemon) callHost(_ context.Context, params json.RawMessage) (any, error) {
 	var host control.Host
-	if err := decode(params, &host); err != nil {
+	if err := control.Decode(params, &host); err != nil {
 		return nil, err
 	}
 	d.sidecar.HostDraining(host.Draining)
-	return done{}, nil
+	return control.Done{}, nil
 }
--- a/internal/daemon/lend.go
+++ b/internal/daemon/lend.go
@@ -80,9 +80,9 @@
 }
 
 // callLend takes another daemon's question for a retry.
-func (d *daemon) callLend(params json.RawMessage) (any, error) {
+func (d *daemon) callLend(_ context.Context, params json.RawMessage) (any, error) {
 	var lend control.Lend
-	if err := decode(params, &lend); err != nil {
+	if err := control.Decode(params, &lend); err != nil {
 		return nil, err
 	}
 	return control.Lent{Granted: d.retries.Lend(time.Now(), lend.Service)}, nil
--- a/internal/daemon/limits.go
+++ b/internal/daemon/limits.go
@@ -290,7 +290,7 @@
 // callCounted takes another daemon's report.
 func (d *daemon) callCounted(ctx context.Context, params json.RawMessage) (any, error) {
 	var counted control.Counted
-	if err := decode(params, &counted); err != nil {
+	if err := control.Decode(params, &counted); err != nil {
 		return nil, err
 	}
 	if !counted.Fleet {
--- a/internal/daemon/limits_test.go
+++ b/internal/daemon/limits_test.go
@@ -52,7 +52,7 @@
 	collector.Hear(time.Now(), quota.Verdict{Known: true, Allowances: []quota.Allowance{{Customer: "county-1", Share: 0.5, Level: -3}, {Customer: "county-2", Share: 0.7, Level: 1}}})
 	cleanUp := control.Serve(control.ServerConfig{Listener: listener, Handle: func(_ context.Context, _ control.Method, params json.RawMessage) (any, error) {
 		var counted control.Counted
-		if err := decode(params, &counted); err != nil {
+		if err := control.Decode(params, &counted); err != nil {
 			return nil, err
 		}
 		return collector.Add(time.Now(), counted.Report), nil
--- a/internal/daemon/listen.go
+++ b/internal/daemon/listen.go
@@ -50,7 +50,8 @@
 // listen opens every listener, or none.
 func (d *daemon) listen() (*listeners, error) {
 	s := d.config.Settings
-	operators, err := d.operatorHandler()
+	handle := d.handlers().Handle
+	operators, err := d.operatorHandler(handle)
 	if err != nil {
 		return nil, err
 	}
@@ -67,7 +68,7 @@
 	l.serve(l.callers, framing.Listen(sockets[0]))
 	l.serve(l.peers, d.daemonsOnly(sockets[1]))
 	l.serve(l.operators, sockets[2])
-	d.atEnd(control.Serve(control.ServerConfig{Listener: d.daemonsOnly(sockets[3]), Handle: d.handleControl}))
+	d.atEnd(control.Serve(control.ServerConfig{Listener: d.daemonsOnly(sockets[3]), Handle: handle}))
 	return l, nil
 }
 
@@ -158,7 +159,7 @@
 }
 
 // operatorHandler serves the operator API, the metrics and the readiness page.
-func (d *daemon) operatorHandler() (http.Handler, error) {
+func (d *daemon) operatorHandler(handle control.Handle) (http.Handler, error) {
 	api, err := operator.New(operator.Config{
 		Customers:  d.limits.allowances,
 		Quarantine: d.quarantines.Records,
@@ -171,7 +172,7 @@
 		Ledger:     d.ledger,
 		Publish:    d.publish,
 		Call:       d.peers.Call,
-		Local:      d.handleControl,
+		Local:      handle,
 	})
 	if err != nil {
 		return nil, errors.Wrap(err, "make operator API")
--- a/internal/daemon/quarantine.go
+++ b/internal/daemon/quarantine.go
@@ -1,6 +1,7 @@
 package daemon
 
 import (
+	"context"
 	"encoding/json"
 
 	"github.com/tideliftd/tidelift/internal/control"
@@ -52,11 +53,11 @@
 }
 
 // callQuarantine takes what another daemon holds against requests.
-func (d *daemon) callQuarantine(params json.RawMessage) (any, error) {
+func (d *daemon) callQuarantine(_ context.Context, params json.RawMessage) (any, error) {
 	var told control.Quarantine
-	if err := decode(params, &told); err != nil {
+	if err := control.Decode(params, &told); err != nil {
 		return nil, err
 	}
 	d.quarantines.Take(told.Records)
-	return done{}, nil
+	return control.Done{}, nil
 }
--- a/internal/daemon/subrequest.go
+++ b/internal/daemon/subrequest.go
@@ -60,9 +60,9 @@
 }
 
 // callSubrequest takes what another host has seen of the calls of this one's service.
-func (d *daemon) callSubrequest(params json.RawMessage) (any, error) {
+func (d *daemon) callSubrequest(_ context.Context, params json.RawMessage) (any, error) {
 	var told control.Subrequest
-	if err := decode(params, &told); err != nil {
+	if err := control.Decode(params, &told); err != nil {
 		return nil, err
 	}
 	if told.Service != d.config.Settings.Service {
