--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"crypto/tls"
+	"log/slog"
 	"net"
 	"sync"
 	"time"
@@ -36,9 +37,13 @@
 type ClientConfig struct {
 	// TLS is what the daemon proves itself with to others; nil for none.
 	TLS *tls.Config
-	// Far says whether bytes to the address are dear and travel compressed, which they do
+	// Far reports whether bytes to the address are dear and travel compressed, which they do
 	// without TLS alone; nil if none do.
 	Far func(address string) bool
+	// DataCentre is this daemon's; hosts take calls from it and from others at different addresses.
+	DataCentre string
+	// Logger receives events of calls that were not answered.
+	Logger *slog.Logger
 }
 
 // NewClient returns a client and a function that closes its connections.
--- a/internal/daemon/calls.go
+++ b/internal/daemon/calls.go
@@ -6,7 +6,6 @@
 	"sync"
 
 	"github.com/tideliftd/tidelift/internal/control"
-	"github.com/tideliftd/tidelift/internal/event"
 	"github.com/tideliftd/tidelift/internal/experiment"
 	"github.com/tideliftd/tidelift/internal/fleet"
 	"github.com/tideliftd/tidelift/internal/floor"
@@ -139,30 +138,14 @@
 			continue
 		}
 		if host, ok := current.Index.Host(name); ok {
-			go d.callPeer(d.controlOf(host), control.MethodTrusted, trusted)
+			d.peers.Tell([]fleet.Host{host}, control.MethodTrusted, trusted)
 		}
 	}
 }
 
 // ping asks another host's daemon for any answer.
 func (d *daemon) ping(ctx context.Context, host fleet.Host) error {
-	return d.peers.Call(ctx, d.controlOf(host), control.MethodPing, control.Done{}, nil)
-}
-
-// tellEach makes a call whose answer says nothing to each of the hosts, and waits for none.
-func (d *daemon) tellEach(hosts []fleet.Host, method control.Method, params any) {
-	for _, host := range hosts {
-		go d.callPeer(d.controlOf(host), method, params)
-	}
-}
-
-// callPeer makes a call whose answer says nothing.
-func (d *daemon) callPeer(address string, method control.Method, params any) {
-	ctx, cancel := context.WithTimeout(context.Background(), peerTimeout)
-	defer cancel()
-	if err := d.peers.Call(ctx, address, method, params, nil); err != nil {
-		event.Log(d.config.Logger, event.PeerSilent, "address", address, "call", method, "error", err)
-	}
+	return d.peers.CallHost(ctx, host, control.MethodPing, control.Done{}, nil)
 }
 
 // askPeer asks another backend server for a lease.
@@ -172,7 +155,7 @@
 		return d.sidecar.Ask(name, r)
 	}
 	var lease sidecar.LeaseAnswer
-	err := d.peers.Call(ctx, d.controlOf(other.Host), control.MethodAsk, control.Ask{Name: name, Request: r}, &lease)
+	err := d.peers.CallHost(ctx, other.Host, control.MethodAsk, control.Ask{Name: name, Request: r}, &lease)
 	return lease, err
 }
 
@@ -182,7 +165,7 @@
 	if other.Host.Name == d.config.Settings.Name {
 		return d.sidecar.Release(name, r)
 	}
-	return d.peers.Call(ctx, d.controlOf(other.Host), control.MethodRelease, control.Release{Name: name, Release: r}, nil)
+	return d.peers.CallHost(ctx, other.Host, control.MethodRelease, control.Release{Name: name, Release: r}, nil)
 }
 
 // isFar says whether the address is outside this data centre, or may be: nothing is known of
@@ -199,11 +182,6 @@
 	return !ok || place != d.config.Settings.DataCentre
 }
 
-// controlOf returns where the host takes control calls from this data centre.
-func (d *daemon) controlOf(host fleet.Host) string {
-	return host.ControlFrom(d.config.Settings.DataCentre)
-}
-
 // notifyDraining tells the daemons that keep other backend servers of the same
 // services that this host's take no more work. One that does not hear it learns
 // it from a refusal.
@@ -225,7 +203,7 @@
 	}
 	var wg sync.WaitGroup
 	for _, peer := range peers {
-		wg.Go(func() { _ = d.peers.Call(ctx, d.controlOf(peer), control.MethodDraining, draining, nil) })
+		wg.Go(func() { _ = d.peers.CallHost(ctx, peer, control.MethodDraining, draining, nil) })
 	}
 	wg.Wait()
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -198,7 +198,9 @@
 	metrics, cleanUp := metric.New(metric.Config{DataCentre: s.DataCentre})
 	d.metrics = metrics
 	d.atEnd(cleanUp)
-	d.peers, cleanUp = control.NewClient(control.ClientConfig{TLS: d.clientTLS(), Far: d.isFar})
+	d.peers, cleanUp = control.NewClient(control.ClientConfig{
+		TLS: d.clientTLS(), Far: d.isFar, DataCentre: s.DataCentre, Logger: d.config.Logger,
+	})
 	d.atEnd(cleanUp)
 	known := runs.New()
 	d.retries = retry.NewBudgets(retry.Config{Began: d.started, Borrows: true})
--- a/internal/daemon/digest.go
+++ b/internal/daemon/digest.go
@@ -5,7 +5,6 @@
 	"time"
 
 	"github.com/tideliftd/tidelift/internal/control"
-	"github.com/tideliftd/tidelift/internal/event"
 )
 
 // hostsSum returns the hash of the known hosts, if hosts register themselves.
@@ -34,8 +33,7 @@
 	told := control.Told{Host: d.config.Settings.Name}
 	told.Hosts, told.Digest = d.members.compare(held.Digest)
 	var rest control.Rest
-	if err := d.peers.Call(ctx, address, control.MethodTold, told, &rest); err != nil {
-		event.Log(d.config.Logger, event.PeerSilent, "address", address, "call", control.MethodTold, "error", err)
+	if err := d.peers.CallLogged(ctx, address, control.MethodTold, told, &rest); err != nil {
 		return
 	}
 	d.learn(address, rest.Hosts)
--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -9,9 +9,6 @@
 	"github.com/tideliftd/tidelift/internal/revision"
 )
 
-// peerTimeout bounds a call about revisions to another daemon.
-const peerTimeout = 2 * time.Second
-
 // held answers a daemon that asks which revision this one has.
 func (d *daemon) held(asked control.Above) control.Held {
 	above := asked.Revision
@@ -39,7 +36,7 @@
 	}
 	if current := d.inForce.Load(); current != nil {
 		if host, ok := current.Index.Host(notice.Host); ok {
-			go d.fetch(context.Background(), d.controlOf(host))
+			go d.fetch(context.Background(), d.peers.Address(host))
 		}
 		return
 	}
@@ -51,5 +48,5 @@
 // notifyPeers tells a few other daemons of the revision that was just put in force.
 func (d *daemon) notifyPeers(r revision.Revision, plan *gossip.Plan) {
 	notice := control.Notice{Host: d.config.Settings.Name, Revision: r.Number}
-	d.tellEach(plan.Notify(), control.MethodNotice, notice)
+	d.peers.Tell(plan.Notify(), control.MethodNotice, notice)
 }
--- a/internal/daemon/hosts.go
+++ b/internal/daemon/hosts.go
@@ -71,9 +71,9 @@
 		d.sidecar.HostDraining(draining)
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
+	ctx, cancel := context.WithTimeout(ctx, control.TellTimeout)
 	defer cancel()
-	_ = d.peers.Call(ctx, d.controlOf(host), control.MethodHost, control.Host{Draining: draining}, nil) // told again soon
+	_ = d.peers.CallHost(ctx, host, control.MethodHost, control.Host{Draining: draining}, nil) // told again soon
 }
 
 func (d *daemon) callHost(_ context.Context, params json.RawMessage) (any, error) {
--- a/internal/daemon/lend.go
+++ b/internal/daemon/lend.go
@@ -75,7 +75,7 @@
 	ctx, cancel := context.WithTimeout(ctx, lendWithin)
 	defer cancel()
 	var lent control.Lent
-	err := d.peers.Call(ctx, d.controlOf(host), control.MethodLend, control.Lend{Service: service}, &lent)
+	err := d.peers.CallHost(ctx, host, control.MethodLend, control.Lend{Service: service}, &lent)
 	return err == nil && lent.Granted
 }
 
--- a/internal/daemon/limits.go
+++ b/internal/daemon/limits.go
@@ -12,7 +12,6 @@
 	"github.com/cespare/xxhash/v2"
 
 	"github.com/tideliftd/tidelift/internal/control"
-	"github.com/tideliftd/tidelift/internal/event"
 	"github.com/tideliftd/tidelift/internal/fleet"
 	"github.com/tideliftd/tidelift/internal/quota"
 	"github.com/tideliftd/tidelift/internal/wait"
@@ -276,11 +275,10 @@
 	ctx, cancel := context.WithTimeout(ctx, reportWithin)
 	defer cancel()
 	var verdict quota.Verdict
-	err := l.d.peers.Call(ctx, l.d.controlOf(to), control.MethodCounted, counted, &verdict)
+	err := l.d.peers.CallLogged(ctx, l.d.peers.Address(to), control.MethodCounted, counted, &verdict)
 	if err == nil {
 		return verdict, true
 	}
-	event.Log(l.d.config.Logger, event.PeerSilent, "address", l.d.controlOf(to), "call", control.MethodCounted, "error", err)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.silent[to.Name] = time.Now().Add(silentFor)
--- a/internal/daemon/listen.go
+++ b/internal/daemon/listen.go
@@ -171,7 +171,7 @@
 		InForce:    d.currentDeclaration,
 		Ledger:     d.ledger,
 		Publish:    d.publish,
-		Call:       d.peers.Call,
+		Call:       d.peers.CallHost,
 		Local:      handle,
 	})
 	if err != nil {
--- a/internal/daemon/poll.go
+++ b/internal/daemon/poll.go
@@ -50,7 +50,7 @@
 		}
 		host, ok = plan.Poll()
 	}
-	return d.controlOf(host), ok
+	return d.peers.Address(host), ok
 }
 
 // pollSeeds asks every seed, and takes the highest revision that any of them has.
--- a/internal/daemon/quarantine.go
+++ b/internal/daemon/quarantine.go
@@ -40,7 +40,7 @@
 // tellQuarantine tells the daemons that keep backend servers of the service what is held against requests. Whoever
 // is left out learns of a quarantine from others or the store, and of what is suspected when it sees an end itself.
 func (d *daemon) tellQuarantine(service string, records []quarantine.Record) {
-	d.tellEach(d.hostsOfService(service), control.MethodQuarantine, control.Quarantine{Records: records})
+	d.peers.Tell(d.hostsOfService(service), control.MethodQuarantine, control.Quarantine{Records: records})
 }
 
 // spreadQuarantine tells a few others, near and far, of a quarantine that has begun or ended.
@@ -49,7 +49,7 @@
 	if plan == nil {
 		return // whoever is found later reads it in the store
 	}
-	d.tellEach(plan.Notify(), control.MethodQuarantine, control.Quarantine{Records: records})
+	d.peers.Tell(plan.Notify(), control.MethodQuarantine, control.Quarantine{Records: records})
 }
 
 // callQuarantine takes what another daemon holds against requests.
--- a/internal/daemon/subrequest.go
+++ b/internal/daemon/subrequest.go
@@ -7,7 +7,6 @@
 	"slices"
 
 	"github.com/tideliftd/tidelift/internal/control"
-	"github.com/tideliftd/tidelift/internal/event"
 	"github.com/tideliftd/tidelift/internal/fleet"
 	"github.com/tideliftd/tidelift/internal/subrequest"
 )
@@ -28,11 +27,10 @@
 
 // tellSubrequestTo tells one host, and learns from it what it knows already.
 func (d *daemon) tellSubrequestTo(host fleet.Host, told control.Subrequest) {
-	ctx, cancel := context.WithTimeout(context.Background(), peerTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), control.TellTimeout)
 	defer cancel()
 	var known control.Known
-	if err := d.peers.Call(ctx, d.controlOf(host), control.MethodSubrequest, told, &known); err != nil {
-		event.Log(d.config.Logger, event.PeerSilent, "address", d.controlOf(host), "call", control.MethodSubrequest, "error", err)
+	if err := d.peers.CallLogged(ctx, d.peers.Address(host), control.MethodSubrequest, told, &known); err != nil {
 		return
 	}
 	d.ingress.LearnSubrequest(known.Routes)
--- a/internal/daemon/updates.go
+++ b/internal/daemon/updates.go
@@ -112,5 +112,5 @@
 	if batch.own {
 		whom = append(whom, plan.OneOfEach()...)
 	}
-	d.tellEach(whom, control.MethodTold, told)
+	d.peers.Tell(whom, control.MethodTold, told)
 }
--- a/internal/operator/describe.go
+++ b/internal/operator/describe.go
@@ -210,7 +210,7 @@
 	if host.Name == s.config.Host {
 		return s.askLocal(ctx, method, params, answer)
 	}
-	return s.config.Call(ctx, host.ControlFrom(s.config.DataCentre), method, params, answer)
+	return s.config.Call(ctx, host, method, params, answer)
 }
 
 func (s *server) askLocal(ctx context.Context, method control.Method, params, answer any) error {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -52,8 +52,8 @@
 	Ledger *revision.Ledger
 	// Publish makes a change the next revision.
 	Publish func(context.Context, revision.Change) (revision.Accepted, error)
-	// Call makes a control call to another daemon.
-	Call func(ctx context.Context, address string, method control.Method, params, answer any) error
+	// Call makes a control call to the daemon of another host.
+	Call func(ctx context.Context, host fleet.Host, method control.Method, params, answer any) error
 	// Local answers a control call at this daemon.
 	Local control.Handle
 }
