--- a/internal/daemon/calls.go
+++ b/internal/daemon/calls.go
@@ -26,7 +26,7 @@
 		control.MethodTold:       d.callTold,
 		control.MethodRevision:   d.callRevision,
 		control.MethodQuarantine: d.callQuarantine,
-		control.MethodLend:       d.callLend,
+		control.MethodLend:       d.lender.HandleLend,
 		control.MethodCounted:    d.callCounted,
 		control.MethodAsk:        d.callAsk,
 		control.MethodRelease:    d.callRelease,
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -61,6 +61,7 @@
 	"github.com/tideliftd/tidelift/internal/gossip"
 	"github.com/tideliftd/tidelift/internal/ingress"
 	"github.com/tideliftd/tidelift/internal/keys"
+	"github.com/tideliftd/tidelift/internal/lend"
 	"github.com/tideliftd/tidelift/internal/member"
 	"github.com/tideliftd/tidelift/internal/metric"
 	"github.com/tideliftd/tidelift/internal/operator"
@@ -138,7 +139,7 @@
 	members          *members
 	limits           *limits
 	retries          *retry.Budgets
-	lending          lending
+	lender           *lend.Lender
 	quarantines      *quarantinesync.Syncer
 	updates          chan update
 	plan             atomic.Pointer[gossip.Plan]
@@ -204,11 +205,14 @@
 	d.atEnd(cleanUp)
 	known := runs.New()
 	d.retries = retry.NewBudgets(retry.Config{Began: d.started, Borrows: true})
-	d.lending = newLending(metrics.Scope)
+	d.lender = lend.New(lend.Config{
+		Host: s.Name, DataCentre: s.DataCentre, Budgets: d.retries, Hosts: d.declaredHosts,
+		Away: func(host string) bool { return d.ingress.Away(host) }, Call: d.peers.CallHost, Scope: metrics.Scope,
+	})
 	d.quarantines = d.newQuarantines()
 	d.sidecar, cleanUp = sidecar.New(sidecar.Config{
 		Host: s.Name, Off: s.Experiments.Off, Logger: d.config.Logger, Scope: metrics.Scope,
-		Answered: func(good bool) { d.ingress.ServerAnswered(good) }, Peer: d.sidecarPeer(), Runs: known, Retries: d.retries, BorrowRetry: d.borrow, Quarantine: d.quarantines,
+		Answered: func(good bool) { d.ingress.ServerAnswered(good) }, Peer: d.sidecarPeer(), Runs: known, Retries: d.retries, BorrowRetry: d.lender.Borrow, Quarantine: d.quarantines,
 	})
 	d.atEnd(cleanUp)
 	d.limits = newLimits(d)
@@ -223,7 +227,7 @@
 		Scope:            metrics.Scope,
 		Runs:             known,
 		Retries:          d.retries,
-		BorrowRetry:      d.borrow,
+		BorrowRetry:      d.lender.Borrow,
 		HostsCounted:     d.hostsCounted,
 		Local:            d.sidecar.Do,
 		LocalReservation: d.sidecar.Reserve,
--- a/internal/daemon/inforce.go
+++ b/internal/daemon/inforce.go
@@ -92,6 +92,15 @@
 	return *current, true
 }
 
+// declaredHosts returns the hosts of the declaration in force; it says false if none is.
+func (d *daemon) declaredHosts() ([]fleet.Host, bool) {
+	current := d.inForce.Load()
+	if current == nil {
+		return nil, false
+	}
+	return current.Index.Declaration.Hosts, true
+}
+
 // revision returns the number of the revision in force; 0 if none is.
 func (d *daemon) revision() int64 {
 	if current := d.inForce.Load(); current != nil {
