--- a/internal/daemon/calls.go
+++ b/internal/daemon/calls.go
@@ -27,7 +27,7 @@
 		control.MethodRevision:   d.callRevision,
 		control.MethodQuarantine: d.callQuarantine,
 		control.MethodLend:       d.lender.HandleLend,
-		control.MethodCounted:    d.callCounted,
+		control.MethodCounted:    d.limits.HandleCounted,
 		control.MethodAsk:        d.callAsk,
 		control.MethodRelease:    d.callRelease,
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -62,6 +62,7 @@
 	"github.com/tideliftd/tidelift/internal/ingress"
 	"github.com/tideliftd/tidelift/internal/keys"
 	"github.com/tideliftd/tidelift/internal/lend"
+	"github.com/tideliftd/tidelift/internal/limits"
 	"github.com/tideliftd/tidelift/internal/member"
 	"github.com/tideliftd/tidelift/internal/metric"
 	"github.com/tideliftd/tidelift/internal/operator"
@@ -137,7 +138,7 @@
 	live             atomic.Pointer[settings.Settings] // as the file says now
 	source           source
 	members          *members
-	limits           *limits
+	limits           *limits.Limits
 	retries          *retry.Budgets
 	lender           *lend.Lender
 	quarantines      *quarantinesync.Syncer
@@ -173,7 +174,7 @@
 	defer stopFollowing()
 	go d.follow(followCtx)
 	go d.followSettings(followCtx)
-	go d.limits.run(followCtx)
+	go d.limits.Run(followCtx)
 	go d.quarantines.Run(followCtx)
 	go d.claimFirstStart(followCtx)
 	if d.registers() {
@@ -215,7 +216,10 @@
 		Answered: func(good bool) { d.ingress.ServerAnswered(good) }, Peer: d.sidecarPeer(), Runs: known, Retries: d.retries, BorrowRetry: d.lender.Borrow, Quarantine: d.quarantines,
 	})
 	d.atEnd(cleanUp)
-	d.limits = newLimits(d)
+	d.limits = limits.New(limits.Config{
+		Host: s.Name, DataCentre: s.DataCentre, Peers: d.peers,
+		Away: func(host string) bool { return d.ingress.Away(host) },
+	})
 	d.ingress, cleanUp = ingress.New(ingress.Config{
 		Host:             s.Name,
 		DataCentre:       s.DataCentre,
@@ -235,8 +239,8 @@
 		Ping:             d.ping,
 		Silent:           d.checkGone,
 		Subrequest:       d.tellSubrequest,
-		AdmitCustomer:    d.limits.admit,
-		GiveBack:         d.limits.giveBack,
+		AdmitCustomer:    d.limits.Admit,
+		GiveBack:         d.limits.GiveBack,
 	})
 	d.atEnd(cleanUp)
 	d.buildLedger()
--- a/internal/daemon/inforce.go
+++ b/internal/daemon/inforce.go
@@ -65,7 +65,7 @@
 func (d *daemon) putInForce(r revision.Revision) {
 	index := fleet.NewIndex(d.members.complete(d.declared))
 	d.sidecar.Reconfigure(index)
-	d.limits.reconfigure(index.Declaration)
+	d.limits.Reconfigure(index.Declaration)
 	d.ingress.Reconfigure(index)
 	d.planWith(index.Declaration.Hosts)
 	d.inForce.Store(&operator.InForce{Revision: r, Index: index})
--- a/internal/daemon/listen.go
+++ b/internal/daemon/listen.go
@@ -161,7 +161,7 @@
 // operatorHandler serves the operator API, the metrics and the readiness page.
 func (d *daemon) operatorHandler(handle control.Handle) (http.Handler, error) {
 	api, err := operator.New(operator.Config{
-		Customers:  d.limits.allowances,
+		Customers:  d.limits.Allowances,
 		Quarantine: d.quarantines.Records,
 		Lift:       d.quarantines.Lift,
 		Host:       d.config.Settings.Name,
--- a/internal/daemon/limits.go
+++ b/internal/limits/limits.go
@@ -1,4 +1,22 @@
-package daemon
+// Package limits holds a daemon's requests to the customers' limits, which hold for the whole fleet.
+//
+// Each daemon admits requests by its own gate and reports what it counted to a collector, a daemon of its
+// data centre. Collectors add up and report to the ledger, one daemon of the fleet, which answers with a
+// verdict: how much of each customer's requests every gate admits until the next. Any daemon is a
+// collector or the ledger when others report to it. One that does not answer is passed over for the next
+// in an order that all daemons work out alike.
+//
+// The package owns the gate, the collector and the ledger of this daemon, and when each reports to whom.
+// It relies on internal/quota, which decides, and on internal/control for the reports.
+//
+// # Usage
+//
+//	l := limits.New(limits.Config{Host: name, DataCentre: place, Peers: client, Away: ingress.Away})
+//	go l.Run(ctx)
+//	l.Reconfigure(declaration)
+//	if decision := l.Admit(customer); !decision.Admitted { ... }
+//	handlers[control.MethodCounted] = l.HandleCounted
+package limits
 
 import (
 	"cmp"
@@ -39,10 +57,20 @@
 	hostsOfCollector = 32
 )
 
-// limits keeps the customers' limits with the other daemons: it is this daemon's gate, and
+// Config says who keeps the limits with whom.
+type Config struct {
+	// Host and DataCentre name this daemon.
+	Host, DataCentre string
+	// Peers calls other daemons.
+	Peers *control.Client
+	// Away reports whether the host of that name does not answer.
+	Away func(host string) bool
+}
+
+// Limits keeps the customers' limits with the other daemons: it is this daemon's gate, and
 // a collector or the ledger when others report here.
-type limits struct {
-	d         *daemon
+type Limits struct {
+	config    Config
 	spent     chan struct{} // holds one while the gate should report at once
 	reporting sync.Mutex    // held while a data centre's report is on its way
 
@@ -58,15 +86,21 @@
 	refused   map[string]int64     // requests beyond the limit, by customer
 }
 
-func newLimits(d *daemon) *limits {
-	return &limits{
-		d: d, spent: make(chan struct{}, 1), gate: quota.NewGate(), collector: quota.NewCollector(), ledger: quota.NewLedger(d.config.Settings.Name),
-		silent: make(map[string]time.Time), refused: make(map[string]int64),
+// New returns the limits; nothing is limited before Reconfigure.
+func New(config Config) *Limits {
+	return &Limits{
+		config:    config,
+		spent:     make(chan struct{}, 1),
+		gate:      quota.NewGate(),
+		collector: quota.NewCollector(),
+		ledger:    quota.NewLedger(config.Host),
+		silent:    make(map[string]time.Time),
+		refused:   make(map[string]int64),
 	}
 }
 
-// reconfigure takes the customers' limits and the hosts that share them.
-func (l *limits) reconfigure(d fleet.Declaration) {
+// Reconfigure takes the customers' limits and the hosts that share them.
+func (l *Limits) Reconfigure(d fleet.Declaration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !fleet.SameCustomers(l.customers, d.Customers) {
@@ -77,13 +111,13 @@
 	if len(l.declared) == 0 {
 		return // nobody is asked to collect
 	}
-	l.near, l.all = collectorOrder(d.Hosts, l.d.config.Settings.Name, l.d.config.Settings.DataCentre)
+	l.near, l.all = collectorOrder(d.Hosts, l.config.Host, l.config.DataCentre)
 	now := time.Now()
 	maps.DeleteFunc(l.silent, func(_ string, until time.Time) bool { return now.After(until) })
 }
 
 // declare takes the customers' limits. The caller holds mu.
-func (l *limits) declare(customers []fleet.Customer) {
+func (l *Limits) declare(customers []fleet.Customer) {
 	l.customers = customers
 	l.declared = make(map[string]quota.Limit)
 	for _, c := range customers {
@@ -119,8 +153,8 @@
 	return near, all[:min(firstOf, len(all))]
 }
 
-// admit decides on a request of the customer.
-func (l *limits) admit(customer string) quota.Decision {
+// Admit decides on a request of the customer.
+func (l *Limits) Admit(customer string) quota.Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	decision := l.gate.Admit(customer)
@@ -136,30 +170,30 @@
 	return decision
 }
 
-// allowances returns where the customers near their limit stand, and how many requests of each
+// Allowances returns where the customers near their limit stand, and how many requests of each
 // were refused here.
-func (l *limits) allowances() (map[string]quota.Allowance, map[string]int64) {
+func (l *Limits) Allowances() (map[string]quota.Allowance, map[string]int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return maps.Clone(l.gate.Allowances()), maps.Clone(l.refused)
 }
 
-// giveBack takes back the admission of a request that reached no backend server.
-func (l *limits) giveBack(customer string) {
+// GiveBack takes back the admission of a request that reached no backend server.
+func (l *Limits) GiveBack(customer string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.gate.GiveBack(customer)
 }
 
-// run reports until ctx ends. What this daemon counted and what others reported to it have
+// Run reports until ctx ends. What this daemon counted and what others reported to it have
 // a task each, so that neither waits for the other's answer.
-func (l *limits) run(ctx context.Context) {
+func (l *Limits) Run(ctx context.Context) {
 	go l.repeat(ctx, nil, l.passOn)
 	l.repeat(ctx, l.spent, l.report)
 }
 
 // repeat calls the function as often as a report may be due, and when woken.
-func (l *limits) repeat(ctx context.Context, wake <-chan struct{}, report func(context.Context)) {
+func (l *Limits) repeat(ctx context.Context, wake <-chan struct{}, report func(context.Context)) {
 	for ctx.Err() == nil {
 		l.mu.Lock()
 		enforced := len(l.declared) > 0
@@ -174,7 +208,7 @@
 }
 
 // report tells the data centre's collector what was counted here, if that is due.
-func (l *limits) report(ctx context.Context) {
+func (l *Limits) report(ctx context.Context) {
 	now := time.Now()
 	l.mu.Lock()
 	if !l.gate.Due(now) {
@@ -182,7 +216,7 @@
 		return
 	}
 	counted := control.Counted{Urgent: l.gate.Spent()}
-	counted.Report = quota.Report{From: l.d.config.Settings.Name, Hosts: 1, Counts: l.gate.Drain(now), Follows: l.gate.Follows()}
+	counted.Report = quota.Report{From: l.config.Host, Hosts: 1, Counts: l.gate.Drain(now), Follows: l.gate.Follows()}
 	to, remote := l.first(l.near, now)
 	l.mu.Unlock()
 	var verdict quota.Verdict
@@ -203,7 +237,7 @@
 
 // collect takes a daemon's report and returns the ledger's last verdict. An urgent one is
 // passed on before.
-func (l *limits) collect(ctx context.Context, counted control.Counted) quota.Verdict {
+func (l *Limits) collect(ctx context.Context, counted control.Counted) quota.Verdict {
 	l.mu.Lock()
 	verdict := l.collector.Add(time.Now(), counted.Report)
 	l.mu.Unlock()
@@ -218,7 +252,7 @@
 
 // passOn tells the fleet's ledger what this data centre's daemons reported here, if that is
 // due.
-func (l *limits) passOn(ctx context.Context) {
+func (l *Limits) passOn(ctx context.Context) {
 	l.mu.Lock()
 	due := l.collector.Due(time.Now())
 	l.mu.Unlock()
@@ -229,7 +263,7 @@
 
 // passOnNow does so at once, but for the time that another report is on its way: what was
 // counted meanwhile goes with one report.
-func (l *limits) passOnNow(ctx context.Context) {
+func (l *Limits) passOnNow(ctx context.Context) {
 	l.reporting.Lock()
 	defer l.reporting.Unlock()
 	l.mu.Lock()
@@ -238,7 +272,7 @@
 		l.mu.Unlock()
 		return // another report has taken it along
 	}
-	counted := l.collector.Drain(now, l.d.config.Settings.Name)
+	counted := l.collector.Drain(now, l.config.Host)
 	to, remote := l.first(l.all, now)
 	if !remote {
 		l.collector.Hear(now, l.ledger.Take(now, counted))
@@ -258,12 +292,12 @@
 
 // first returns the first host in the order that is not passed over; it says false if that is
 // this one, or if none is left. The caller holds mu.
-func (l *limits) first(order []fleet.Host, now time.Time) (fleet.Host, bool) {
+func (l *Limits) first(order []fleet.Host, now time.Time) (fleet.Host, bool) {
 	for _, h := range order {
-		if h.Name == l.d.config.Settings.Name {
+		if h.Name == l.config.Host {
 			break
 		}
-		if now.After(l.silent[h.Name]) && !l.d.ingress.Away(h.Name) {
+		if now.After(l.silent[h.Name]) && !l.config.Away(h.Name) {
 			return h, true
 		}
 	}
@@ -271,11 +305,11 @@
 }
 
 // tell makes the call, and passes the host over for a while if it does not answer.
-func (l *limits) tell(ctx context.Context, to fleet.Host, counted control.Counted) (quota.Verdict, bool) {
+func (l *Limits) tell(ctx context.Context, to fleet.Host, counted control.Counted) (quota.Verdict, bool) {
 	ctx, cancel := context.WithTimeout(ctx, reportWithin)
 	defer cancel()
 	var verdict quota.Verdict
-	err := l.d.peers.CallLogged(ctx, l.d.peers.Address(to), control.MethodCounted, counted, &verdict)
+	err := l.config.Peers.CallLogged(ctx, l.config.Peers.Address(to), control.MethodCounted, counted, &verdict)
 	if err == nil {
 		return verdict, true
 	}
@@ -285,16 +319,16 @@
 	return quota.Verdict{}, false
 }
 
-// callCounted takes another daemon's report.
-func (d *daemon) callCounted(ctx context.Context, params json.RawMessage) (any, error) {
+// HandleCounted answers another daemon's report.
+func (l *Limits) HandleCounted(ctx context.Context, params json.RawMessage) (any, error) {
 	var counted control.Counted
 	if err := control.Decode(params, &counted); err != nil {
 		return nil, err
 	}
 	if !counted.Fleet {
-		return d.limits.collect(ctx, counted), nil
+		return l.collect(ctx, counted), nil
 	}
-	d.limits.mu.Lock()
-	defer d.limits.mu.Unlock()
-	return d.limits.ledger.Take(time.Now(), counted.Report), nil
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.ledger.Take(time.Now(), counted.Report), nil
 }
--- a/internal/daemon/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -1,4 +1,4 @@
-package daemon
+package limits
 
 import (
 	"context"
