--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -30,11 +30,11 @@
 			collectors[near[0].Name]++
 			ledgers[all[0].Name]++
 		}
-		if want := 2 * ((count + hostsOfCollector - 1) / hostsOfCollector); len(collectors) != want || len(ledgers) != 1 {
+		if want := 2 * ((count + hostsPerCollector - 1) / hostsPerCollector); len(collectors) != want || len(ledgers) != 1 {
 			t.Errorf("%d hosts: %d collectors, want %d; %d ledgers", count, len(collectors), want, len(ledgers))
 		}
 		for name, reports := range collectors {
-			if reports > 2*hostsOfCollector {
+			if reports > 2*hostsPerCollector {
 				t.Errorf("%d hosts: %d report to %s", count, reports, name)
 			}
 		}
