--- a/internal/daemon/ask.go
+++ b/internal/daemon/ask.go
@@ -32,7 +32,7 @@
 	}
 	d.exchangeHosts(ctx, address, held)
 	d.hearQuarantines(held)
-	d.notePlatform(time.Now().Add(-time.Duration(held.SilentMs) * time.Millisecond))
+	d.health.Seen(time.Now().Add(-time.Duration(held.SilentMs) * time.Millisecond))
 	if held.Revision.Number > above.Revision {
 		d.take(revision.Revision(held.Revision))
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -68,6 +68,7 @@
 	"github.com/tideliftd/tidelift/internal/operator"
 	"github.com/tideliftd/tidelift/internal/operatorapi"
 	"github.com/tideliftd/tidelift/internal/quarantinesync"
+	"github.com/tideliftd/tidelift/internal/record"
 	"github.com/tideliftd/tidelift/internal/registry"
 	"github.com/tideliftd/tidelift/internal/retry"
 	"github.com/tideliftd/tidelift/internal/revision"
@@ -75,6 +76,7 @@
 	"github.com/tideliftd/tidelift/internal/settings"
 	"github.com/tideliftd/tidelift/internal/sidecar"
 	"github.com/tideliftd/tidelift/internal/store"
+	"github.com/tideliftd/tidelift/internal/storehealth"
 	"github.com/tideliftd/tidelift/internal/version"
 )
 
@@ -133,7 +135,8 @@
 	stopping         atomic.Bool
 	taking           sync.Mutex // serialises take and retake; guards declared
 	declared         fleet.Declaration
-	platform         atomic.Pointer[platformState]
+	health           *storehealth.Health
+	record           *record.Record
 	inForce          atomic.Pointer[operator.InForce]
 	live             atomic.Pointer[settings.Settings] // as the file says now
 	source           source
@@ -144,13 +147,8 @@
 	quarantines      *quarantinesync.Syncer
 	updates          chan update
 	plan             atomic.Pointer[gossip.Plan]
-	watching         atomic.Bool
-	counted          atomic.Bool   // the store has listed the hosts once this daemon had been there for a while
-	recorded         atomic.Int64  // when the store last took or renewed this host's record, in Unix nanoseconds
-	followsRecord    atomic.Bool   // the store has had a record of this host before the one that is written
 	heardQuarantines atomic.Bool   // another daemon has told which there are
 	joined           chan struct{} // closed once a daemon that registers itself has joined the others
-	lastSeen         atomic.Int64  // when the platform was last known to answer, in Unix nanoseconds
 	cleanUps         []func()
 
 	certificates *keys.Certificates // nil without mutual TLS
@@ -162,7 +160,7 @@
 	d := &daemon{config: config, started: time.Now(), updates: make(chan update, updatesWaiting), joined: make(chan struct{})}
 	d.live.Store(&config.Settings)
 	defer d.cleanUp()
-	d.setPlatform(platformUnknown)
+	d.health = storehealth.New(storehealth.Config{Logger: config.Logger})
 	if err := d.build(); err != nil {
 		return err
 	}
@@ -176,9 +174,10 @@
 	go d.followSettings(followCtx)
 	go d.limits.Run(followCtx)
 	go d.quarantines.Run(followCtx)
-	go d.claimFirstStart(followCtx)
 	if d.registers() {
 		go d.join(followCtx)
+	} else {
+		go d.record.ClaimFirstStart(followCtx)
 	}
 	event.Log(config.Logger, event.DaemonStarted,
 		"data_centre", config.Settings.DataCentre, "callers", config.Settings.Listen.Callers, "version", version.Version)
@@ -255,8 +254,8 @@
 	d.ledger = revision.New(revision.Config{
 		Store:    d.config.Store,
 		Prefix:   s.Platform.Prefix,
-		OnError:  d.platformFailed,
-		OnAnswer: d.platformAnswered,
+		OnError:  d.health.Failed,
+		OnAnswer: d.health.Answered,
 	})
 	d.source = d.newSource()
 }
@@ -271,6 +270,17 @@
 		Control:    s.Listen.Control,
 		Start:      uuid.NewString(),
 	})
+	d.record = record.New(record.Config{
+		Host:       s.Name,
+		Store:      d.config.Store,
+		Prefix:     s.Platform.Prefix,
+		FirstStart: s.FirstStart,
+		Health:     d.health,
+		Logger:     d.config.Logger,
+		Self:       d.members.self,
+		Learn:      func(hosts []member.Host) { d.learn("", hosts) },
+		Unused:     d.retries.Clear,
+	})
 }
 
 // atEnd keeps a function for cleanUp, which calls the last one first.
@@ -289,7 +299,7 @@
 		DataCentre: d.config.Settings.DataCentre,
 		Version:    version.Version,
 		Stopping:   d.stopping.Load(),
-		Platform:   string(d.platformNow()),
+		Platform:   string(d.health.State()),
 		InFlight:   d.ingress.InFlight(),
 		UptimeMs:   time.Since(d.started).Milliseconds(),
 	}
--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -12,7 +12,7 @@
 // held answers a daemon that asks which revision this one has.
 func (d *daemon) held(asked control.Above) control.Held {
 	above := asked.Revision
-	held := control.Held{SilentMs: time.Since(d.platformLastSeen()).Milliseconds()}
+	held := control.Held{SilentMs: time.Since(d.health.LastSeen()).Milliseconds()}
 	d.answerHosts(asked, &held)
 	if asked.Quarantines != d.quarantines.Sum() {
 		held.Quarantines = d.quarantines.Quarantines()
--- a/internal/daemon/gossip_test.go
+++ b/internal/daemon/gossip_test.go
@@ -12,6 +12,7 @@
 	"github.com/tideliftd/tidelift/internal/control"
 	"github.com/tideliftd/tidelift/internal/member"
 	"github.com/tideliftd/tidelift/internal/quarantinesync"
+	"github.com/tideliftd/tidelift/internal/storehealth"
 )
 
 // TestANoticeReachesADaemonWithoutADeclaration tells a daemon that has just started, and only
@@ -27,7 +28,7 @@
 		return control.Held{}, nil
 	}})
 	defer cleanUp()
-	d := &daemon{members: newMembers(member.Host{Name: "csepel-1"}), quarantines: quarantinesync.New(quarantinesync.Config{Scope: tally.NoopScope})}
+	d := &daemon{health: storehealth.New(storehealth.Config{}), members: newMembers(member.Host{Name: "csepel-1"}), quarantines: quarantinesync.New(quarantinesync.Config{Scope: tally.NoopScope})}
 	d.peers, cleanUp = control.NewClient(control.ClientConfig{})
 	defer cleanUp()
 	d.members.merge([]member.Host{{Name: "csepel-2", Control: listener.Addr().String(), Start: "a", Incarnation: 1, Version: 1}})
--- a/internal/daemon/poll.go
+++ b/internal/daemon/poll.go
@@ -55,7 +55,7 @@
 
 // pollSeeds asks every seed, and takes the highest revision that any of them has.
 func (d *daemon) pollSeeds(ctx context.Context) {
-	if *d.platform.Load() == platformUp {
+	if d.health.Answers() {
 		return
 	}
 	for _, seed := range d.config.Settings.Seeds {
--- a/internal/daemon/quarantine.go
+++ b/internal/daemon/quarantine.go
@@ -20,8 +20,8 @@
 		Watches:  d.watchesQuarantines,
 		Logger:   d.config.Logger,
 		Scope:    d.metrics.Scope,
-		OnError:  d.platformFailed,
-		OnAnswer: d.platformAnswered,
+		OnError:  d.health.Failed,
+		OnAnswer: d.health.Answered,
 	})
 }
 
--- a/internal/daemon/source.go
+++ b/internal/daemon/source.go
@@ -31,8 +31,8 @@
 		Number:   declaration.Number,
 		Hide:     declaration.Hide,
 		OnBad:    func(err error) { event.Log(d.config.Logger, event.DeclarationRefused, "error", err) },
-		OnError:  d.platformFailed,
-		OnAnswer: d.platformAnswered,
+		OnError:  d.health.Failed,
+		OnAnswer: d.health.Answered,
 	}
 	return source{
 		follow: func(ctx context.Context, above int64, take func(revision.Revision)) {
--- a/internal/daemon/watch.go
+++ b/internal/daemon/watch.go
@@ -47,7 +47,7 @@
 func (d *daemon) watch(ctx context.Context) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	d.watching.Store(true)
+	d.health.BeginWatch()
 	go d.source.follow(ctx, d.revision(), d.take)
 	if !d.registers() {
 		go d.followHosts(ctx)
@@ -55,15 +55,14 @@
 	for ctx.Err() == nil && d.watches() {
 		wait.For(ctx, watchEvery)
 	}
-	d.notePlatform(d.platformLastSeen())
-	d.watching.Store(false)
+	d.health.EndWatch()
 }
 
 // watches says whether this daemon watches the platform: as the plan says, or if it has no
 // declaration and heard of nobody who watches.
 func (d *daemon) watches() bool {
 	plan := d.plan.Load()
-	seen := d.platformLastSeen()
+	seen := d.health.LastSeen()
 	if plan == nil || d.inForce.Load() == nil && time.Since(seen) > undeclaredFor {
 		return true
 	}
--- a/internal/daemon/part_test.go
+++ b/internal/record/part_test.go
@@ -1,4 +1,4 @@
-package daemon
+package record
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 	"github.com/go-faster/errors"
 
 	"github.com/tideliftd/tidelift/internal/retry"
-	"github.com/tideliftd/tidelift/internal/settings"
 	"github.com/tideliftd/tidelift/internal/store"
+	"github.com/tideliftd/tidelift/internal/storehealth"
 )
 
 // TestOnlyAFirstStartHasItsPartAtOnce writes a host's record to a store that has one of an earlier incarnation,
@@ -43,18 +43,17 @@
 				}
 				return 1, nil
 			}
-			d := &daemon{config: Config{Store: store.Store{Commit: commit}}}
-			d.config.Settings.FirstStart = test.fleets
 			now := time.Now()
-			d.retries = retry.NewBudgets(retry.Config{Began: now})
-			d.retries.Resize(now, map[string]retry.Size{"names": {Slack: 56, Window: 10 * time.Second, Hosts: 1}})
-			for d.commitRecord(context.Background(), store.Put{Key: "hosts/a"}) != nil {
+			budgets := retry.NewBudgets(retry.Config{Began: now})
+			r := New(Config{Store: store.Store{Commit: commit}, FirstStart: test.fleets, Unused: budgets.Clear})
+			budgets.Resize(now, map[string]retry.Size{"names": {Slack: 56, Window: 10 * time.Second, Hosts: 1}})
+			for r.commit(context.Background(), store.Put{Key: "hosts/a"}) != nil {
 				continue
 			}
-			if has := d.retries.Left(now, "names"); has != test.wantHas {
+			if has := budgets.Left(now, "names"); has != test.wantHas {
 				t.Fatalf("it has its part: %t", has)
 			}
-			if !d.retries.Left(now.Add(10*time.Second), "names") {
+			if !budgets.Left(now.Add(10*time.Second), "names") {
 				t.Fatal("it has no part after a window")
 			}
 		})
@@ -83,17 +82,18 @@
 				}
 				return 1, test.answer
 			}
-			d := &daemon{config: Config{Store: store.Store{Commit: commit}, Logger: slog.New(slog.DiscardHandler)}}
-			d.setPlatform(platformUnknown)
-			d.config.Settings.FirstStart = test.fleets
 			now := time.Now()
-			d.retries = retry.NewBudgets(retry.Config{Began: now})
-			d.retries.Resize(now, map[string]retry.Size{"names": {Slack: 56, Window: 10 * time.Second, Hosts: 1}})
-			d.claimFirstStart(context.Background())
-			if has := d.retries.Left(now, "names"); has != test.wantHas {
+			budgets := retry.NewBudgets(retry.Config{Began: now})
+			r := New(Config{
+				Host: "csepel-1", Store: store.Store{Commit: commit}, FirstStart: test.fleets, Unused: budgets.Clear,
+				Health: storehealth.New(storehealth.Config{Logger: slog.New(slog.DiscardHandler)}),
+			})
+			budgets.Resize(now, map[string]retry.Size{"names": {Slack: 56, Window: 10 * time.Second, Hosts: 1}})
+			r.ClaimFirstStart(context.Background())
+			if has := budgets.Left(now, "names"); has != test.wantHas {
 				t.Fatalf("it has its part: %t", has)
 			}
-			if !d.retries.Left(now.Add(10*time.Second), "names") {
+			if !budgets.Left(now.Add(10*time.Second), "names") {
 				t.Fatal("it has no part after a window")
 			}
 		})
@@ -102,18 +102,17 @@
 
 // TestAPartIsUsedWhileTheStoreHasTheRecord cuts a daemon off from the store.
 func TestAPartIsUsedWhileTheStoreHasTheRecord(t *testing.T) {
-	d := &daemon{}
-	d.config.Settings.Source.Declared = settings.DeclaredByPlatform
-	d.recorded.Store(time.Now().UnixNano())
-	if d.hostsCounted() {
+	r := New(Config{})
+	r.confirmedAt.Store(time.Now().UnixNano())
+	if r.HostsCounted() {
 		t.Fatal("the hosts have not been counted")
 	}
-	d.counted.Store(true)
-	if !d.hostsCounted() {
+	r.counted.Store(true)
+	if !r.HostsCounted() {
 		t.Fatal("the hosts have been counted")
 	}
-	d.recorded.Store(time.Now().Add(-sharedFor).UnixNano())
-	if d.hostsCounted() {
+	r.confirmedAt.Store(time.Now().Add(-sharedFor).UnixNano())
+	if r.HostsCounted() {
 		t.Fatal("the store has not renewed the record, and a next life may not find it")
 	}
 }
--- a/internal/daemon/record_test.go
+++ b/internal/record/record_test.go
@@ -1,4 +1,4 @@
-package daemon
+package record
 
 import (
 	"encoding/json"
