--- a/internal/cli/daemon.go
+++ b/internal/cli/daemon.go
@@ -18,6 +18,7 @@
 	"github.com/tideliftd/tidelift/internal/daemon"
 	"github.com/tideliftd/tidelift/internal/fleet"
 	"github.com/tideliftd/tidelift/internal/logline"
+	"github.com/tideliftd/tidelift/internal/membership"
 	"github.com/tideliftd/tidelift/internal/settings"
 	"github.com/tideliftd/tidelift/internal/store"
 	"github.com/tideliftd/tidelift/internal/version"
@@ -136,7 +137,7 @@
 }
 
 // newRegistrations returns the handler for the registrations of the platform's format.
-func newRegistrations(c daemon.Registrations) http.Handler {
+func newRegistrations(c membership.Registrations) http.Handler {
 	return platform.NewCheckIns(platform.CheckInsConfig{CheckIn: c.Register, Leave: c.Leave, OnError: c.OnError})
 }
 
--- a/internal/daemon/ask.go
+++ b/internal/daemon/ask.go
@@ -25,12 +25,12 @@
 func (d *daemon) ask(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
-	above := control.Above{Revision: d.revision(), Hosts: d.hostsSum(), Quarantines: d.quarantines.Sum()}
+	above := control.Above{Revision: d.revision(), Hosts: d.members.Sum(), Quarantines: d.quarantines.Sum()}
 	var held control.Held
 	if err := d.peers.Call(ctx, address, control.MethodRevision, above, &held); err != nil {
 		return false
 	}
-	d.exchangeHosts(ctx, address, held)
+	d.members.Exchange(ctx, address, held)
 	d.hearQuarantines(held)
 	d.health.Seen(time.Now().Add(-time.Duration(held.SilentMs) * time.Millisecond))
 	if held.Revision.Number > above.Revision {
--- a/internal/daemon/calls.go
+++ b/internal/daemon/calls.go
@@ -23,7 +23,7 @@
 		control.MethodSubrequest: d.callSubrequest,
 		control.MethodHost:       d.callHost,
 		control.MethodNotice:     d.callNotice,
-		control.MethodTold:       d.callTold,
+		control.MethodTold:       d.members.HandleTold,
 		control.MethodRevision:   d.callRevision,
 		control.MethodQuarantine: d.callQuarantine,
 		control.MethodLend:       d.lender.HandleLend,
@@ -81,19 +81,6 @@
 	return control.Done{}, nil
 }
 
-func (d *daemon) callTold(_ context.Context, params json.RawMessage) (any, error) {
-	var told control.Told
-	if err := control.Decode(params, &told); err != nil {
-		return nil, err
-	}
-	d.learn(told.Host, told.Hosts)
-	var rest control.Rest
-	if told.Digest != nil {
-		rest.Hosts = d.members.missing(told.Digest)
-	}
-	return rest, nil
-}
-
 func (d *daemon) callRevision(_ context.Context, params json.RawMessage) (any, error) {
 	var above control.Above
 	if err := control.Decode(params, &above); err != nil {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -64,12 +64,12 @@
 	"github.com/tideliftd/tidelift/internal/lend"
 	"github.com/tideliftd/tidelift/internal/limits"
 	"github.com/tideliftd/tidelift/internal/member"
+	"github.com/tideliftd/tidelift/internal/membership"
 	"github.com/tideliftd/tidelift/internal/metric"
 	"github.com/tideliftd/tidelift/internal/operator"
 	"github.com/tideliftd/tidelift/internal/operatorapi"
 	"github.com/tideliftd/tidelift/internal/quarantinesync"
 	"github.com/tideliftd/tidelift/internal/record"
-	"github.com/tideliftd/tidelift/internal/registry"
 	"github.com/tideliftd/tidelift/internal/retry"
 	"github.com/tideliftd/tidelift/internal/revision"
 	"github.com/tideliftd/tidelift/internal/runs"
@@ -99,7 +99,7 @@
 	// settings say that the platform declares.
 	StoredDeclaration StoredDeclaration
 	// Registrations makes the handler for registrations of this host's backend servers.
-	Registrations func(Registrations) http.Handler
+	Registrations func(membership.Registrations) http.Handler
 	// ReadyPattern is the pattern under which readiness is asked.
 	ReadyPattern string
 }
@@ -114,14 +114,6 @@
 	Parse  func(data []byte, s settings.Source) (fleet.Declaration, error)
 }
 
-// Registrations takes what backend servers of this host say of themselves. Each
-// returns once that is in force here.
-type Registrations struct {
-	Register func(registry.Registration) error
-	Leave    func(name string)
-	OnError  func(error)
-}
-
 // daemon holds the parts while they run.
 type daemon struct {
 	config           Config
@@ -136,19 +128,16 @@
 	taking           sync.Mutex // serialises take and retake; guards declared
 	declared         fleet.Declaration
 	health           *storehealth.Health
-	record           *record.Record
 	inForce          atomic.Pointer[operator.InForce]
 	live             atomic.Pointer[settings.Settings] // as the file says now
 	source           source
-	members          *members
+	members          *membership.Membership
 	limits           *limits.Limits
 	retries          *retry.Budgets
 	lender           *lend.Lender
 	quarantines      *quarantinesync.Syncer
-	updates          chan update
 	plan             atomic.Pointer[gossip.Plan]
-	heardQuarantines atomic.Bool   // another daemon has told which there are
-	joined           chan struct{} // closed once a daemon that registers itself has joined the others
+	heardQuarantines atomic.Bool // another daemon has told which there are
 	cleanUps         []func()
 
 	certificates *keys.Certificates // nil without mutual TLS
@@ -157,7 +146,7 @@
 
 // Run runs a daemon until ctx ends and its planned stop is done.
 func Run(ctx context.Context, config Config) error {
-	d := &daemon{config: config, started: time.Now(), updates: make(chan update, updatesWaiting), joined: make(chan struct{})}
+	d := &daemon{config: config, started: time.Now()}
 	d.live.Store(&config.Settings)
 	defer d.cleanUp()
 	d.health = storehealth.New(storehealth.Config{Logger: config.Logger})
@@ -174,11 +163,7 @@
 	go d.followSettings(followCtx)
 	go d.limits.Run(followCtx)
 	go d.quarantines.Run(followCtx)
-	if d.registers() {
-		go d.join(followCtx)
-	} else {
-		go d.record.ClaimFirstStart(followCtx)
-	}
+	go d.members.Run(followCtx)
 	event.Log(config.Logger, event.DaemonStarted,
 		"data_centre", config.Settings.DataCentre, "callers", config.Settings.Listen.Callers, "version", version.Version)
 	select {
@@ -231,12 +216,12 @@
 		Runs:             known,
 		Retries:          d.retries,
 		BorrowRetry:      d.lender.Borrow,
-		HostsCounted:     d.hostsCounted,
+		HostsCounted:     func() bool { return d.members.HostsCounted() },
 		Local:            d.sidecar.Do,
 		LocalReservation: d.sidecar.Reserve,
 		Far:              d.isFar,
 		Ping:             d.ping,
-		Silent:           d.checkGone,
+		Silent:           func(host fleet.Host) { d.members.CheckGone(host) },
 		Subrequest:       d.tellSubrequest,
 		AdmitCustomer:    d.limits.Admit,
 		GiveBack:         d.limits.GiveBack,
@@ -263,23 +248,30 @@
 // buildMembers makes the table of hosts, in which this one begins a new incarnation.
 func (d *daemon) buildMembers() {
 	s := d.config.Settings
-	d.members = newMembers(member.Host{
-		Name:       s.Name,
-		DataCentre: s.DataCentre,
-		Peers:      s.Listen.Peers,
-		Control:    s.Listen.Control,
-		Start:      uuid.NewString(),
-	})
-	d.record = record.New(record.Config{
-		Host:       s.Name,
-		Store:      d.config.Store,
-		Prefix:     s.Platform.Prefix,
-		FirstStart: s.FirstStart,
-		Health:     d.health,
-		Logger:     d.config.Logger,
-		Self:       d.members.self,
-		Learn:      func(hosts []member.Host) { d.learn("", hosts) },
-		Unused:     d.retries.Clear,
+	d.members = membership.New(membership.Config{
+		Self: member.Host{
+			Name:       s.Name,
+			DataCentre: s.DataCentre,
+			Peers:      s.Listen.Peers,
+			Control:    s.Listen.Control,
+			Start:      uuid.NewString(),
+		},
+		Registers: d.registers(),
+		Logger:    d.config.Logger,
+		Peers:     d.peers,
+		Record: record.Config{
+			Host:       s.Name,
+			Store:      d.config.Store,
+			Prefix:     s.Platform.Prefix,
+			FirstStart: s.FirstStart,
+			Health:     d.health,
+			Logger:     d.config.Logger,
+			Unused:     d.retries.Clear,
+		},
+		Plan:     d.plan.Load,
+		Services: d.declaredServices,
+		Reapply:  d.retake,
+		Ask:      d.ask,
 	})
 }
 
--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -13,7 +13,7 @@
 func (d *daemon) held(asked control.Above) control.Held {
 	above := asked.Revision
 	held := control.Held{SilentMs: time.Since(d.health.LastSeen()).Milliseconds()}
-	d.answerHosts(asked, &held)
+	d.members.AddDigest(asked, &held)
 	if asked.Quarantines != d.quarantines.Sum() {
 		held.Quarantines = d.quarantines.Quarantines()
 	}
@@ -40,7 +40,7 @@
 		}
 		return
 	}
-	if host, ok := d.members.host(notice.Host); ok {
+	if host, ok := d.members.Host(notice.Host); ok {
 		go d.fetch(context.Background(), host.Control)
 	}
 }
--- a/internal/daemon/gossip_test.go
+++ b/internal/daemon/gossip_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"log/slog"
 	"net"
 	"testing"
 	"time"
@@ -11,6 +12,7 @@
 
 	"github.com/tideliftd/tidelift/internal/control"
 	"github.com/tideliftd/tidelift/internal/member"
+	"github.com/tideliftd/tidelift/internal/membership"
 	"github.com/tideliftd/tidelift/internal/quarantinesync"
 	"github.com/tideliftd/tidelift/internal/storehealth"
 )
@@ -28,10 +30,12 @@
 		return control.Held{}, nil
 	}})
 	defer cleanUp()
-	d := &daemon{health: storehealth.New(storehealth.Config{}), members: newMembers(member.Host{Name: "csepel-1"}), quarantines: quarantinesync.New(quarantinesync.Config{Scope: tally.NoopScope})}
+	d := &daemon{health: storehealth.New(storehealth.Config{}), members: membership.New(membership.Config{
+		Self: member.Host{Name: "csepel-1"}, Registers: true, Logger: slog.New(slog.DiscardHandler), Reapply: func() {},
+	}), quarantines: quarantinesync.New(quarantinesync.Config{Scope: tally.NoopScope})}
 	d.peers, cleanUp = control.NewClient(control.ClientConfig{})
 	defer cleanUp()
-	d.members.merge([]member.Host{{Name: "csepel-2", Control: listener.Addr().String(), Start: "a", Incarnation: 1, Version: 1}})
+	d.members.Learn("", []member.Host{{Name: "csepel-2", Control: listener.Addr().String(), Start: "a", Incarnation: 1, Version: 1}})
 	d.receiveNotice(control.Notice{Host: "csepel-2", Revision: 7})
 	select {
 	case method := <-asked:
--- a/internal/daemon/inforce.go
+++ b/internal/daemon/inforce.go
@@ -48,7 +48,7 @@
 		d.putInForce(current.Revision)
 		return
 	}
-	d.planWith(d.members.complete(fleet.Declaration{}).Hosts)
+	d.planWith(d.members.Complete(fleet.Declaration{}).Hosts)
 }
 
 // planWith makes the plan of whom to tell of updates.
@@ -63,7 +63,7 @@
 // putInForce makes the index of what is declared and registered, and gives it to
 // every part. The caller holds taking.
 func (d *daemon) putInForce(r revision.Revision) {
-	index := fleet.NewIndex(d.members.complete(d.declared))
+	index := fleet.NewIndex(d.members.Complete(d.declared))
 	d.sidecar.Reconfigure(index)
 	d.limits.Reconfigure(index.Declaration)
 	d.ingress.Reconfigure(index)
@@ -101,6 +101,15 @@
 	return current.Index.Declaration.Hosts, true
 }
 
+// declaredServices returns the services of the declaration in force; it says false if none is.
+func (d *daemon) declaredServices() ([]fleet.Service, bool) {
+	current := d.inForce.Load()
+	if current == nil {
+		return nil, false
+	}
+	return current.Index.Declaration.Services, true
+}
+
 // revision returns the number of the revision in force; 0 if none is.
 func (d *daemon) revision() int64 {
 	if current := d.inForce.Load(); current != nil {
--- a/internal/daemon/listen.go
+++ b/internal/daemon/listen.go
@@ -112,7 +112,7 @@
 	s := d.config.Settings.Listen
 	mux := http.NewServeMux()
 	mux.HandleFunc(d.config.ReadyPattern, d.serveReady)
-	handlers := map[string]http.Handler{s.Registrations: d.config.Registrations(d.registrations()), s.Ready: mux}
+	handlers := map[string]http.Handler{s.Registrations: d.config.Registrations(d.members.Registrations()), s.Ready: mux}
 	for address, handler := range handlers {
 		if address == "" {
 			continue
--- a/internal/daemon/poll.go
+++ b/internal/daemon/poll.go
@@ -34,7 +34,7 @@
 // nobody.
 func (d *daemon) pollWhom() (string, bool) {
 	if d.registers() && rand.N(pollAnyOneIn) == 0 {
-		known := d.members.all()
+		known := d.members.Hosts()
 		if h := known[rand.N(len(known))]; h.Name != d.config.Settings.Name {
 			return h.Control, true
 		}
--- a/internal/daemon/stop.go
+++ b/internal/daemon/stop.go
@@ -8,7 +8,6 @@
 	"github.com/go-faster/errors"
 
 	"github.com/tideliftd/tidelift/internal/event"
-	"github.com/tideliftd/tidelift/internal/member"
 	"github.com/tideliftd/tidelift/internal/wait"
 )
 
@@ -57,9 +56,7 @@
 // takeNoMore tells the others, refuses work for the own backend servers and takes no
 // new connections.
 func (d *daemon) takeNoMore(l *listeners) {
-	if d.registers() {
-		d.tell("", []member.Host{d.members.setStopping()})
-	}
+	d.members.Stop()
 	d.sidecar.Stop()
 	l.refuse()
 }
--- a/internal/daemon/watch.go
+++ b/internal/daemon/watch.go
@@ -4,6 +4,7 @@
 	"context"
 	"time"
 
+	"github.com/tideliftd/tidelift/internal/settings"
 	"github.com/tideliftd/tidelift/internal/wait"
 )
 
@@ -39,7 +40,7 @@
 // 93 read and watched it by itself at a start, that was 260 of 599 calls to the store.
 func (d *daemon) awaitJoin(ctx context.Context) {
 	if d.registers() {
-		wait.Woken(ctx, joinWithin, d.joined)
+		wait.Woken(ctx, joinWithin, d.members.Joined())
 	}
 }
 
@@ -68,3 +69,8 @@
 	}
 	return plan.Watches(seen, time.Now())
 }
+
+// registers reports whether hosts and backend servers register themselves.
+func (d *daemon) registers() bool {
+	return d.config.Settings.Source.Declared == settings.DeclaredByPlatform
+}
