--- a/internal/cli/daemon.go
+++ b/internal/cli/daemon.go
@@ -16,6 +16,7 @@
 	"github.com/urfave/cli/v3"
 
 	"github.com/tideliftd/tidelift/internal/daemon"
+	"github.com/tideliftd/tidelift/internal/declaration"
 	"github.com/tideliftd/tidelift/internal/fleet"
 	"github.com/tideliftd/tidelift/internal/logline"
 	"github.com/tideliftd/tidelift/internal/membership"
@@ -120,8 +121,8 @@
 }
 
 // newStoredDeclaration reads the declaration that the platform's operator writes.
-func newStoredDeclaration() daemon.StoredDeclaration {
-	return daemon.StoredDeclaration{
+func newStoredDeclaration() declaration.Stored {
+	return declaration.Stored{
 		Key:    platform.DesiredKey,
 		Number: platform.DesiredVersion,
 		Hide:   platform.HideKeys,
--- a/internal/daemon/calls.go
+++ b/internal/daemon/calls.go
@@ -22,9 +22,9 @@
 		control.MethodTrusted:    d.callTrusted,
 		control.MethodSubrequest: d.callSubrequest,
 		control.MethodHost:       d.callHost,
-		control.MethodNotice:     d.callNotice,
+		control.MethodNotice:     d.declarations.HandleNotice,
 		control.MethodTold:       d.members.HandleTold,
-		control.MethodRevision:   d.callRevision,
+		control.MethodRevision:   d.declarations.HandleRevision,
 		control.MethodQuarantine: d.callQuarantine,
 		control.MethodLend:       d.lender.HandleLend,
 		control.MethodCounted:    d.limits.HandleCounted,
@@ -72,23 +72,6 @@
 	return control.Done{}, nil
 }
 
-func (d *daemon) callNotice(_ context.Context, params json.RawMessage) (any, error) {
-	var notice control.Notice
-	if err := control.Decode(params, &notice); err != nil {
-		return nil, err
-	}
-	d.receiveNotice(notice)
-	return control.Done{}, nil
-}
-
-func (d *daemon) callRevision(_ context.Context, params json.RawMessage) (any, error) {
-	var above control.Above
-	if err := control.Decode(params, &above); err != nil {
-		return nil, err
-	}
-	return d.held(above), nil
-}
-
 func (d *daemon) callAsk(_ context.Context, params json.RawMessage) (any, error) {
 	var ask control.Ask
 	if err := control.Decode(params, &ask); err != nil {
@@ -114,8 +97,8 @@
 // tellTrusted tells the ingresses of the hosts that a backend server of this one
 // is no longer suspected. One that does not hear it comes back by itself later.
 func (d *daemon) tellTrusted(hosts []string, backendServer string) {
-	current := d.inForce.Load()
-	if current == nil {
+	index, ok := d.declarations.Index()
+	if !ok {
 		return
 	}
 	trusted := control.Trusted{Names: []string{backendServer}}
@@ -124,7 +107,7 @@
 			go d.ingress.Trusted(trusted.Names)
 			continue
 		}
-		if host, ok := current.Index.Host(name); ok {
+		if host, ok := index.Host(name); ok {
 			d.peers.Tell([]fleet.Host{host}, control.MethodTrusted, trusted)
 		}
 	}
@@ -161,11 +144,11 @@
 	if d.config.Settings.Experiments.Off.Has(experiment.Compression) {
 		return false
 	}
-	current := d.inForce.Load()
-	if current == nil {
+	index, ok := d.declarations.Index()
+	if !ok {
 		return true
 	}
-	place, ok := current.Index.DataCentreAt(address)
+	place, ok := index.DataCentreAt(address)
 	return !ok || place != d.config.Settings.DataCentre
 }
 
@@ -173,17 +156,17 @@
 // services that this host's take no more work. One that does not hear it learns
 // it from a refusal.
 func (d *daemon) notifyDraining(ctx context.Context) {
-	current := d.inForce.Load()
-	if current == nil {
+	index, ok := d.declarations.Index()
+	if !ok {
 		return
 	}
-	own := current.Index.OnHost(d.config.Settings.Name)
+	own := index.OnHost(d.config.Settings.Name)
 	var draining control.Draining
 	peers := make(map[string]fleet.Host)
 	for _, placement := range own {
 		draining.Names = append(draining.Names, placement.BackendServer.Name)
 		for _, other := range placement.Service.BackendServers {
-			if host, ok := current.Index.Host(other.Host); ok && host.Name != d.config.Settings.Name {
+			if host, ok := index.Host(other.Host); ok && host.Name != d.config.Settings.Name {
 				peers[host.Name] = host
 			}
 		}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -48,7 +48,6 @@
 	"context"
 	"log/slog"
 	"net/http"
-	"sync"
 	"sync/atomic"
 	"time"
 
@@ -56,6 +55,7 @@
 	"github.com/google/uuid"
 
 	"github.com/tideliftd/tidelift/internal/control"
+	"github.com/tideliftd/tidelift/internal/declaration"
 	"github.com/tideliftd/tidelift/internal/event"
 	"github.com/tideliftd/tidelift/internal/fleet"
 	"github.com/tideliftd/tidelift/internal/gossip"
@@ -66,7 +66,6 @@
 	"github.com/tideliftd/tidelift/internal/member"
 	"github.com/tideliftd/tidelift/internal/membership"
 	"github.com/tideliftd/tidelift/internal/metric"
-	"github.com/tideliftd/tidelift/internal/operator"
 	"github.com/tideliftd/tidelift/internal/operatorapi"
 	"github.com/tideliftd/tidelift/internal/quarantinesync"
 	"github.com/tideliftd/tidelift/internal/record"
@@ -97,51 +96,37 @@
 	Store store.Store
 	// StoredDeclaration reads what the platform's operator writes; it is used if the
 	// settings say that the platform declares.
-	StoredDeclaration StoredDeclaration
+	StoredDeclaration declaration.Stored
 	// Registrations makes the handler for registrations of this host's backend servers.
 	Registrations func(membership.Registrations) http.Handler
 	// ReadyPattern is the pattern under which readiness is asked.
 	ReadyPattern string
 }
 
-// StoredDeclaration reads a declaration that somebody else keeps in the store.
-type StoredDeclaration struct {
-	// Key holds it.
-	Key string
-	// Number reads its revision, Hide takes out what must not be kept, and Parse reads the rest.
-	Number func(data []byte) (int64, error)
-	Hide   func(data []byte) ([]byte, error)
-	Parse  func(data []byte, s settings.Source) (fleet.Declaration, error)
-}
-
 // daemon holds the parts while they run.
 type daemon struct {
-	config           Config
-	metrics          metric.Metrics
-	sidecar          *sidecar.Sidecar
-	ingress          *ingress.Ingress
-	ledger           *revision.Ledger
-	hosts            hostList
-	peers            *control.Client
-	started          time.Time
-	stopping         atomic.Bool
-	taking           sync.Mutex // serialises take and retake; guards declared
-	declared         fleet.Declaration
-	health           *storehealth.Health
-	inForce          atomic.Pointer[operator.InForce]
-	live             atomic.Pointer[settings.Settings] // as the file says now
-	source           source
-	members          *membership.Membership
-	limits           *limits.Limits
-	retries          *retry.Budgets
-	lender           *lend.Lender
-	quarantines      *quarantinesync.Syncer
-	plan             atomic.Pointer[gossip.Plan]
-	heardQuarantines atomic.Bool // another daemon has told which there are
-	cleanUps         []func()
+	config   Config
+	started  time.Time
+	stopping atomic.Bool
+	live     atomic.Pointer[settings.Settings] // as the file says now
+	cleanUps []func()
 
 	certificates *keys.Certificates // nil without mutual TLS
 	tokens       *keys.Tokens       // nil without tokens
+
+	metrics      metric.Metrics
+	health       *storehealth.Health
+	peers        *control.Client
+	budgets      *retry.Budgets
+	members      *membership.Membership
+	quarantines  *quarantinesync.Syncer
+	ledger       *revision.Ledger
+	declarations *declaration.Follower
+	lender       *lend.Lender
+	limits       *limits.Limits
+	runs         *runs.Table
+	sidecar      *sidecar.Sidecar
+	ingress      *ingress.Ingress
 }
 
 // Run runs a daemon until ctx ends and its planned stop is done.
@@ -149,7 +134,6 @@
 	d := &daemon{config: config, started: time.Now()}
 	d.live.Store(&config.Settings)
 	defer d.cleanUp()
-	d.health = storehealth.New(storehealth.Config{Logger: config.Logger})
 	if err := d.build(); err != nil {
 		return err
 	}
@@ -159,7 +143,7 @@
 	}
 	followCtx, stopFollowing := context.WithCancel(context.Background())
 	defer stopFollowing()
-	go d.follow(followCtx)
+	go d.declarations.Run(followCtx)
 	go d.followSettings(followCtx)
 	go d.limits.Run(followCtx)
 	go d.quarantines.Run(followCtx)
@@ -175,74 +159,43 @@
 	}
 }
 
-// build makes the parts in the order in which they need each other.
+// build makes the parts, each after those that it is given. What a part calls of a later one it calls
+// by way of d.
 func (d *daemon) build() error {
-	s := d.config.Settings
 	if err := d.readKeys(); err != nil {
 		return err
 	}
-	metrics, cleanUp := metric.New(metric.Config{DataCentre: s.DataCentre})
-	d.metrics = metrics
-	d.atEnd(cleanUp)
-	d.peers, cleanUp = control.NewClient(control.ClientConfig{
-		TLS: d.clientTLS(), Far: d.isFar, DataCentre: s.DataCentre, Logger: d.config.Logger,
-	})
-	d.atEnd(cleanUp)
-	known := runs.New()
-	d.retries = retry.NewBudgets(retry.Config{Began: d.started, Borrows: true})
-	d.lender = lend.New(lend.Config{
-		Host: s.Name, DataCentre: s.DataCentre, Budgets: d.retries, Hosts: d.declaredHosts,
-		Away: func(host string) bool { return d.ingress.Away(host) }, Call: d.peers.CallHost, Scope: metrics.Scope,
-	})
+	d.buildMetrics()
+	d.health = storehealth.New(storehealth.Config{Logger: d.config.Logger})
+	d.buildPeers()
+	d.budgets = retry.NewBudgets(retry.Config{Began: d.started, Borrows: true})
+	d.buildMembers()
 	d.quarantines = d.newQuarantines()
-	d.sidecar, cleanUp = sidecar.New(sidecar.Config{
-		Host: s.Name, Off: s.Experiments.Off, Logger: d.config.Logger, Scope: metrics.Scope,
-		Answered: func(good bool) { d.ingress.ServerAnswered(good) }, Peer: d.sidecarPeer(), Runs: known, Retries: d.retries, BorrowRetry: d.lender.Borrow, Quarantine: d.quarantines,
-	})
-	d.atEnd(cleanUp)
-	d.limits = limits.New(limits.Config{
-		Host: s.Name, DataCentre: s.DataCentre, Peers: d.peers,
-		Away: func(host string) bool { return d.ingress.Away(host) },
-	})
-	d.ingress, cleanUp = ingress.New(ingress.Config{
-		Host:             s.Name,
-		DataCentre:       s.DataCentre,
-		Service:          s.Service,
-		Off:              s.Experiments.Off,
-		TLS:              d.clientTLS(),
-		HeaderBytes:      s.Limits.HeaderBytes,
-		Logger:           d.config.Logger,
-		Scope:            metrics.Scope,
-		Runs:             known,
-		Retries:          d.retries,
-		BorrowRetry:      d.lender.Borrow,
-		HostsCounted:     func() bool { return d.members.HostsCounted() },
-		Local:            d.sidecar.Do,
-		LocalReservation: d.sidecar.Reserve,
-		Far:              d.isFar,
-		Ping:             d.ping,
-		Silent:           func(host fleet.Host) { d.members.CheckGone(host) },
-		Subrequest:       d.tellSubrequest,
-		AdmitCustomer:    d.limits.Admit,
-		GiveBack:         d.limits.GiveBack,
-	})
-	d.atEnd(cleanUp)
 	d.buildLedger()
-	d.buildMembers()
+	d.buildDeclarations()
+	d.buildLender()
+	d.buildLimits()
+	d.runs = runs.New()
+	d.buildSidecar()
+	d.buildIngress()
 	return nil
 }
 
-// buildLedger makes what brings hosts and revisions here from the platform.
-func (d *daemon) buildLedger() {
-	s := d.config.Settings
-	d.hosts = newHostList(d.config.Store, s.Platform.Prefix)
-	d.ledger = revision.New(revision.Config{
-		Store:    d.config.Store,
-		Prefix:   s.Platform.Prefix,
-		OnError:  d.health.Failed,
-		OnAnswer: d.health.Answered,
+func (d *daemon) buildMetrics() {
+	var cleanUp func()
+	d.metrics, cleanUp = metric.New(metric.Config{DataCentre: d.config.Settings.DataCentre})
+	d.atEnd(cleanUp)
+}
+
+func (d *daemon) buildPeers() {
+	var cleanUp func()
+	d.peers, cleanUp = control.NewClient(control.ClientConfig{
+		TLS:        d.clientTLS(),
+		Far:        d.isFar,
+		DataCentre: d.config.Settings.DataCentre,
+		Logger:     d.config.Logger,
 	})
-	d.source = d.newSource()
+	d.atEnd(cleanUp)
 }
 
 // buildMembers makes the table of hosts, in which this one begins a new incarnation.
@@ -266,15 +219,142 @@
 			FirstStart: s.FirstStart,
 			Health:     d.health,
 			Logger:     d.config.Logger,
-			Unused:     d.retries.Clear,
+			Unused:     d.budgets.Clear,
 		},
-		Plan:     d.plan.Load,
-		Services: d.declaredServices,
-		Reapply:  d.retake,
-		Ask:      d.ask,
+		Plan:     func() *gossip.Plan { return d.declarations.Plan() },
+		Services: func() ([]fleet.Service, bool) { return d.declarations.Services() },
+		Reapply:  func() { d.declarations.Reapply() },
+		Ask:      func(ctx context.Context, address string) bool { return d.declarations.Ask(ctx, address) },
+	})
+}
+
+// registers reports whether hosts and backend servers register themselves.
+func (d *daemon) registers() bool {
+	return d.config.Settings.Source.Declared == settings.DeclaredByPlatform
+}
+
+func (d *daemon) buildLedger() {
+	d.ledger = revision.New(revision.Config{
+		Store:    d.config.Store,
+		Prefix:   d.config.Settings.Platform.Prefix,
+		OnError:  d.health.Failed,
+		OnAnswer: d.health.Answered,
+	})
+}
+
+func (d *daemon) buildDeclarations() {
+	s := d.config.Settings
+	config := declaration.Config{
+		Host:        s.Name,
+		DataCentre:  s.DataCentre,
+		Seeds:       s.Seeds,
+		Registers:   d.registers(),
+		Logger:      d.config.Logger,
+		Health:      d.health,
+		Peers:       d.peers,
+		Away:        d.isAway,
+		Members:     d.members,
+		Quarantines: d.quarantines,
+		Source:      d.source(),
+		Publish:     d.ledger.Publish,
+		Apply:       d.apply,
+	}
+	if !d.registers() {
+		config.WhileWatching = d.followDrainingHosts
+	}
+	d.declarations = declaration.New(config)
+}
+
+// source returns where the settings say that declarations come from.
+func (d *daemon) source() declaration.Source {
+	if d.config.Settings.Source.Declared == settings.DeclaredByOperators {
+		return declaration.FromOperators(d.ledger)
+	}
+	return declaration.FromStore(declaration.StoreConfig{
+		Store:    d.config.Store,
+		Stored:   d.config.StoredDeclaration,
+		Settings: func() settings.Source { return d.live.Load().Source },
+		Health:   d.health,
+		Logger:   d.config.Logger,
 	})
 }
 
+// apply gives what is in force to every part.
+func (d *daemon) apply(index *fleet.Index) {
+	d.sidecar.Reconfigure(index)
+	d.limits.Reconfigure(index.Declaration)
+	d.ingress.Reconfigure(index)
+}
+
+func (d *daemon) buildLender() {
+	d.lender = lend.New(lend.Config{
+		Host:       d.config.Settings.Name,
+		DataCentre: d.config.Settings.DataCentre,
+		Budgets:    d.budgets,
+		Hosts:      d.declarations.Hosts,
+		Away:       d.isAway,
+		Call:       d.peers.CallHost,
+		Scope:      d.metrics.Scope,
+	})
+}
+
+func (d *daemon) buildLimits() {
+	d.limits = limits.New(limits.Config{
+		Host:       d.config.Settings.Name,
+		DataCentre: d.config.Settings.DataCentre,
+		Peers:      d.peers,
+		Away:       d.isAway,
+	})
+}
+
+// isAway reports whether the host of that name does not answer the ingress.
+func (d *daemon) isAway(host string) bool { return d.ingress.Away(host) }
+
+func (d *daemon) buildSidecar() {
+	var cleanUp func()
+	d.sidecar, cleanUp = sidecar.New(sidecar.Config{
+		Host:        d.config.Settings.Name,
+		Off:         d.config.Settings.Experiments.Off,
+		Logger:      d.config.Logger,
+		Scope:       d.metrics.Scope,
+		Answered:    func(good bool) { d.ingress.ServerAnswered(good) },
+		Peer:        d.sidecarPeer(),
+		Runs:        d.runs,
+		Retries:     d.budgets,
+		BorrowRetry: d.lender.Borrow,
+		Quarantine:  d.quarantines,
+	})
+	d.atEnd(cleanUp)
+}
+
+func (d *daemon) buildIngress() {
+	s := d.config.Settings
+	var cleanUp func()
+	d.ingress, cleanUp = ingress.New(ingress.Config{
+		Host:             s.Name,
+		DataCentre:       s.DataCentre,
+		Service:          s.Service,
+		Off:              s.Experiments.Off,
+		TLS:              d.clientTLS(),
+		HeaderBytes:      s.Limits.HeaderBytes,
+		Logger:           d.config.Logger,
+		Scope:            d.metrics.Scope,
+		Runs:             d.runs,
+		Retries:          d.budgets,
+		BorrowRetry:      d.lender.Borrow,
+		HostsCounted:     d.members.HostsCounted,
+		Local:            d.sidecar.Do,
+		LocalReservation: d.sidecar.Reserve,
+		Far:              d.isFar,
+		Ping:             d.ping,
+		Silent:           d.members.CheckGone,
+		Subrequest:       d.tellSubrequest,
+		AdmitCustomer:    d.limits.Admit,
+		GiveBack:         d.limits.GiveBack,
+	})
+	d.atEnd(cleanUp)
+}
+
 // atEnd keeps a function for cleanUp, which calls the last one first.
 func (d *daemon) atEnd(cleanUp func()) { d.cleanUps = append(d.cleanUps, cleanUp) }
 
@@ -295,7 +375,7 @@
 		InFlight:   d.ingress.InFlight(),
 		UptimeMs:   time.Since(d.started).Milliseconds(),
 	}
-	if current := d.inForce.Load(); current != nil {
+	if current, ok := d.declarations.Current(); ok {
 		status.Revision = current.Revision.Number
 		status.Ready = !status.Stopping
 	}
--- a/internal/daemon/hosts.go
+++ b/internal/daemon/hosts.go
@@ -35,14 +35,15 @@
 	}
 }
 
-// followHosts reads the list while this daemon watches the platform, and tells
+// followDrainingHosts reads the list while this daemon watches the platform, and tells
 // the daemon of each host what the list says of it. The list lags, so it is one
 // word among others.
-func (d *daemon) followHosts(ctx context.Context) {
+func (d *daemon) followDrainingHosts(ctx context.Context) {
+	list := newHostList(d.config.Store, d.config.Settings.Platform.Prefix)
 	var told []string
 	for ctx.Err() == nil {
 		wait.For(ctx, listEvery)
-		names, err := d.hosts(ctx)
+		names, err := list(ctx)
 		if err != nil {
 			continue
 		}
@@ -59,11 +60,11 @@
 }
 
 func (d *daemon) notifyHost(ctx context.Context, name string, draining bool) {
-	current := d.inForce.Load()
-	if current == nil {
+	index, ok := d.declarations.Index()
+	if !ok {
 		return
 	}
-	host, ok := current.Index.Host(name)
+	host, ok := index.Host(name)
 	if !ok {
 		return
 	}
--- a/internal/daemon/listen.go
+++ b/internal/daemon/listen.go
@@ -168,9 +168,9 @@
 		DataCentre: d.config.Settings.DataCentre,
 		Ingress:    d.ingress,
 		Status:     d.status,
-		InForce:    d.currentDeclaration,
+		InForce:    d.declarations.Current,
 		Ledger:     d.ledger,
-		Publish:    d.publish,
+		Publish:    d.declarations.Publish,
 		Call:       d.peers.CallHost,
 		Local:      handle,
 	})
--- a/internal/daemon/quarantine.go
+++ b/internal/daemon/quarantine.go
@@ -27,14 +27,8 @@
 
 // watchesQuarantines says whether this daemon follows quarantines in the store: if it watches that anyway, or
 // if no other daemon has told it what there is.
-func (d *daemon) watchesQuarantines() bool { return d.watches() || !d.heardQuarantines.Load() }
-
-// hearQuarantines takes what another daemon answers that was asked.
-func (d *daemon) hearQuarantines(held control.Held) {
-	d.heardQuarantines.Store(true)
-	if len(held.Quarantines) > 0 {
-		d.quarantines.Take(held.Quarantines)
-	}
+func (d *daemon) watchesQuarantines() bool {
+	return d.declarations.Watches() || !d.declarations.PeerAnswered()
 }
 
 // tellQuarantine tells the daemons that keep backend servers of the service what is held against requests. Whoever
@@ -45,7 +39,7 @@
 
 // spreadQuarantine tells a few others, near and far, of a quarantine that has begun or ended.
 func (d *daemon) spreadQuarantine(records []quarantine.Record) {
-	plan := d.plan.Load()
+	plan := d.declarations.Plan()
 	if plan == nil {
 		return // whoever is found later reads it in the store
 	}
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -27,7 +27,7 @@
 		d.config.Level.Set(s.Log.SlogLevel())
 	}
 	if old.Source != s.Source {
-		d.reparse()
+		d.declarations.Reparse()
 	}
 	event.Log(d.config.Logger, event.SettingsTaken, "needs_start", needsStart(*old, s))
 }
--- a/internal/daemon/subrequest.go
+++ b/internal/daemon/subrequest.go
@@ -39,16 +39,16 @@
 // hostsOfService returns the other hosts with a backend server of the service, up to
 // maxServiceTold, from one on that is drawn at random.
 func (d *daemon) hostsOfService(service string) []fleet.Host {
-	current := d.inForce.Load()
-	if current == nil || service == "" {
+	index, ok := d.declarations.Index()
+	if !ok || service == "" {
 		return nil
 	}
-	declared, _ := current.Index.Service(service)
+	declared, _ := index.Service(service)
 	count := len(declared.BackendServers)
 	var hosts []fleet.Host
 	for n, first := 0, rand.IntN(max(1, count)); n < count; n++ {
 		b := declared.BackendServers[(first+n)%count]
-		host, known := current.Index.Host(b.Host)
+		host, known := index.Host(b.Host)
 		told := slices.ContainsFunc(hosts, func(h fleet.Host) bool { return h.Name == b.Host })
 		if known && !told && b.Host != d.config.Settings.Name && len(hosts) < maxServiceTold {
 			hosts = append(hosts, host)
--- a/internal/daemon/gossip_test.go
+++ b/internal/declaration/notice_test.go
@@ -1,4 +1,4 @@
-package daemon
+package declaration
 
 import (
 	"context"
@@ -30,13 +30,15 @@
 		return control.Held{}, nil
 	}})
 	defer cleanUp()
-	d := &daemon{health: storehealth.New(storehealth.Config{}), members: membership.New(membership.Config{
-		Self: member.Host{Name: "csepel-1"}, Registers: true, Logger: slog.New(slog.DiscardHandler), Reapply: func() {},
-	}), quarantines: quarantinesync.New(quarantinesync.Config{Scope: tally.NoopScope})}
-	d.peers, cleanUp = control.NewClient(control.ClientConfig{})
+	peers, cleanUp := control.NewClient(control.ClientConfig{})
 	defer cleanUp()
-	d.members.Learn("", []member.Host{{Name: "csepel-2", Control: listener.Addr().String(), Start: "a", Incarnation: 1, Version: 1}})
-	d.receiveNotice(control.Notice{Host: "csepel-2", Revision: 7})
+	f := New(Config{
+		Health: storehealth.New(storehealth.Config{}), Peers: peers, Members: membership.New(membership.Config{
+			Self: member.Host{Name: "csepel-1"}, Registers: true, Logger: slog.New(slog.DiscardHandler), Reapply: func() {},
+		}), Quarantines: quarantinesync.New(quarantinesync.Config{Scope: tally.NoopScope}),
+	})
+	f.config.Members.Learn("", []member.Host{{Name: "csepel-2", Control: listener.Addr().String(), Start: "a", Incarnation: 1, Version: 1}})
+	f.receiveNotice(control.Notice{Host: "csepel-2", Revision: 7})
 	select {
 	case method := <-asked:
 		if method != control.MethodRevision {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -16,6 +16,7 @@
 	"net/http"
 
 	"github.com/tideliftd/tidelift/internal/control"
+	"github.com/tideliftd/tidelift/internal/declaration"
 	"github.com/tideliftd/tidelift/internal/fleet"
 	"github.com/tideliftd/tidelift/internal/ingress"
 	"github.com/tideliftd/tidelift/internal/operatorapi"
@@ -26,12 +27,6 @@
 	"github.com/tideliftd/tidelift/internal/sidecar"
 )
 
-// InForce is the declaration in force at the daemon.
-type InForce struct {
-	Revision revision.Revision
-	Index    *fleet.Index
-}
-
 // Config says whom the API asks.
 type Config struct {
 	// Host and DataCentre name the daemon.
@@ -41,7 +36,7 @@
 	// Status returns what the daemon says of itself.
 	Status func() operatorapi.Status
 	// InForce returns the declaration in force; false if there is none yet.
-	InForce func() (InForce, bool)
+	InForce func() (declaration.InForce, bool)
 	// Customers returns where the customers near their limit stand, and how many requests of
 	// each were refused here.
 	Customers func() (map[string]quota.Allowance, map[string]int64)
@@ -216,10 +211,10 @@
 	return &operatorapi.RefusedStatusCode{StatusCode: e.Code.Status, Response: refusal}
 }
 
-func (s *server) inForce() (InForce, error) {
+func (s *server) inForce() (declaration.InForce, error) {
 	inForce, ok := s.config.InForce()
 	if !ok {
-		return InForce{}, result.New(result.NotReady)
+		return declaration.InForce{}, result.New(result.NotReady)
 	}
 	return inForce, nil
 }
