--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -137,7 +137,7 @@
 	if err := d.build(); err != nil {
 		return err
 	}
-	listeners, err := d.listen()
+	servers, err := d.listen()
 	if err != nil {
 		return err
 	}
@@ -152,10 +152,10 @@
 		"data_centre", config.Settings.DataCentre, "callers", config.Settings.Listen.Callers, "version", version.Version)
 	select {
 	case <-ctx.Done():
-		return d.stop(listeners)
-	case err := <-listeners.failed:
+		return d.stop(servers)
+	case err := <-servers.Failed():
 		event.Log(config.Logger, event.ServeFailed, "error", err)
-		return errors.Join(err, d.stop(listeners))
+		return errors.Join(err, d.stop(servers))
 	}
 }
 
--- a/internal/daemon/listen.go
+++ b/internal/daemon/listen.go
@@ -1,161 +1,52 @@
 package daemon
 
 import (
-	"log"
-	"log/slog"
-	"net"
 	"net/http"
-	"sync/atomic"
-	"time"
 
 	"github.com/go-faster/errors"
 
 	"github.com/tideliftd/tidelift/internal/control"
-	"github.com/tideliftd/tidelift/internal/framing"
 	"github.com/tideliftd/tidelift/internal/operator"
 	"github.com/tideliftd/tidelift/internal/result"
 	"github.com/tideliftd/tidelift/internal/retryafter"
+	"github.com/tideliftd/tidelift/internal/serve"
 )
 
-const (
-	// peerIdleTimeout is longer than an ingress keeps its idle connections.
-	peerIdleTimeout = 90 * time.Second
-	// peerHeaderTimeout bounds how long a peer may take to send its headers.
-	peerHeaderTimeout = 5 * time.Second
-	// headerSlack is added to the limit on headers, so that the ingress, not
-	// net/http, refuses those just above it and says why.
-	headerSlack = 32 << 10
-)
-
-// listeners are the daemon's servers.
-type listeners struct {
-	callers   *http.Server
-	peers     *http.Server
-	operators *http.Server
-	failed    chan error
-
-	sockets  []net.Listener // of callers and peers
-	refusing atomic.Bool
-	unused   unusedConns // of callers and peers
-}
-
-// refuse takes no new connections; those there are go on. It comes a while
-// before http.Server.Shutdown, since that drops without an answer a request
-// whose head it reads after it has begun.
-func (l *listeners) refuse() {
-	l.refusing.Store(true)
-	closeAll(l.sockets)
-}
-
-// listen opens every listener, or none.
-func (d *daemon) listen() (*listeners, error) {
-	s := d.config.Settings
+// listen opens the listeners and serves every part there.
+func (d *daemon) listen() (*serve.Servers, error) {
 	handle := d.handlers().Handle
 	operators, err := d.operatorHandler(handle)
 	if err != nil {
 		return nil, err
 	}
-	l := d.newListeners(operators)
-	sockets, err := openAll(s.Listen.Callers, s.Listen.Peers, s.Listen.Operators, s.Listen.Control)
+	s := d.config.Settings
+	servers, cleanUp, err := serve.New(serve.Config{
+		Listen:      s.Listen,
+		Limits:      s.Limits,
+		Callers:     d.ingress,
+		Peers:       d.sidecar.Handler(),
+		Operators:   operators,
+		Local:       d.localHandlers(),
+		Control:     handle,
+		DaemonsOnly: d.daemonsOnly,
+		Stopping:    d.stopping.Load,
+		Logger:      d.config.Logger,
+	})
 	if err != nil {
 		return nil, err
 	}
-	if err := d.listenForHost(l); err != nil {
-		closeAll(sockets)
-		return nil, err
-	}
-	l.sockets = sockets[:2]
-	l.serve(l.callers, framing.Listen(sockets[0]))
-	l.serve(l.peers, d.daemonsOnly(sockets[1]))
-	l.serve(l.operators, sockets[2])
-	d.atEnd(control.Serve(control.ServerConfig{Listener: d.daemonsOnly(sockets[3]), Handle: handle}))
-	return l, nil
+	d.atEnd(cleanUp)
+	return servers, nil
 }
 
-// newListeners returns the servers, which do not serve yet.
-func (d *daemon) newListeners(operators http.Handler) *listeners {
-	s := d.config.Settings
-	l := &listeners{
-		operators: &http.Server{Handler: operators, ReadHeaderTimeout: peerHeaderTimeout, ErrorLog: d.errorLog()},
-		failed:    make(chan error, 5),
-	}
-	l.callers = &http.Server{
-		Handler:           d.closeWhenStopping(d.ingress),
-		ReadHeaderTimeout: s.Limits.HeaderTimeout,
-		IdleTimeout:       s.Limits.IdleTimeout,
-		MaxHeaderBytes:    s.Limits.HeaderBytes + headerSlack,
-		ErrorLog:          d.errorLog(),
-		ConnContext:       framing.ConnContext,
-		ConnState: func(c net.Conn, state http.ConnState) {
-			framing.ConnState(c, state)
-			l.unused.track(c, state)
-		},
-	}
-	l.peers = &http.Server{
-		Handler:           d.closeWhenStopping(d.sidecar.Handler()),
-		ReadHeaderTimeout: peerHeaderTimeout,
-		IdleTimeout:       peerIdleTimeout,
-		MaxHeaderBytes:    s.Limits.HeaderBytes + 2*headerSlack,
-		ErrorLog:          d.errorLog(),
-		ConnState:         l.unused.track,
+// localHandlers returns what answers this host's own programs and its platform, by address.
+func (d *daemon) localHandlers() map[string]http.Handler {
+	ready := http.NewServeMux()
+	ready.HandleFunc(d.config.ReadyPattern, d.serveReady)
+	return map[string]http.Handler{
+		d.config.Settings.Listen.Registrations: d.config.Registrations(d.members.Registrations()),
+		d.config.Settings.Listen.Ready:         ready,
 	}
-	return l
-}
-
-// errorLog takes what net/http has to say into the daemon's log, which is bounded.
-func (d *daemon) errorLog() *log.Logger {
-	return slog.NewLogLogger(d.config.Logger.Handler(), slog.LevelWarn)
-}
-
-// listenForHost opens what only this host's own programs and its platform call.
-func (d *daemon) listenForHost(l *listeners) error {
-	s := d.config.Settings.Listen
-	mux := http.NewServeMux()
-	mux.HandleFunc(d.config.ReadyPattern, d.serveReady)
-	handlers := map[string]http.Handler{s.Registrations: d.config.Registrations(d.members.Registrations()), s.Ready: mux}
-	for address, handler := range handlers {
-		if address == "" {
-			continue
-		}
-		sockets, err := openAll(address)
-		if err != nil {
-			return err
-		}
-		server := &http.Server{Handler: handler, ReadHeaderTimeout: peerHeaderTimeout, ErrorLog: d.errorLog()}
-		l.serve(server, sockets[0])
-		d.atEnd(func() { _ = server.Close() })
-	}
-	return nil
-}
-
-// openAll opens a listener at each address, or none.
-func openAll(addresses ...string) ([]net.Listener, error) {
-	var sockets []net.Listener
-	for _, address := range addresses {
-		socket, err := net.Listen("tcp", address)
-		if err != nil {
-			closeAll(sockets)
-			return nil, errors.Wrapf(err, "listen on %s", address)
-		}
-		sockets = append(sockets, socket)
-	}
-	return sockets, nil
-}
-
-func closeAll(sockets []net.Listener) {
-	for _, socket := range sockets {
-		_ = socket.Close()
-	}
-}
-
-// serve serves the socket; a failure that is not the stop ends the daemon.
-func (l *listeners) serve(server *http.Server, socket net.Listener) {
-	go func() {
-		err := server.Serve(socket)
-		if !errors.Is(err, http.ErrServerClosed) && !l.refusing.Load() {
-			l.failed <- errors.Wrapf(err, "serve %s", socket.Addr())
-		}
-	}()
 }
 
 // operatorHandler serves the operator API, the metrics and the readiness page.
--- a/internal/daemon/stop.go
+++ b/internal/daemon/stop.go
@@ -2,12 +2,10 @@
 
 import (
 	"context"
-	"net/http"
 	"time"
 
-	"github.com/go-faster/errors"
-
 	"github.com/tideliftd/tidelift/internal/event"
+	"github.com/tideliftd/tidelift/internal/serve"
 	"github.com/tideliftd/tidelift/internal/wait"
 )
 
@@ -25,7 +23,7 @@
 // stop ends the daemon: it says that it is not ready and serves on for a while, then
 // ends callers first, then peers, then operators, each after finishing what it has
 // begun. Callers that still wait shortly before the limit get a last answer then.
-func (d *daemon) stop(l *listeners) error {
+func (d *daemon) stop(servers *serve.Servers) error {
 	event.Log(d.config.Logger, event.DaemonStopping, "in_flight", d.ingress.InFlight())
 	d.stopping.Store(true)
 	d.ingress.Settle()
@@ -36,15 +34,11 @@
 	lastAnswers := time.AfterFunc(limits.Stop-limits.Stop/lastAnswersPart, d.ingress.AnswerAll)
 	defer lastAnswers.Stop()
 	wait.For(ctx, limits.Unready)
-	d.takeNoMore(l)
+	d.takeNoMore(servers)
 	d.settle(ctx)
-	l.unused.close()
+	servers.CloseUnused()
 	d.ingress.Stop()
-	err := errors.Join(
-		shutDown(ctx, l.callers, "callers"),
-		shutDown(ctx, l.peers, "peers"),
-		shutDown(ctx, l.operators, "operators"),
-	)
+	err := servers.Stop(ctx)
 	if err != nil {
 		event.Log(d.config.Logger, event.StopCut, "in_flight", d.ingress.InFlight(), "error", err)
 		return err
@@ -55,10 +49,10 @@
 
 // takeNoMore tells the others, refuses work for the own backend servers and takes no
 // new connections.
-func (d *daemon) takeNoMore(l *listeners) {
+func (d *daemon) takeNoMore(servers *serve.Servers) {
 	d.members.Stop()
 	d.sidecar.Stop()
-	l.refuse()
+	servers.Refuse()
 }
 
 // settle lets callers and peers learn of the stop while their connections are
@@ -71,17 +65,6 @@
 	<-settling.Done()
 }
 
-// closeWhenStopping asks the other side to close its connection once the daemon
-// is stopping.
-func (d *daemon) closeWhenStopping(handler http.Handler) http.Handler {
-	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if d.stopping.Load() {
-			w.Header().Set("Connection", "close")
-		}
-		handler.ServeHTTP(w, r)
-	})
-}
-
 // forceStop ends the planned stop at once when it is told to.
 func (d *daemon) forceStop(cancel func()) {
 	if d.config.Force == nil {
@@ -90,13 +73,3 @@
 	<-d.config.Force
 	cancel()
 }
-
-// shutDown ends a server once it has finished what it has begun, or cuts that when
-// ctx ends.
-func shutDown(ctx context.Context, server *http.Server, name string) error {
-	if err := server.Shutdown(ctx); err != nil {
-		_ = server.Close()
-		return errors.Wrapf(err, "stop serving %s", name)
-	}
-	return nil
-}
--- a/internal/daemon/unused.go
+++ b/internal/serve/unused.go
@@ -1,4 +1,4 @@
-package daemon
+package serve
 
 import (
 	"maps"
@@ -33,16 +33,16 @@
 // close closes those that there are now. Whoever sends a first request meanwhile sees that
 // nothing of it was read.
 func (u *unusedConns) close() {
-	for _, c := range u.take() {
+	for _, c := range u.removeAll() {
 		_ = c.Close() // which may take a moment with TLS, so that nobody waits for it here
 	}
 }
 
-// take returns those that there are now and forgets them.
-func (u *unusedConns) take() []net.Conn {
+// removeAll returns those that there are now and forgets them.
+func (u *unusedConns) removeAll() []net.Conn {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	taken := slices.Collect(maps.Keys(u.conns))
+	removed := slices.Collect(maps.Keys(u.conns))
 	clear(u.conns)
-	return taken
+	return removed
 }
