--- a/internal/cli/daemon.go
+++ b/internal/cli/daemon.go
@@ -16,8 +16,10 @@
 	"github.com/urfave/cli/v3"
 
 	"github.com/tideliftd/tidelift/internal/daemon"
+	"github.com/tideliftd/tidelift/internal/declaration"
 	"github.com/tideliftd/tidelift/internal/fleet"
 	"github.com/tideliftd/tidelift/internal/logline"
+	"github.com/tideliftd/tidelift/internal/membership"
 	"github.com/tideliftd/tidelift/internal/settings"
 	"github.com/tideliftd/tidelift/internal/store"
 	"github.com/tideliftd/tidelift/internal/version"
@@ -119,8 +121,8 @@
 }
 
 // newStoredDeclaration reads the declaration that the platform's operator writes.
-func newStoredDeclaration() daemon.StoredDeclaration {
-	return daemon.StoredDeclaration{
+func newStoredDeclaration() declaration.Stored {
+	return declaration.Stored{
 		Key:    platform.DesiredKey,
 		Number: platform.DesiredVersion,
 		Hide:   platform.HideKeys,
@@ -136,7 +138,7 @@
 }
 
 // newRegistrations returns the handler for the registrations of the platform's format.
-func newRegistrations(c daemon.Registrations) http.Handler {
+func newRegistrations(c membership.Registrations) http.Handler {
 	return platform.NewCheckIns(platform.CheckInsConfig{CheckIn: c.Register, Leave: c.Leave, OnError: c.OnError})
 }
 
--- a/internal/daemon/calls.go
+++ b/internal/daemon/calls.go
@@ -6,66 +6,46 @@
 	"sync"
 
 	"github.com/tideliftd/tidelift/internal/control"
-	"github.com/tideliftd/tidelift/internal/event"
 	"github.com/tideliftd/tidelift/internal/experiment"
 	"github.com/tideliftd/tidelift/internal/fleet"
 	"github.com/tideliftd/tidelift/internal/floor"
-	"github.com/tideliftd/tidelift/internal/result"
 	"github.com/tideliftd/tidelift/internal/sidecar"
 )
 
-// handleControl answers a control call.
-func (d *daemon) handleControl(ctx context.Context, method control.Method, params json.RawMessage) (any, error) {
-	switch method {
-	case control.MethodReport:
-		return d.callReport(params)
-	case control.MethodDrain:
-		return d.callDrain(params)
-	case control.MethodDraining:
-		return d.callDraining(params)
-	case control.MethodPing:
-		return done{}, nil
-	case control.MethodTrusted:
-		return d.callTrusted(params)
-	case control.MethodSubrequest:
-		return d.callSubrequest(params)
-	case control.MethodHost:
-		return d.callHost(params)
-	case control.MethodNotice:
-		return d.callNotice(params)
-	case control.MethodTold:
-		return d.callTold(params)
-	case control.MethodRevision:
-		return d.callRevision(params)
-	case control.MethodQuarantine:
-		return d.callQuarantine(params)
-	case control.MethodLend:
-		return d.callLend(params)
-	case control.MethodCounted:
-		return d.callCounted(ctx, params)
-	case control.MethodAsk:
-		return d.callAsk(params)
-	case control.MethodRelease:
-		return d.callRelease(params)
-	default:
-		return nil, result.New(result.MalformedCall).WithDetail("no method %q", method)
-	}
-}
-
-// done answers a call that has nothing to say.
-type done struct{}
-
-func (d *daemon) callReport(params json.RawMessage) (any, error) {
+// handlers returns who answers each control call.
+func (d *daemon) handlers() control.Handlers {
+	return control.Handlers{
+		control.MethodReport:     d.callReport,
+		control.MethodDrain:      d.callDrain,
+		control.MethodDraining:   d.callDraining,
+		control.MethodPing:       d.callPing,
+		control.MethodTrusted:    d.callTrusted,
+		control.MethodSubrequest: d.callSubrequest,
+		control.MethodHost:       d.callHost,
+		control.MethodNotice:     d.declarations.HandleNotice,
+		control.MethodTold:       d.members.HandleTold,
+		control.MethodRevision:   d.declarations.HandleRevision,
+		control.MethodQuarantine: d.callQuarantine,
+		control.MethodLend:       d.lender.HandleLend,
+		control.MethodCounted:    d.limits.HandleCounted,
+		control.MethodAsk:        d.callAsk,
+		control.MethodRelease:    d.callRelease,
+	}
+}
+
+func (d *daemon) callPing(context.Context, json.RawMessage) (any, error) { return control.Done{}, nil }
+
+func (d *daemon) callReport(_ context.Context, params json.RawMessage) (any, error) {
 	var name control.Name
-	if err := decode(params, &name); err != nil {
+	if err := control.Decode(params, &name); err != nil {
 		return nil, err
 	}
 	return d.sidecar.Report(name.Name)
 }
 
-func (d *daemon) callDrain(params json.RawMessage) (any, error) {
+func (d *daemon) callDrain(_ context.Context, params json.RawMessage) (any, error) {
 	var drain control.Drain
-	if err := decode(params, &drain); err != nil {
+	if err := control.Decode(params, &drain); err != nil {
 		return nil, err
 	}
 	if err := d.sidecar.Drain(drain.Name, drain.Draining); err != nil {
@@ -74,76 +54,38 @@
 	return d.sidecar.Report(drain.Name)
 }
 
-func (d *daemon) callDraining(params json.RawMessage) (any, error) {
+func (d *daemon) callDraining(_ context.Context, params json.RawMessage) (any, error) {
 	var draining control.Draining
-	if err := decode(params, &draining); err != nil {
+	if err := control.Decode(params, &draining); err != nil {
 		return nil, err
 	}
 	d.ingress.Draining(draining.Names)
-	return done{}, nil
+	return control.Done{}, nil
 }
 
-func (d *daemon) callTrusted(params json.RawMessage) (any, error) {
+func (d *daemon) callTrusted(_ context.Context, params json.RawMessage) (any, error) {
 	var trusted control.Trusted
-	if err := decode(params, &trusted); err != nil {
+	if err := control.Decode(params, &trusted); err != nil {
 		return nil, err
 	}
 	d.ingress.Trusted(trusted.Names)
-	return done{}, nil
-}
-
-func (d *daemon) callNotice(params json.RawMessage) (any, error) {
-	var notice control.Notice
-	if err := decode(params, &notice); err != nil {
-		return nil, err
-	}
-	d.receiveNotice(notice)
-	return done{}, nil
-}
-
-func (d *daemon) callTold(params json.RawMessage) (any, error) {
-	var told control.Told
-	if err := decode(params, &told); err != nil {
-		return nil, err
-	}
-	d.learn(told.Host, told.Hosts)
-	var rest control.Rest
-	if told.Digest != nil {
-		rest.Hosts = d.members.missing(told.Digest)
-	}
-	return rest, nil
-}
-
-func (d *daemon) callRevision(params json.RawMessage) (any, error) {
-	var above control.Above
-	if err := decode(params, &above); err != nil {
-		return nil, err
-	}
-	return d.held(above), nil
+	return control.Done{}, nil
 }
 
-func (d *daemon) callAsk(params json.RawMessage) (any, error) {
+func (d *daemon) callAsk(_ context.Context, params json.RawMessage) (any, error) {
 	var ask control.Ask
-	if err := decode(params, &ask); err != nil {
+	if err := control.Decode(params, &ask); err != nil {
 		return nil, err
 	}
 	return d.sidecar.Ask(ask.Name, ask.Request)
 }
 
-func (d *daemon) callRelease(params json.RawMessage) (any, error) {
+func (d *daemon) callRelease(_ context.Context, params json.RawMessage) (any, error) {
 	var release control.Release
-	if err := decode(params, &release); err != nil {
+	if err := control.Decode(params, &release); err != nil {
 		return nil, err
 	}
-	return done{}, d.sidecar.Release(release.Name, release.Release)
-}
-
-// decode reads the parameter of a call.
-func decode(params json.RawMessage, into any) error {
-	if err := json.Unmarshal(params, into); err != nil {
-		return result.Wrap(result.MalformedCall, err)
-	}
-	return nil
+	return control.Done{}, d.sidecar.Release(release.Name, release.Release)
 }
 
 // sidecarPeer carries the floor's calls, without a connection where the other
@@ -155,8 +97,8 @@
 // tellTrusted tells the ingresses of the hosts that a backend server of this one
 // is no longer suspected. One that does not hear it comes back by itself later.
 func (d *daemon) tellTrusted(hosts []string, backendServer string) {
-	current := d.inForce.Load()
-	if current == nil {
+	index, ok := d.declarations.Index()
+	if !ok {
 		return
 	}
 	trusted := control.Trusted{Names: []string{backendServer}}
@@ -165,31 +107,15 @@
 			go d.ingress.Trusted(trusted.Names)
 			continue
 		}
-		if host, ok := current.Index.Host(name); ok {
-			go d.callPeer(d.controlOf(host), control.MethodTrusted, trusted)
+		if host, ok := index.Host(name); ok {
+			d.peers.Tell([]fleet.Host{host}, control.MethodTrusted, trusted)
 		}
 	}
 }
 
 // ping asks another host's daemon for any answer.
 func (d *daemon) ping(ctx context.Context, host fleet.Host) error {
-	return d.peers.Call(ctx, d.controlOf(host), control.MethodPing, done{}, nil)
-}
-
-// tellEach makes a call whose answer says nothing to each of the hosts, and waits for none.
-func (d *daemon) tellEach(hosts []fleet.Host, method control.Method, params any) {
-	for _, host := range hosts {
-		go d.callPeer(d.controlOf(host), method, params)
-	}
-}
-
-// callPeer makes a call whose answer says nothing.
-func (d *daemon) callPeer(address string, method control.Method, params any) {
-	ctx, cancel := context.WithTimeout(context.Background(), peerTimeout)
-	defer cancel()
-	if err := d.peers.Call(ctx, address, method, params, nil); err != nil {
-		event.Log(d.config.Logger, event.PeerSilent, "address", address, "call", method, "error", err)
-	}
+	return d.peers.CallHost(ctx, host, control.MethodPing, control.Done{}, nil)
 }
 
 // askPeer asks another backend server for a lease.
@@ -199,7 +125,7 @@
 		return d.sidecar.Ask(name, r)
 	}
 	var lease sidecar.LeaseAnswer
-	err := d.peers.Call(ctx, d.controlOf(other.Host), control.MethodAsk, control.Ask{Name: name, Request: r}, &lease)
+	err := d.peers.CallHost(ctx, other.Host, control.MethodAsk, control.Ask{Name: name, Request: r}, &lease)
 	return lease, err
 }
 
@@ -209,7 +135,7 @@
 	if other.Host.Name == d.config.Settings.Name {
 		return d.sidecar.Release(name, r)
 	}
-	return d.peers.Call(ctx, d.controlOf(other.Host), control.MethodRelease, control.Release{Name: name, Release: r}, nil)
+	return d.peers.CallHost(ctx, other.Host, control.MethodRelease, control.Release{Name: name, Release: r}, nil)
 }
 
 // isFar says whether the address is outside this data centre, or may be: nothing is known of
@@ -218,41 +144,36 @@
 	if d.config.Settings.Experiments.Off.Has(experiment.Compression) {
 		return false
 	}
-	current := d.inForce.Load()
-	if current == nil {
+	index, ok := d.declarations.Index()
+	if !ok {
 		return true
 	}
-	place, ok := current.Index.DataCentreAt(address)
+	place, ok := index.DataCentreAt(address)
 	return !ok || place != d.config.Settings.DataCentre
 }
 
-// controlOf returns where the host takes control calls from this data centre.
-func (d *daemon) controlOf(host fleet.Host) string {
-	return host.ControlFrom(d.config.Settings.DataCentre)
-}
-
 // notifyDraining tells the daemons that keep other backend servers of the same
 // services that this host's take no more work. One that does not hear it learns
 // it from a refusal.
 func (d *daemon) notifyDraining(ctx context.Context) {
-	current := d.inForce.Load()
-	if current == nil {
+	index, ok := d.declarations.Index()
+	if !ok {
 		return
 	}
-	own := current.Index.OnHost(d.config.Settings.Name)
+	own := index.OnHost(d.config.Settings.Name)
 	var draining control.Draining
 	peers := make(map[string]fleet.Host)
 	for _, placement := range own {
 		draining.Names = append(draining.Names, placement.BackendServer.Name)
 		for _, other := range placement.Service.BackendServers {
-			if host, ok := current.Index.Host(other.Host); ok && host.Name != d.config.Settings.Name {
+			if host, ok := index.Host(other.Host); ok && host.Name != d.config.Settings.Name {
 				peers[host.Name] = host
 			}
 		}
 	}
 	var wg sync.WaitGroup
 	for _, peer := range peers {
-		wg.Go(func() { _ = d.peers.Call(ctx, d.controlOf(peer), control.MethodDraining, draining, nil) })
+		wg.Go(func() { _ = d.peers.CallHost(ctx, peer, control.MethodDraining, draining, nil) })
 	}
 	wg.Wait()
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -48,7 +48,6 @@
 	"context"
 	"log/slog"
 	"net/http"
-	"sync"
 	"sync/atomic"
 	"time"
 
@@ -56,23 +55,27 @@
 	"github.com/google/uuid"
 
 	"github.com/tideliftd/tidelift/internal/control"
+	"github.com/tideliftd/tidelift/internal/declaration"
 	"github.com/tideliftd/tidelift/internal/event"
 	"github.com/tideliftd/tidelift/internal/fleet"
 	"github.com/tideliftd/tidelift/internal/gossip"
 	"github.com/tideliftd/tidelift/internal/ingress"
 	"github.com/tideliftd/tidelift/internal/keys"
+	"github.com/tideliftd/tidelift/internal/lend"
+	"github.com/tideliftd/tidelift/internal/limits"
 	"github.com/tideliftd/tidelift/internal/member"
+	"github.com/tideliftd/tidelift/internal/membership"
 	"github.com/tideliftd/tidelift/internal/metric"
-	"github.com/tideliftd/tidelift/internal/operator"
 	"github.com/tideliftd/tidelift/internal/operatorapi"
 	"github.com/tideliftd/tidelift/internal/quarantinesync"
-	"github.com/tideliftd/tidelift/internal/registry"
+	"github.com/tideliftd/tidelift/internal/record"
 	"github.com/tideliftd/tidelift/internal/retry"
 	"github.com/tideliftd/tidelift/internal/revision"
 	"github.com/tideliftd/tidelift/internal/runs"
 	"github.com/tideliftd/tidelift/internal/settings"
 	"github.com/tideliftd/tidelift/internal/sidecar"
 	"github.com/tideliftd/tidelift/internal/store"
+	"github.com/tideliftd/tidelift/internal/storehealth"
 	"github.com/tideliftd/tidelift/internal/version"
 )
 
@@ -93,123 +96,240 @@
 	Store store.Store
 	// StoredDeclaration reads what the platform's operator writes; it is used if the
 	// settings say that the platform declares.
-	StoredDeclaration StoredDeclaration
+	StoredDeclaration declaration.Stored
 	// Registrations makes the handler for registrations of this host's backend servers.
-	Registrations func(Registrations) http.Handler
+	Registrations func(membership.Registrations) http.Handler
 	// ReadyPattern is the pattern under which readiness is asked.
 	ReadyPattern string
 }
 
-// StoredDeclaration reads a declaration that somebody else keeps in the store.
-type StoredDeclaration struct {
-	// Key holds it.
-	Key string
-	// Number reads its revision, Hide takes out what must not be kept, and Parse reads the rest.
-	Number func(data []byte) (int64, error)
-	Hide   func(data []byte) ([]byte, error)
-	Parse  func(data []byte, s settings.Source) (fleet.Declaration, error)
-}
-
-// Registrations takes what backend servers of this host say of themselves. Each
-// returns once that is in force here.
-type Registrations struct {
-	Register func(registry.Registration) error
-	Leave    func(name string)
-	OnError  func(error)
-}
-
 // daemon holds the parts while they run.
 type daemon struct {
-	config           Config
-	metrics          metric.Metrics
-	sidecar          *sidecar.Sidecar
-	ingress          *ingress.Ingress
-	ledger           *revision.Ledger
-	hosts            hostList
-	peers            *control.Client
-	started          time.Time
-	stopping         atomic.Bool
-	taking           sync.Mutex // serialises take and retake; guards declared
-	declared         fleet.Declaration
-	platform         atomic.Pointer[platformState]
-	inForce          atomic.Pointer[operator.InForce]
-	live             atomic.Pointer[settings.Settings] // as the file says now
-	source           source
-	members          *members
-	limits           *limits
-	retries          *retry.Budgets
-	lending          lending
-	quarantines      *quarantinesync.Syncer
-	updates          chan update
-	plan             atomic.Pointer[gossip.Plan]
-	watching         atomic.Bool
-	counted          atomic.Bool   // the store has listed the hosts once this daemon had been there for a while
-	recorded         atomic.Int64  // when the store last took or renewed this host's record, in Unix nanoseconds
-	followsRecord    atomic.Bool   // the store has had a record of this host before the one that is written
-	heardQuarantines atomic.Bool   // another daemon has told which there are
-	joined           chan struct{} // closed once a daemon that registers itself has joined the others
-	lastSeen         atomic.Int64  // when the platform was last known to answer, in Unix nanoseconds
-	cleanUps         []func()
+	config   Config
+	started  time.Time
+	stopping atomic.Bool
+	live     atomic.Pointer[settings.Settings] // as the file says now
+	cleanUps []func()
 
 	certificates *keys.Certificates // nil without mutual TLS
 	tokens       *keys.Tokens       // nil without tokens
+
+	metrics      metric.Metrics
+	health       *storehealth.Health
+	peers        *control.Client
+	budgets      *retry.Budgets
+	members      *membership.Membership
+	quarantines  *quarantinesync.Syncer
+	ledger       *revision.Ledger
+	declarations *declaration.Follower
+	lender       *lend.Lender
+	limits       *limits.Limits
+	runs         *runs.Table
+	sidecar      *sidecar.Sidecar
+	ingress      *ingress.Ingress
 }
 
 // Run runs a daemon until ctx ends and its planned stop is done.
 func Run(ctx context.Context, config Config) error {
-	d := &daemon{config: config, started: time.Now(), updates: make(chan update, updatesWaiting), joined: make(chan struct{})}
+	d := &daemon{config: config, started: time.Now()}
 	d.live.Store(&config.Settings)
 	defer d.cleanUp()
-	d.setPlatform(platformUnknown)
 	if err := d.build(); err != nil {
 		return err
 	}
-	listeners, err := d.listen()
+	servers, err := d.listen()
 	if err != nil {
 		return err
 	}
 	followCtx, stopFollowing := context.WithCancel(context.Background())
 	defer stopFollowing()
-	go d.follow(followCtx)
+	go d.declarations.Run(followCtx)
 	go d.followSettings(followCtx)
-	go d.limits.run(followCtx)
+	go d.limits.Run(followCtx)
 	go d.quarantines.Run(followCtx)
-	go d.claimFirstStart(followCtx)
-	if d.registers() {
-		go d.join(followCtx)
-	}
+	go d.members.Run(followCtx)
 	event.Log(config.Logger, event.DaemonStarted,
 		"data_centre", config.Settings.DataCentre, "callers", config.Settings.Listen.Callers, "version", version.Version)
 	select {
 	case <-ctx.Done():
-		return d.stop(listeners)
-	case err := <-listeners.failed:
+		return d.stop(servers)
+	case err := <-servers.Failed():
 		event.Log(config.Logger, event.ServeFailed, "error", err)
-		return errors.Join(err, d.stop(listeners))
+		return errors.Join(err, d.stop(servers))
 	}
 }
 
-// build makes the parts in the order in which they need each other.
+// build makes the parts, each after those that it is given. What a part calls of a later one it calls
+// by way of d.
 func (d *daemon) build() error {
-	s := d.config.Settings
 	if err := d.readKeys(); err != nil {
 		return err
 	}
-	metrics, cleanUp := metric.New(metric.Config{DataCentre: s.DataCentre})
-	d.metrics = metrics
+	d.buildMetrics()
+	d.health = storehealth.New(storehealth.Config{Logger: d.config.Logger})
+	d.buildPeers()
+	d.budgets = retry.NewBudgets(retry.Config{Began: d.started, Borrows: true})
+	d.buildMembers()
+	d.quarantines = d.newQuarantines()
+	d.buildLedger()
+	d.buildDeclarations()
+	d.buildLender()
+	d.buildLimits()
+	d.runs = runs.New()
+	d.buildSidecar()
+	d.buildIngress()
+	return nil
+}
+
+func (d *daemon) buildMetrics() {
+	var cleanUp func()
+	d.metrics, cleanUp = metric.New(metric.Config{DataCentre: d.config.Settings.DataCentre})
 	d.atEnd(cleanUp)
-	d.peers, cleanUp = control.NewClient(control.ClientConfig{TLS: d.clientTLS(), Far: d.isFar})
+}
+
+func (d *daemon) buildPeers() {
+	var cleanUp func()
+	d.peers, cleanUp = control.NewClient(control.ClientConfig{
+		TLS:        d.clientTLS(),
+		Far:        d.isFar,
+		DataCentre: d.config.Settings.DataCentre,
+		Logger:     d.config.Logger,
+	})
 	d.atEnd(cleanUp)
-	known := runs.New()
-	d.retries = retry.NewBudgets(retry.Config{Began: d.started, Borrows: true})
-	d.lending = newLending(metrics.Scope)
-	d.quarantines = d.newQuarantines()
+}
+
+// buildMembers makes the table of hosts, in which this one begins a new incarnation.
+func (d *daemon) buildMembers() {
+	s := d.config.Settings
+	d.members = membership.New(membership.Config{
+		Self: member.Host{
+			Name:       s.Name,
+			DataCentre: s.DataCentre,
+			Peers:      s.Listen.Peers,
+			Control:    s.Listen.Control,
+			Start:      uuid.NewString(),
+		},
+		Registers: d.registers(),
+		Logger:    d.config.Logger,
+		Peers:     d.peers,
+		Record: record.Config{
+			Host:       s.Name,
+			Store:      d.config.Store,
+			Prefix:     s.Platform.Prefix,
+			FirstStart: s.FirstStart,
+			Health:     d.health,
+			Logger:     d.config.Logger,
+			Unused:     d.budgets.Clear,
+		},
+		Plan:     func() *gossip.Plan { return d.declarations.Plan() },
+		Services: func() ([]fleet.Service, bool) { return d.declarations.Services() },
+		Reapply:  func() { d.declarations.Reapply() },
+		Ask:      func(ctx context.Context, address string) bool { return d.declarations.Ask(ctx, address) },
+	})
+}
+
+// registers reports whether hosts and backend servers register themselves.
+func (d *daemon) registers() bool {
+	return d.config.Settings.Source.Declared == settings.DeclaredByPlatform
+}
+
+func (d *daemon) buildLedger() {
+	d.ledger = revision.New(revision.Config{
+		Store:    d.config.Store,
+		Prefix:   d.config.Settings.Platform.Prefix,
+		OnError:  d.health.Failed,
+		OnAnswer: d.health.Answered,
+	})
+}
+
+func (d *daemon) buildDeclarations() {
+	s := d.config.Settings
+	config := declaration.Config{
+		Host:        s.Name,
+		DataCentre:  s.DataCentre,
+		Seeds:       s.Seeds,
+		Registers:   d.registers(),
+		Logger:      d.config.Logger,
+		Health:      d.health,
+		Peers:       d.peers,
+		Away:        d.isAway,
+		Members:     d.members,
+		Quarantines: d.quarantines,
+		Source:      d.source(),
+		Publish:     d.ledger.Publish,
+		Apply:       d.apply,
+	}
+	if !d.registers() {
+		config.WhileWatching = d.followDrainingHosts
+	}
+	d.declarations = declaration.New(config)
+}
+
+// source returns where the settings say that declarations come from.
+func (d *daemon) source() declaration.Source {
+	if d.config.Settings.Source.Declared == settings.DeclaredByOperators {
+		return declaration.FromOperators(d.ledger)
+	}
+	return declaration.FromStore(declaration.StoreConfig{
+		Store:    d.config.Store,
+		Stored:   d.config.StoredDeclaration,
+		Settings: func() settings.Source { return d.live.Load().Source },
+		Health:   d.health,
+		Logger:   d.config.Logger,
+	})
+}
+
+// apply gives what is in force to every part.
+func (d *daemon) apply(index *fleet.Index) {
+	d.sidecar.Reconfigure(index)
+	d.limits.Reconfigure(index.Declaration)
+	d.ingress.Reconfigure(index)
+}
+
+func (d *daemon) buildLender() {
+	d.lender = lend.New(lend.Config{
+		Host:       d.config.Settings.Name,
+		DataCentre: d.config.Settings.DataCentre,
+		Budgets:    d.budgets,
+		Hosts:      d.declarations.Hosts,
+		Away:       d.isAway,
+		Call:       d.peers.CallHost,
+		Scope:      d.metrics.Scope,
+	})
+}
+
+func (d *daemon) buildLimits() {
+	d.limits = limits.New(limits.Config{
+		Host:       d.config.Settings.Name,
+		DataCentre: d.config.Settings.DataCentre,
+		Peers:      d.peers,
+		Away:       d.isAway,
+	})
+}
+
+// isAway reports whether the host of that name does not answer the ingress.
+func (d *daemon) isAway(host string) bool { return d.ingress.Away(host) }
+
+func (d *daemon) buildSidecar() {
+	var cleanUp func()
 	d.sidecar, cleanUp = sidecar.New(sidecar.Config{
-		Host: s.Name, Off: s.Experiments.Off, Logger: d.config.Logger, Scope: metrics.Scope,
-		Answered: func(good bool) { d.ingress.ServerAnswered(good) }, Peer: d.sidecarPeer(), Runs: known, Retries: d.retries, BorrowRetry: d.borrow, Quarantine: d.quarantines,
+		Host:        d.config.Settings.Name,
+		Off:         d.config.Settings.Experiments.Off,
+		Logger:      d.config.Logger,
+		Scope:       d.metrics.Scope,
+		Answered:    func(good bool) { d.ingress.ServerAnswered(good) },
+		Peer:        d.sidecarPeer(),
+		Runs:        d.runs,
+		Retries:     d.budgets,
+		BorrowRetry: d.lender.Borrow,
+		Quarantine:  d.quarantines,
 	})
 	d.atEnd(cleanUp)
-	d.limits = newLimits(d)
+}
+
+func (d *daemon) buildIngress() {
+	s := d.config.Settings
+	var cleanUp func()
 	d.ingress, cleanUp = ingress.New(ingress.Config{
 		Host:             s.Name,
 		DataCentre:       s.DataCentre,
@@ -218,49 +338,21 @@
 		TLS:              d.clientTLS(),
 		HeaderBytes:      s.Limits.HeaderBytes,
 		Logger:           d.config.Logger,
-		Scope:            metrics.Scope,
-		Runs:             known,
-		Retries:          d.retries,
-		BorrowRetry:      d.borrow,
-		HostsCounted:     d.hostsCounted,
+		Scope:            d.metrics.Scope,
+		Runs:             d.runs,
+		Retries:          d.budgets,
+		BorrowRetry:      d.lender.Borrow,
+		HostsCounted:     d.members.HostsCounted,
 		Local:            d.sidecar.Do,
 		LocalReservation: d.sidecar.Reserve,
 		Far:              d.isFar,
 		Ping:             d.ping,
-		Silent:           d.checkGone,
+		Silent:           d.members.CheckGone,
 		Subrequest:       d.tellSubrequest,
-		AdmitCustomer:    d.limits.admit,
-		GiveBack:         d.limits.giveBack,
+		AdmitCustomer:    d.limits.Admit,
+		GiveBack:         d.limits.GiveBack,
 	})
 	d.atEnd(cleanUp)
-	d.buildLedger()
-	d.buildMembers()
-	return nil
-}
-
-// buildLedger makes what brings hosts and revisions here from the platform.
-func (d *daemon) buildLedger() {
-	s := d.config.Settings
-	d.hosts = newHostList(d.config.Store, s.Platform.Prefix)
-	d.ledger = revision.New(revision.Config{
-		Store:    d.config.Store,
-		Prefix:   s.Platform.Prefix,
-		OnError:  d.platformFailed,
-		OnAnswer: d.platformAnswered,
-	})
-	d.source = d.newSource()
-}
-
-// buildMembers makes the table of hosts, in which this one begins a new incarnation.
-func (d *daemon) buildMembers() {
-	s := d.config.Settings
-	d.members = newMembers(member.Host{
-		Name:       s.Name,
-		DataCentre: s.DataCentre,
-		Peers:      s.Listen.Peers,
-		Control:    s.Listen.Control,
-		Start:      uuid.NewString(),
-	})
 }
 
 // atEnd keeps a function for cleanUp, which calls the last one first.
@@ -279,11 +371,11 @@
 		DataCentre: d.config.Settings.DataCentre,
 		Version:    version.Version,
 		Stopping:   d.stopping.Load(),
-		Platform:   string(d.platformNow()),
+		Platform:   string(d.health.State()),
 		InFlight:   d.ingress.InFlight(),
 		UptimeMs:   time.Since(d.started).Milliseconds(),
 	}
-	if current := d.inForce.Load(); current != nil {
+	if current, ok := d.declarations.Current(); ok {
 		status.Revision = current.Revision.Number
 		status.Ready = !status.Stopping
 	}
--- a/internal/daemon/hosts.go
+++ b/internal/daemon/hosts.go
@@ -35,14 +35,15 @@
 	}
 }
 
-// followHosts reads the list while this daemon watches the platform, and tells
+// followDrainingHosts reads the list while this daemon watches the platform, and tells
 // the daemon of each host what the list says of it. The list lags, so it is one
 // word among others.
-func (d *daemon) followHosts(ctx context.Context) {
+func (d *daemon) followDrainingHosts(ctx context.Context) {
+	list := newHostList(d.config.Store, d.config.Settings.Platform.Prefix)
 	var told []string
 	for ctx.Err() == nil {
 		wait.For(ctx, listEvery)
-		names, err := d.hosts(ctx)
+		names, err := list(ctx)
 		if err != nil {
 			continue
 		}
@@ -59,11 +60,11 @@
 }
 
 func (d *daemon) notifyHost(ctx context.Context, name string, draining bool) {
-	current := d.inForce.Load()
-	if current == nil {
+	index, ok := d.declarations.Index()
+	if !ok {
 		return
 	}
-	host, ok := current.Index.Host(name)
+	host, ok := index.Host(name)
 	if !ok {
 		return
 	}
@@ -71,16 +72,16 @@
 		d.sidecar.HostDraining(draining)
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
+	ctx, cancel := context.WithTimeout(ctx, control.TellTimeout)
 	defer cancel()
-	_ = d.peers.Call(ctx, d.controlOf(host), control.MethodHost, control.Host{Draining: draining}, nil) // told again soon
+	_ = d.peers.CallHost(ctx, host, control.MethodHost, control.Host{Draining: draining}, nil) // told again soon
 }
 
-func (d *daemon) callHost(params json.RawMessage) (any, error) {
+func (d *daemon) callHost(_ context.Context, params json.RawMessage) (any, error) {
 	var host control.Host
-	if err := decode(params, &host); err != nil {
+	if err := control.Decode(params, &host); err != nil {
 		return nil, err
 	}
 	d.sidecar.HostDraining(host.Draining)
-	return done{}, nil
+	return control.Done{}, nil
 }
--- a/internal/daemon/quarantine.go
+++ b/internal/daemon/quarantine.go
@@ -1,6 +1,7 @@
 package daemon
 
 import (
+	"context"
 	"encoding/json"
 
 	"github.com/tideliftd/tidelift/internal/control"
@@ -19,44 +20,38 @@
 		Watches:  d.watchesQuarantines,
 		Logger:   d.config.Logger,
 		Scope:    d.metrics.Scope,
-		OnError:  d.platformFailed,
-		OnAnswer: d.platformAnswered,
+		OnError:  d.health.Failed,
+		OnAnswer: d.health.Answered,
 	})
 }
 
 // watchesQuarantines says whether this daemon follows quarantines in the store: if it watches that anyway, or
 // if no other daemon has told it what there is.
-func (d *daemon) watchesQuarantines() bool { return d.watches() || !d.heardQuarantines.Load() }
-
-// hearQuarantines takes what another daemon answers that was asked.
-func (d *daemon) hearQuarantines(held control.Held) {
-	d.heardQuarantines.Store(true)
-	if len(held.Quarantines) > 0 {
-		d.quarantines.Merge(held.Quarantines)
-	}
+func (d *daemon) watchesQuarantines() bool {
+	return d.declarations.Watches() || !d.declarations.PeerAnswered()
 }
 
 // tellQuarantine tells the daemons that keep backend servers of the service what is held against requests. Whoever
 // is left out learns of a quarantine from others or the store, and of what is suspected when it sees an end itself.
 func (d *daemon) tellQuarantine(service string, records []quarantine.Record) {
-	d.tellEach(d.hostsOfService(service), control.MethodQuarantine, control.Quarantine{Records: records})
+	d.peers.Tell(d.hostsOfService(service), control.MethodQuarantine, control.Quarantine{Records: records})
 }
 
 // spreadQuarantine tells a few others, near and far, of a quarantine that has begun or ended.
 func (d *daemon) spreadQuarantine(records []quarantine.Record) {
-	plan := d.plan.Load()
+	plan := d.declarations.Plan()
 	if plan == nil {
 		return // whoever is found later reads it in the store
 	}
-	d.tellEach(plan.Notify(), control.MethodQuarantine, control.Quarantine{Records: records})
+	d.peers.Tell(plan.Notify(), control.MethodQuarantine, control.Quarantine{Records: records})
 }
 
 // callQuarantine takes what another daemon holds against requests.
-func (d *daemon) callQuarantine(params json.RawMessage) (any, error) {
+func (d *daemon) callQuarantine(_ context.Context, params json.RawMessage) (any, error) {
 	var told control.Quarantine
-	if err := decode(params, &told); err != nil {
+	if err := control.Decode(params, &told); err != nil {
 		return nil, err
 	}
 	d.quarantines.Merge(told.Records)
-	return done{}, nil
+	return control.Done{}, nil
 }
--- a/internal/daemon/subrequest.go
+++ b/internal/daemon/subrequest.go
@@ -7,7 +7,6 @@
 	"slices"
 
 	"github.com/tideliftd/tidelift/internal/control"
-	"github.com/tideliftd/tidelift/internal/event"
 	"github.com/tideliftd/tidelift/internal/fleet"
 	"github.com/tideliftd/tidelift/internal/subrequest"
 )
@@ -28,11 +27,10 @@
 
 // tellSubrequestTo tells one host, and learns from it what it knows already.
 func (d *daemon) tellSubrequestTo(host fleet.Host, told control.Subrequest) {
-	ctx, cancel := context.WithTimeout(context.Background(), peerTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), control.TellTimeout)
 	defer cancel()
 	var known control.Known
-	if err := d.peers.Call(ctx, d.controlOf(host), control.MethodSubrequest, told, &known); err != nil {
-		event.Log(d.config.Logger, event.PeerSilent, "address", d.controlOf(host), "call", control.MethodSubrequest, "error", err)
+	if err := d.peers.CallLogged(ctx, d.peers.Address(host), control.MethodSubrequest, told, &known); err != nil {
 		return
 	}
 	d.ingress.LearnSubrequest(known.Routes)
@@ -41,16 +39,16 @@
 // hostsOfService returns the other hosts with a backend server of the service, up to
 // maxServiceTold, from one on that is drawn at random.
 func (d *daemon) hostsOfService(service string) []fleet.Host {
-	current := d.inForce.Load()
-	if current == nil || service == "" {
+	index, ok := d.declarations.Index()
+	if !ok || service == "" {
 		return nil
 	}
-	declared, _ := current.Index.Service(service)
+	declared, _ := index.Service(service)
 	count := len(declared.BackendServers)
 	var hosts []fleet.Host
 	for n, first := 0, rand.IntN(max(1, count)); n < count; n++ {
 		b := declared.BackendServers[(first+n)%count]
-		host, known := current.Index.Host(b.Host)
+		host, known := index.Host(b.Host)
 		told := slices.ContainsFunc(hosts, func(h fleet.Host) bool { return h.Name == b.Host })
 		if known && !told && b.Host != d.config.Settings.Name && len(hosts) < maxServiceTold {
 			hosts = append(hosts, host)
@@ -60,9 +58,9 @@
 }
 
 // callSubrequest takes what another host has seen of the calls of this one's service.
-func (d *daemon) callSubrequest(params json.RawMessage) (any, error) {
+func (d *daemon) callSubrequest(_ context.Context, params json.RawMessage) (any, error) {
 	var told control.Subrequest
-	if err := decode(params, &told); err != nil {
+	if err := control.Decode(params, &told); err != nil {
 		return nil, err
 	}
 	if told.Service != d.config.Settings.Service {
--- a/internal/daemon/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -1,4 +1,4 @@
-package daemon
+package limits
 
 import (
 	"context"
@@ -30,11 +30,11 @@
 			collectors[near[0].Name]++
 			ledgers[all[0].Name]++
 		}
-		if want := 2 * ((count + hostsOfCollector - 1) / hostsOfCollector); len(collectors) != want || len(ledgers) != 1 {
+		if want := 2 * ((count + hostsPerCollector - 1) / hostsPerCollector); len(collectors) != want || len(ledgers) != 1 {
 			t.Errorf("%d hosts: %d collectors, want %d; %d ledgers", count, len(collectors), want, len(ledgers))
 		}
 		for name, reports := range collectors {
-			if reports > 2*hostsOfCollector {
+			if reports > 2*hostsPerCollector {
 				t.Errorf("%d hosts: %d report to %s", count, reports, name)
 			}
 		}
@@ -52,7 +52,7 @@
 	collector.Hear(time.Now(), quota.Verdict{Known: true, Allowances: []quota.Allowance{{Customer: "county-1", Share: 0.5, Level: -3}, {Customer: "county-2", Share: 0.7, Level: 1}}})
 	cleanUp := control.Serve(control.ServerConfig{Listener: listener, Handle: func(_ context.Context, _ control.Method, params json.RawMessage) (any, error) {
 		var counted control.Counted
-		if err := decode(params, &counted); err != nil {
+		if err := control.Decode(params, &counted); err != nil {
 			return nil, err
 		}
 		return collector.Add(time.Now(), counted.Report), nil
