--- a/Makefile
+++ b/Makefile
@@ -4,8 +4,9 @@
 BIN := $(CURDIR)/bin
 GOLANGCI_VERSION := v2.15.0
 GOFUMPT_VERSION := v0.12.0
+DEADCODE_VERSION := v0.52.0
 
-.PHONY: test build generate lint format-check generated-check tidy-check check
+.PHONY: test build generate lint format-check generated-check tidy-check dead-check check
 
 # The tests that KNOWN-RED.txt names, as a pattern.
 KNOWN_RED := $(shell sed -n 's/^\(Test[A-Za-z0-9]*\).*/\1/p' KNOWN-RED.txt 2>/dev/null | paste -sd '|' -)
@@ -28,6 +29,10 @@
 	GOBIN=$(BIN) $(GO) install mvdan.cc/gofumpt@$(GOFUMPT_VERSION)
 	mv $(BIN)/gofumpt $@
 
+$(BIN)/deadcode-$(DEADCODE_VERSION):
+	GOBIN=$(BIN) $(GO) install golang.org/x/tools/cmd/deadcode@$(DEADCODE_VERSION)
+	mv $(BIN)/deadcode $@
+
 lint: $(BIN)/golangci-lint-$(GOLANGCI_VERSION) ## Run the linter.
 	$< run ./...
 
@@ -41,7 +46,15 @@
 tidy-check: ## Fail if go.mod is not tidy.
 	$(GO) mod tidy -diff
 
-check: format-check lint tidy-check generated-check ## Run every check that is not a test.
+# What no program reaches and stays: the table that docs/EVENTS.md and test/pinned are made from.
+DEAD_ALLOWED := ^internal/event/event\.go:.* All$$|^internal/operatorapi/
+
+dead-check: $(BIN)/deadcode-$(DEADCODE_VERSION) ## Fail if a function is reached by no program, or in test/ by no test either.
+	@programs=$$($< ./cmd/...) && tests=$$($< -test ./...) || exit 1; \
+	dead=$$(printf '%s\n%s\n' "$$programs" "$$tests" | grep -vE '$(DEAD_ALLOWED)' | grep . | sort -u); \
+	if [ -n "$$dead" ]; then echo "reached by nothing:"; echo "$$dead"; exit 1; fi
+
+check: format-check lint tidy-check generated-check dead-check ## Run every check that is not a test.
 
 .PHONY: lab lab-list
 lab: ## Run one scenario: make lab SCENARIO=path [SEED=1] [SECONDS=20]
