--- a/test/harness/harness.go
+++ b/test/harness/harness.go
@@ -1,4 +1,4 @@
-// Package harness starts a fleet for tests, the lab and the demo: real daemons
+// Package harness starts a fleet for tests and the demo: real daemons
 // and small backend servers as processes on loopback addresses, with the
 // platform's stand-in in this process.
 //
@@ -26,6 +26,7 @@
 	"path/filepath"
 	"slices"
 	"strings"
+	"syscall"
 	"time"
 
 	"github.com/go-faster/errors"
@@ -106,7 +107,7 @@
 // Start starts the fleet and waits until every daemon has the declaration in
 // force. The function ends everything.
 func Start(spec Spec) (*Fleet, func(), error) {
-	f := &Fleet{Spec: spec, Platform: standin.New(), net: newNetwork()}
+	f := &Fleet{Spec: spec, Platform: standin.New()}
 	f.Faults = newFaults()
 	f.atEnd(f.Faults.close)
 	if err := f.start(); err != nil {
@@ -145,7 +146,7 @@
 }
 
 func (f *Fleet) startPlatform() error {
-	listener, err := net.Listen("tcp", f.PlatformAddress())
+	listener, err := f.claimNetwork()
 	if err != nil {
 		return errors.Wrap(err, "listen for the platform")
 	}
@@ -155,6 +156,24 @@
 	return nil
 }
 
+// claimNetwork chooses addresses that no other fleet of the machine has. They are the fleet's as
+// long as its platform listens, which it does from first to last.
+func (f *Fleet) claimNetwork() (net.Listener, error) {
+	const tries = 100 // far more than fleets run at once on one machine
+	var (
+		listener net.Listener
+		err      error
+	)
+	for range tries {
+		f.net = newNetwork()
+		listener, err = net.Listen("tcp", f.PlatformAddress())
+		if !errors.Is(err, syscall.EADDRINUSE) {
+			break
+		}
+	}
+	return listener, err
+}
+
 // PlatformAddress returns the stand-in's IP:port.
 func (f *Fleet) PlatformAddress() string { return f.net.address(0, portPlatform) }
 
--- a/test/harness/network.go
+++ b/test/harness/network.go
@@ -8,8 +8,8 @@
 
 var fleets atomic.Uint32
 
-// network is the loopback addresses of one fleet: 127.a.b.host, with a and b
-// from the process and the fleet.
+// network is the loopback addresses of one fleet: 127.a.b.host, with a and b drawn
+// from the process and the fleet. Another process may draw the same.
 type network struct{ a, b int }
 
 func newNetwork() network {
