--- a/Makefile
+++ b/Makefile
@@ -56,13 +56,6 @@
 
 check: format-check lint tidy-check generated-check dead-check ## Run every check that is not a test.
 
-.PHONY: lab lab-list
-lab: ## Run one scenario: make lab SCENARIO=path [SEED=1] [SECONDS=20]
-	$(GO) run ./test/lab --scenario $(SCENARIO) $(if $(SEED),--seed $(SEED)) $(if $(SECONDS),--seconds $(SECONDS))
-
-lab-list: ## List the scenarios.
-	$(GO) run ./test/lab --list
-
 .PHONY: demo
 demo: ## Show a fleet at work on loopback addresses.
 	$(GO) run ./test/demo
@@ -78,8 +71,9 @@
 capacity: ## Measure the slopes and renew the tables of docs/CAPACITY.md.
 	$(GO) run ./test/capacity
 
-bench: ## Run the benchmarks of the decisions.
+bench: ## Run the benchmarks of the decisions, and what two daemons add to a request.
 	$(GO) test -run "^$$" -bench . -benchmem ./internal/...
+	$(GO) test -run "^$$" -bench Hops -benchtime 20000x ./test/hops
 
 .PHONY: compare
 compare: ## Play days with two checkouts: make compare BENCH=path SITE=file BEFORE=dir AFTER=dir DAYS="name ..." [SEEDS=1,2,3]
--- a/test/cmd/testbackend/main.go
+++ b/test/cmd/testbackend/main.go
@@ -1,4 +1,4 @@
-// Command testbackend runs one small backend server for tests and the lab.
+// Command testbackend runs one small backend server for tests and the demo.
 package main
 
 import (
@@ -13,11 +13,10 @@
 const headerTimeout = 10 * time.Second
 
 func main() {
-	name := flag.String("name", "backend", "the backend server's name")
 	work := flag.String("work", "127.0.0.1:0", "where it takes requests")
 	control := flag.String("control", "127.0.0.1:0", "where it takes control calls")
 	flag.Parse()
-	b := backendserver.New(*name)
+	b := backendserver.New()
 	go serve(*control, b.Control())
 	serve(*work, b.Work())
 }
--- a/test/harness/backend.go
+++ b/test/harness/backend.go
@@ -60,7 +60,7 @@
 // Start starts the backend server, also again after it has ended, and waits
 // until it takes connections.
 func (b *Backend) Start() error {
-	err := b.start(b.fleet, b.Name, "testbackend", "-name", b.Name, "-work", b.Work(), "-control", b.mode())
+	err := b.start(b.fleet, b.Name, "testbackend", "-work", b.Work(), "-control", b.mode())
 	if err != nil {
 		return err
 	}
--- a/test/harness/events.go
+++ b/test/harness/events.go
@@ -17,8 +17,6 @@
 	BackendServer string    `json:"backend_server"`
 	Service       string    `json:"service"`
 	Observer      string    `json:"witness"`
-	Cause         string    `json:"cause"`
-	Why           string    `json:"why"`
 }
 
 // Events returns what every daemon has logged.
--- a/test/standin/faults.go
+++ b/test/standin/faults.go
@@ -5,13 +5,11 @@
 	"io"
 	"net/http"
 	"net/http/httptest"
-	"time"
 )
 
 // faults are the switches.
 type faults struct {
 	outage      bool
-	slowness    time.Duration
 	loseAnswers string
 	writesLeft  int
 	limited     bool
@@ -22,11 +20,6 @@
 	s.set(func(f *faults) { f.outage = on })
 }
 
-// SetSlowness delays every answer.
-func (s *Standin) SetSlowness(delay time.Duration) {
-	s.set(func(f *faults) { f.slowness = delay })
-}
-
 // SetLoseAnswers makes every write to a key whose name contains the text take
 // effect and its answer get lost; an empty text ends that.
 func (s *Standin) SetLoseAnswers(text string) {
@@ -77,7 +70,6 @@
 			http.Error(w, "rate limit exceeded", http.StatusTooManyRequests)
 			return
 		}
-		time.Sleep(f.slowness)
 		if f.loseAnswers != "" && isWrite(r) && bodyContains(r, f.loseAnswers) {
 			api.ServeHTTP(httptest.NewRecorder(), r)
 			panic(http.ErrAbortHandler)
--- a/test/standin/standin.go
+++ b/test/standin/standin.go
@@ -1,5 +1,5 @@
-// Package standin is a stand-in for the platform's key-value store, for tests,
-// the lab and the demo. It keeps everything in memory.
+// Package standin is a stand-in for the platform's key-value store, for tests and the demo. It
+// keeps everything in memory.
 //
 // # Usage
 //
