--- a/test/ablate/main.go
+++ b/test/ablate/main.go
@@ -15,7 +15,6 @@
 	"context"
 	"fmt"
 	"io/fs"
-	"log/slog"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -36,12 +35,7 @@
 	journal = "journal"
 )
 
-func main() {
-	if err := command().Run(context.Background(), os.Args); err != nil {
-		slog.Error("ablate failed", "error", err)
-		os.Exit(1)
-	}
-}
+func main() { bench.Main(command()) }
 
 func command() *cli.Command {
 	return &cli.Command{
@@ -60,7 +54,7 @@
 	if c.Args().Len() == 0 {
 		return errors.New("no day is named")
 	}
-	player, err := bench.NewPlayer(c.String("bench"), c.String("site"))
+	player, err := bench.PlayerOf(c)
 	if err != nil {
 		return err
 	}
@@ -101,16 +95,10 @@
 	if err := copyTo(ctx, dir, off); err != nil {
 		return nil, err
 	}
-	var plays []bench.Play
-	for _, day := range c.Args().Slice() {
-		for _, seed := range c.IntSlice("seeds") {
-			plays = append(plays, bench.Play{Day: day, Seed: seed, Dir: dir, Why: "ablation, off: " + string(off)})
-		}
-	}
-	outcomes := player.PlayAll(ctx, plays, c.Int("jobs"))
+	outcomes := player.PlayAll(ctx, bench.PlaysOf(c, "ablation, off: "+string(off), dir), c.Int("jobs"))
 	for _, o := range outcomes {
-		if o.Err != nil || len(o.Report.Broken) > 0 {
-			fmt.Printf("off %q: %s seed %d: %v %v\n", off, o.Play.Day, o.Play.Seed, o.Report.Broken, o.Err)
+		if trouble := o.Trouble(); trouble != "" {
+			fmt.Printf("off %q: %s seed %d: %s\n", off, o.Play.Day, o.Play.Seed, trouble)
 		}
 	}
 	return outcomes, keepJournal(dir)
--- a/test/bench/bench.go
+++ b/test/bench/bench.go
@@ -64,6 +64,18 @@
 	Err error
 }
 
+// Trouble says why a play does not count as good: it failed, it broke rules or something
+// speaks against counting it. It is empty for a good one.
+func (o Outcome) Trouble() string {
+	switch {
+	case o.Err != nil:
+		return "not played: " + o.Err.Error()
+	case len(o.Report.Broken) > 0 || o.Report.Fault != "":
+		return "broken " + o.Report.BrokenText()
+	}
+	return ""
+}
+
 // PlayAll plays the days, a few at a time, and returns what became of each in their
 // order.
 func (p Player) PlayAll(ctx context.Context, plays []Play, jobs int) []Outcome {
--- a/test/bench/flags.go
+++ b/test/bench/flags.go
@@ -1,10 +1,19 @@
 package bench
 
-import "github.com/urfave/cli/v3"
+import (
+	"context"
+	"log/slog"
+	"os"
 
-// SeedsFlag is the flag of a command that plays each day with several seeds.
-func SeedsFlag() cli.Flag {
-	return &cli.IntSliceFlag{Name: "seeds", Usage: "the seeds of each day", Value: []int{1, 2, 3}}
+	"github.com/urfave/cli/v3"
+)
+
+// Main runs a command that plays days; its exit status is 1 if that fails.
+func Main(command *cli.Command) {
+	if err := command.Run(context.Background(), os.Args); err != nil {
+		slog.Error(command.Name+" failed", "error", err)
+		os.Exit(1)
+	}
 }
 
 // Flags returns the flags of a command that plays days: the bench, the site and how many
@@ -16,3 +25,28 @@
 		&cli.IntFlag{Name: "jobs", Usage: "days played at a time", Value: jobs},
 	}
 }
+
+// SeedsFlag is the flag of a command that plays each day with several seeds.
+func SeedsFlag() cli.Flag {
+	return &cli.IntSliceFlag{Name: "seeds", Usage: "the seeds of each day", Value: []int{1, 2, 3}}
+}
+
+// PlayerOf returns the player that the flags name.
+func PlayerOf(c *cli.Command) (Player, error) {
+	return NewPlayer(c.String("bench"), c.String("site"))
+}
+
+// PlaysOf returns the plays of every day that is named with every seed. Those of one day and
+// seed, one in each of the folders, stand side by side.
+func PlaysOf(c *cli.Command, why string, dirs ...string) []Play {
+	days, seeds := c.Args().Slice(), c.IntSlice("seeds")
+	plays := make([]Play, 0, len(days)*len(seeds)*len(dirs))
+	for _, day := range days {
+		for _, seed := range seeds {
+			for _, dir := range dirs {
+				plays = append(plays, Play{Day: day, Seed: seed, Dir: dir, Why: why})
+			}
+		}
+	}
+	return plays
+}
--- a/test/bench/report.go
+++ b/test/bench/report.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"encoding/json"
 	"slices"
+	"strings"
 
 	"github.com/go-faster/errors"
 )
@@ -22,6 +23,18 @@
 	Prices []Price
 }
 
+// BrokenText names the rules that were broken, and the fault if there is one.
+func (r Report) BrokenText() string {
+	text := "none"
+	if len(r.Broken) > 0 {
+		text = strings.Join(r.Broken, " ")
+	}
+	if r.Fault != "" {
+		text += "; " + r.Fault
+	}
+	return text
+}
+
 // Price is one thing that costs worth.
 type Price struct {
 	Of    string
--- a/test/compare/main.go
+++ b/test/compare/main.go
@@ -19,8 +19,6 @@
 import (
 	"context"
 	"fmt"
-	"log/slog"
-	"os"
 
 	"github.com/go-faster/errors"
 	"github.com/urfave/cli/v3"
@@ -31,12 +29,7 @@
 // daysAtATime is how many days are played at a time unless said otherwise.
 const daysAtATime = 8
 
-func main() {
-	if err := command().Run(context.Background(), os.Args); err != nil {
-		slog.Error("compare failed", "error", err)
-		os.Exit(1)
-	}
-}
+func main() { bench.Main(command()) }
 
 func command() *cli.Command {
 	return &cli.Command{
@@ -54,45 +47,25 @@
 
 // run plays the pairs and prints how they differ.
 func run(ctx context.Context, c *cli.Command) error {
-	player, err := bench.NewPlayer(c.String("bench"), c.String("site"))
-	if err != nil {
-		return err
-	}
 	days := c.Args().Slice()
 	if len(days) == 0 {
 		return errors.New("no day is named")
 	}
-	outcomes := player.PlayAll(ctx, plays(c, days), c.Int("jobs"))
+	player, err := bench.PlayerOf(c)
+	if err != nil {
+		return err
+	}
+	plays := bench.PlaysOf(c, c.String("why"), c.String("before"), c.String("after"))
+	outcomes := player.PlayAll(ctx, plays, c.Int("jobs"))
 	pairs := bench.Pairs(outcomes)
 	for _, day := range days {
 		fmt.Println(bench.Line(day, bench.OfDay(pairs, day)))
 	}
 	fmt.Println(bench.Line("all", pairs))
 	for _, o := range outcomes {
-		printTrouble(o)
-	}
-	return nil
-}
-
-// plays returns the plays of all pairs, the two of a pair one after the other.
-func plays(c *cli.Command, days []string) []bench.Play {
-	all := make([]bench.Play, 0, 2*len(days)*len(c.IntSlice("seeds")))
-	for _, day := range days {
-		for _, seed := range c.IntSlice("seeds") {
-			for _, dir := range []string{c.String("before"), c.String("after")} {
-				all = append(all, bench.Play{Day: day, Seed: seed, Dir: dir, Why: c.String("why")})
-			}
+		if trouble := o.Trouble(); trouble != "" {
+			fmt.Printf("%s seed %d in %s: %s\n", o.Play.Day, o.Play.Seed, o.Play.Dir, trouble)
 		}
 	}
-	return all
-}
-
-// printTrouble prints why a play failed, or the rules that it broke.
-func printTrouble(o bench.Outcome) {
-	switch {
-	case o.Err != nil:
-		fmt.Printf("not played: %s seed %d in %s: %v\n", o.Play.Day, o.Play.Seed, o.Play.Dir, o.Err)
-	case len(o.Report.Broken) > 0 || o.Report.Fault != "":
-		fmt.Printf("broken: %s seed %d in %s: %v %s\n", o.Play.Day, o.Play.Seed, o.Play.Dir, o.Report.Broken, o.Report.Fault)
-	}
+	return nil
 }
--- a/test/days/main.go
+++ b/test/days/main.go
@@ -21,8 +21,6 @@
 import (
 	"context"
 	"fmt"
-	"log/slog"
-	"os"
 	"path/filepath"
 	"strings"
 
@@ -41,12 +39,7 @@
 	daysAtATime = 4
 )
 
-func main() {
-	if err := command().Run(context.Background(), os.Args); err != nil {
-		slog.Error("days failed", "error", err)
-		os.Exit(1)
-	}
-}
+func main() { bench.Main(command()) }
 
 func command() *cli.Command {
 	return &cli.Command{
@@ -63,7 +56,10 @@
 	if err != nil {
 		return err
 	}
-	player := bench.Player{Program: c.String("bench"), Site: c.String("site")}
+	player, err := bench.PlayerOf(c)
+	if err != nil {
+		return err
+	}
 	plays := make([]bench.Play, 0, len(files))
 	for _, file := range files {
 		plays = append(plays, bench.Play{Day: file})
@@ -72,7 +68,7 @@
 	bad := 0
 	for _, o := range outcomes {
 		fmt.Println(line(o))
-		if !good(o) {
+		if o.Trouble() != "" {
 			bad++
 		}
 	}
--- a/test/days/main_test.go
+++ b/test/days/main_test.go
@@ -16,7 +16,7 @@
 		t.Fatal(err)
 	}
 	o := bench.Outcome{Play: bench.Play{Day: "some-day"}, Report: r}
-	if good(o) {
+	if o.Trouble() == "" {
 		t.Fatal("a day with broken rules is good")
 	}
 	text := line(o)
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if good(bench.Outcome{Report: r}) {
+	if (bench.Outcome{Report: r}).Trouble() == "" {
 		t.Fatal("a day with a fault is good")
 	}
 }
