--- a/Makefile
+++ b/Makefile
@@ -4,8 +4,9 @@
 BIN := $(CURDIR)/bin
 GOLANGCI_VERSION := v2.15.0
 GOFUMPT_VERSION := v0.12.0
+DEADCODE_VERSION := v0.52.0
 
-.PHONY: test build generate lint format-check generated-check tidy-check check
+.PHONY: test build generate lint format-check generated-check tidy-check dead-check check
 
 # The tests that KNOWN-RED.txt names, as a pattern.
 KNOWN_RED := $(shell sed -n 's/^\(Test[A-Za-z0-9]*\).*/\1/p' KNOWN-RED.txt 2>/dev/null | paste -sd '|' -)
@@ -28,6 +29,10 @@
 	GOBIN=$(BIN) $(GO) install mvdan.cc/gofumpt@$(GOFUMPT_VERSION)
 	mv $(BIN)/gofumpt $@
 
+$(BIN)/deadcode-$(DEADCODE_VERSION):
+	GOBIN=$(BIN) $(GO) install golang.org/x/tools/cmd/deadcode@$(DEADCODE_VERSION)
+	mv $(BIN)/deadcode $@
+
 lint: $(BIN)/golangci-lint-$(GOLANGCI_VERSION) ## Run the linter.
 	$< run ./...
 
@@ -41,14 +46,16 @@
 tidy-check: ## Fail if go.mod is not tidy.
 	$(GO) mod tidy -diff
 
-check: format-check lint tidy-check generated-check ## Run every check that is not a test.
+# What no program reaches and stays: the table that docs/EVENTS.md and test/pinned are made from.
+# The generated operator API isn't looked at.
+DEAD_ALLOWED := ^internal/event/event\.go:.* All$$
 
-.PHONY: lab lab-list
-lab: ## Run one scenario: make lab SCENARIO=path [SEED=1] [SECONDS=20]
-	$(GO) run ./test/lab --scenario $(SCENARIO) $(if $(SEED),--seed $(SEED)) $(if $(SECONDS),--seconds $(SECONDS))
+dead-check: $(BIN)/deadcode-$(DEADCODE_VERSION) ## Fail if a function is reached by no program, or in test/ by no test either.
+	@programs=$$($< ./cmd/...) && tests=$$($< -test ./...) || exit 1; \
+	dead=$$(printf '%s\n%s\n' "$$programs" "$$tests" | grep -vE '$(DEAD_ALLOWED)' | grep . | sort -u); \
+	if [ -n "$$dead" ]; then echo "reached by nothing:"; echo "$$dead"; exit 1; fi
 
-lab-list: ## List the scenarios.
-	$(GO) run ./test/lab --list
+check: format-check lint tidy-check generated-check dead-check ## Run every check that is not a test.
 
 .PHONY: demo
 demo: ## Show a fleet at work on loopback addresses.
@@ -65,8 +72,9 @@
 capacity: ## Measure the slopes and renew the tables of docs/CAPACITY.md.
 	$(GO) run ./test/capacity
 
-bench: ## Run the benchmarks of the decisions.
+bench: ## Run the benchmarks of the decisions, and what two daemons add to a request.
 	$(GO) test -run "^$$" -bench . -benchmem ./internal/...
+	$(GO) test -run "^$$" -bench Hops -benchtime 20000x ./test/hops
 
 .PHONY: compare
 compare: ## Play days with two checkouts: make compare BENCH=path SITE=file BEFORE=dir AFTER=dir DAYS="name ..." [SEEDS=1,2,3]
--- a/test/harness/process.go
+++ b/test/harness/process.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -75,7 +76,7 @@
 	return errors.Errorf("process %d does not stand still within %s", p.Pid(), stopWithin)
 }
 
-// allStopped says whether every thread of the process is stopped.
+// allStopped reports whether every thread of the process is stopped.
 func allStopped(pid int) (bool, error) {
 	files, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", pid))
 	if err != nil {
@@ -98,7 +99,7 @@
 // Continue lets it go on.
 func (p *process) Continue() error { return p.Signal(syscall.SIGCONT) }
 
-// Wait waits until the process has ended and says whether it did in time.
+// Wait waits until the process has ended and reports whether it did in time.
 func (p *process) Wait(within time.Duration) bool {
 	p.mu.Lock()
 	ended := p.ended
@@ -127,3 +128,16 @@
 	defer p.mu.Unlock()
 	return p.cmd.Process.Pid
 }
+
+// WaitListening waits until the address takes connections.
+func WaitListening(address string) error {
+	end := time.Now().Add(readyWithin)
+	for time.Now().Before(end) {
+		conn, err := net.DialTimeout("tcp", address, time.Second)
+		if err == nil {
+			return conn.Close()
+		}
+		time.Sleep(pollEvery)
+	}
+	return errors.Errorf("nothing listens on %s", address)
+}
--- a/test/lab/injector.go
+++ b/test/soak/injector_test.go
@@ -1,16 +1,27 @@
-package main
+package soak
 
 import (
 	"context"
-	"fmt"
 	"math/rand/v2"
 	"sync"
 	"time"
 
+	"github.com/go-faster/errors"
+
 	"github.com/tideliftd/tidelift/test/backendserver"
 	"github.com/tideliftd/tidelift/test/harness"
 )
 
+const (
+	// freezeFor is longer than the services' deadline of a second and than a reservation
+	// lives.
+	freezeFor = 1500 * time.Millisecond
+	// delayMillis is longer than the deadline, so that a delayed answer comes too late.
+	delayMillis = 1200
+	// answerBytes lets some dozens of answers through before the connection closes.
+	answerBytes = 5000
+)
+
 // injector injects one kind of fault after another, with several workers several at
 // once. Each worker keeps to targets of its own.
 type injector struct {
@@ -18,9 +29,10 @@
 	workers int
 	ended   sync.WaitGroup
 
-	mu   sync.Mutex
-	done map[string]int
-	lost []backendserver.Ledger // of backend servers that were killed
+	mu     sync.Mutex
+	counts map[string]int         // of faults, by kind
+	failed []error                // faults that could not be injected
+	lost   []backendserver.Ledger // of backend servers that were killed
 }
 
 // worker is one of those that inject faults.
@@ -32,7 +44,7 @@
 
 // startInjector injects faults from two seconds on until ctx ends.
 func startInjector(ctx context.Context, f *harness.Fleet, seed uint64, workers int) *injector {
-	h := &injector{fleet: f, workers: workers, done: make(map[string]int)}
+	h := &injector{fleet: f, workers: workers, counts: make(map[string]int)}
 	for number := range workers {
 		w := worker{injector: h, number: number, random: rand.New(rand.NewPCG(seed, uint64(number)))}
 		h.ended.Go(func() { w.run(ctx) })
@@ -60,16 +72,22 @@
 	sleepUntil(ctx, time.Now().Add(2*time.Second))
 	for n := 0; ctx.Err() == nil; n++ {
 		kind := kinds[n%len(kinds)]
-		if err := kind.do(); err != nil {
-			fmt.Println("injector", kind.name, err)
-		}
-		w.mu.Lock()
-		w.done[kind.name]++
-		w.mu.Unlock()
+		w.record(kind.name, kind.do())
 		sleepUntil(ctx, time.Now().Add(300*time.Millisecond))
 	}
 }
 
+// record counts a fault, or keeps why it could not be injected.
+func (w worker) record(kind string, err error) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if err != nil {
+		w.failed = append(w.failed, errors.Wrap(err, kind))
+		return
+	}
+	w.counts[kind]++
+}
+
 // own returns a place below count that only this worker uses.
 func (w worker) own(count int) int {
 	return w.number + w.workers*w.random.IntN((count-w.number+w.workers-1)/w.workers)
@@ -133,11 +151,11 @@
 }
 
 func (w worker) limitAnswers() error {
-	return w.onLink(func(link string) error { return w.fleet.Faults.LimitData(link, harness.Answers, 5000) }, time.Second)
+	return w.onLink(func(link string) error { return w.fleet.Faults.LimitData(link, harness.Answers, answerBytes) }, time.Second)
 }
 
 func (w worker) delayAnswers() error {
-	return w.onLink(func(link string) error { return w.fleet.Faults.Delay(link, harness.Answers, 1200) }, 1500*time.Millisecond)
+	return w.onLink(func(link string) error { return w.fleet.Faults.Delay(link, harness.Answers, delayMillis) }, 1500*time.Millisecond)
 }
 
 // onLink injects faults to a backend server's link, or to that between two data
@@ -157,17 +175,3 @@
 	time.Sleep(length)
 	return w.fleet.Faults.Heal(link)
 }
-
-// ledgerOfAll adds up what the backend servers ran, those that were killed too.
-func ledgerOfAll(f *harness.Fleet, h *injector) (map[string]int, error) {
-	runs, err := ledger(f)
-	if err != nil {
-		return nil, err
-	}
-	for _, lost := range h.lost {
-		for key, n := range lost.Runs {
-			runs[key] += n
-		}
-	}
-	return runs, nil
-}
