--- a/internal/customer/customer.go
+++ b/internal/customer/customer.go
@@ -1,8 +1,8 @@
 // Package customer finds the customer to whom a caller's key belongs.
 //
 // A key is known only by its SHA-256 digest: neither the declaration nor a daemon's memory,
-// log or answers hold the key itself. Keys are drawn at random and long, so that a digest
-// without a salt gives nothing away; one that somebody chose would be guessed from it.
+// log or answers hold the key itself. Keys are long and drawn at random, so that a digest
+// without a salt gives nothing away; a key that a person chose could be guessed from it.
 //
 // # Usage
 //
@@ -33,12 +33,12 @@
 	scheme = "Bearer"
 )
 
-// MaxKeyBytes is the longest key that can be known. Source: tidelift key makes keys of 64
-// signs; a digest of what is longer would be work that any caller could ask for.
+// MaxKeyBytes is the longest key that is looked up, in bytes. Source: tidelift key makes keys
+// of 64 characters; a digest of anything longer is work that any caller could ask for.
 const MaxKeyBytes = 256
 
-// keyBytes is how many random bytes a new key has: as many as its digest, so that neither is
-// easier to guess than the other.
+// keyBytes is how many random bytes a new key has: as many as its digest, so that neither of
+// the two is easier to guess.
 const keyBytes = sha256.Size
 
 // Table finds customers by key. It is read-only and may be shared.
@@ -62,9 +62,6 @@
 	return t, nil
 }
 
-// Empty says whether no customer is declared, so that nobody needs a key.
-func (t *Table) Empty() bool { return len(t.customers) == 0 }
-
 // Find returns the customer to whom the key belongs.
 func (t *Table) Find(key string) (*fleet.Customer, bool) {
 	if len(key) > MaxKeyBytes {
@@ -79,14 +76,15 @@
 	return &t.customers[i], true
 }
 
-// KeyOf returns the key that the headers carry; it says false if they carry none.
+// KeyOf returns the key that the headers carry, or false if they carry none. Headers that carry
+// something else, or several keys, give the empty key, which belongs to no customer.
 func KeyOf(h http.Header) (string, bool) {
 	values := h[Header]
 	if len(values) == 0 {
 		return "", false
 	}
 	if len(values) > 1 {
-		return "", true // which of them counts would be a guess; no customer has the empty key
+		return "", true // which of them counts would be a guess
 	}
 	name, key, _ := strings.Cut(values[0], " ")
 	if !strings.EqualFold(name, scheme) {
@@ -104,6 +102,6 @@
 // NewKey draws a key.
 func NewKey() string {
 	var data [keyBytes]byte
-	_, _ = rand.Read(data[:]) // it never fails
+	_, _ = rand.Read(data[:]) // documented never to fail
 	return hex.EncodeToString(data[:])
 }
