--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -9,7 +9,7 @@
 //
 // # Usage
 //
-//	s, err := settings.Load("tideliftd.yaml")
+//	s, err := settings.Parse("tideliftd.yaml", data)
 //	if err != nil {
 //		return err // a line for each problem: file, line, field, what is wrong, what would be right
 //	}
@@ -20,12 +20,9 @@
 
 import (
 	"log/slog"
-	"os"
 	"reflect"
 	"time"
 
-	"github.com/go-faster/errors"
-
 	"github.com/tideliftd/tidelift/internal/experiment"
 	"github.com/tideliftd/tidelift/internal/fleet"
 	"github.com/tideliftd/tidelift/internal/yamlfile"
@@ -162,15 +159,6 @@
 	return level
 }
 
-// Load reads and checks the settings file. Its error is a *yamlfile.Error if the file is wrong.
-func Load(file string) (Settings, error) {
-	data, err := os.ReadFile(file)
-	if err != nil {
-		return Settings{}, errors.Wrap(err, "read settings")
-	}
-	return Parse(file, data)
-}
-
 // Parse reads settings, fills in the defaults and checks them. Its error is a *yamlfile.Error
 // with every problem; file is the name to give in it.
 func Parse(file string, data []byte) (Settings, error) {
