--- a/internal/fleet/parse.go
+++ b/internal/fleet/parse.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"net/netip"
 	"regexp"
 	"slices"
 	"strings"
@@ -203,9 +202,5 @@
 	c.Add(path, fmt.Sprintf("is %q", name), "1 to 128 of a-z 0-9 . _ / -, starting with a letter or digit")
 }
 
-func (c *check) address(path, address string) {
-	if _, err := netip.ParseAddrPort(address); err == nil {
-		return
-	}
-	c.Add(path, fmt.Sprintf("is %q", address), "an IP address and port such as 127.0.0.1:7401")
-}
+// address checks a daemon's or a backend server's address.
+func (c *check) address(path, address string) { c.CheckAddress(path, address, "127.0.0.1:7401") }
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -124,11 +124,8 @@
 	}
 }
 
-func address(c *yamlfile.Checker, path, value string) {
-	if _, err := netip.ParseAddrPort(value); err != nil {
-		c.Add(path, fmt.Sprintf("is %q", value), "an IP address and port such as 127.0.0.1:7400")
-	}
-}
+// address checks one of the addresses where daemons listen.
+func address(c *yamlfile.Checker, path, value string) { c.CheckAddress(path, value, "127.0.0.1:7400") }
 
 func positive(c *yamlfile.Checker, path string, value time.Duration) {
 	if value < 0 {
--- a/internal/yamlfile/yamlfile.go
+++ b/internal/yamlfile/yamlfile.go
@@ -16,6 +16,7 @@
 
 import (
 	"fmt"
+	"net/netip"
 	"regexp"
 	"strings"
 
@@ -163,6 +164,14 @@
 	})
 }
 
+// CheckAddress adds a problem unless the value is an IP address with a port. The example is one
+// that would be right.
+func (c *Checker) CheckAddress(path, value, example string) {
+	if _, err := netip.ParseAddrPort(value); err != nil {
+		c.Add(path, fmt.Sprintf("is %q", value), "an IP address and port such as "+example)
+	}
+}
+
 // Err returns an *Error with every problem, or nil if there is none.
 func (c *Checker) Err() error {
 	if len(c.problems) == 0 {
