--- a/internal/fleet/parse.go
+++ b/internal/fleet/parse.go
@@ -2,18 +2,21 @@
 
 import (
 	"fmt"
-	"net/netip"
 	"regexp"
 	"slices"
 	"strings"
+	"time"
 
 	"github.com/tideliftd/tidelift/internal/yamlfile"
 )
 
-// Limits of a declaration.
+// Limits of a declaration. Not measured: they catch a figure with a digit too many.
 const (
 	maxSlots = 10_000
 	maxQueue = 100_000
+	// maxDeadline bounds deadlines: a planned stop waits for requests that long unless the
+	// settings say otherwise.
+	maxDeadline = 30 * time.Second
 )
 
 var (
@@ -102,8 +105,8 @@
 	if s.Floor < 1 || s.Floor > count {
 		c.Add(path+".floor", fmt.Sprintf("is %d", s.Floor), fmt.Sprintf("1 to %d, the number of backend servers", count))
 	}
-	if s.Deadline < 0 || s.Deadline > DefaultMaxDeadline {
-		c.Add(path+".deadline", fmt.Sprintf("is %s", s.Deadline), fmt.Sprintf("more than 0s and at most %s", DefaultMaxDeadline))
+	if s.Deadline < 0 || s.Deadline > maxDeadline {
+		c.Add(path+".deadline", fmt.Sprintf("is %s", s.Deadline), fmt.Sprintf("more than 0s and at most %s", maxDeadline))
 	}
 	if s.Detection != DetectionCareful && s.Detection != DetectionSwift {
 		c.Add(path+".detection", fmt.Sprintf("is %q", s.Detection), "careful or swift")
@@ -179,8 +182,8 @@
 	if !strings.HasPrefix(r.Path, "/") {
 		c.Add(path+".path", fmt.Sprintf("is %q", r.Path), "a path that starts with /")
 	}
-	if r.Deadline < 0 || r.Deadline > DefaultMaxDeadline {
-		c.Add(path+".deadline", fmt.Sprintf("is %s", r.Deadline), fmt.Sprintf("more than 0s and at most %s", DefaultMaxDeadline))
+	if r.Deadline < 0 || r.Deadline > maxDeadline {
+		c.Add(path+".deadline", fmt.Sprintf("is %s", r.Deadline), fmt.Sprintf("more than 0s and at most %s", maxDeadline))
 	}
 	if r.MaxBody < 0 {
 		c.Add(path+".max-body", fmt.Sprintf("is %d", r.MaxBody), "a number of bytes, 1 or more")
@@ -199,9 +202,5 @@
 	c.Add(path, fmt.Sprintf("is %q", name), "1 to 128 of a-z 0-9 . _ / -, starting with a letter or digit")
 }
 
-func (c *check) address(path, address string) {
-	if _, err := netip.ParseAddrPort(address); err == nil {
-		return
-	}
-	c.Add(path, fmt.Sprintf("is %q", address), "an IP address and port such as 127.0.0.1:7401")
-}
+// address checks a daemon's or a backend server's address.
+func (c *check) address(path, address string) { c.CheckAddress(path, address, "127.0.0.1:7401") }
