--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -49,11 +49,11 @@
 //     before those that come late in any case.
 //   - Waiting customers of one priority take turns. A customer that has its fair
 //     part of the queue leaves a place free for each other that was seen in the last
-//     ActiveFor, so that whoever floods is refused at once and the others still find
+//     ActiveFor, so that one that floods is refused at once and the others still find
 //     a place.
-//   - When the queue is full all the same, a customer who waits with more requests
-//     than another gives up its newest place, if it has had that for EvictWithin at
-//     most: who has waited longer is not refused after it.
+//   - When the queue is full all the same, a customer that waits with more requests than another
+//     loses its newest place, if it has had that for EvictWithin at most: a request that has waited
+//     longer keeps its place.
 //
 // State is bounded: customers share a fixed number of buckets by hash, so two
 // customers may share one turn. The hash is salted with the backend server's
@@ -106,7 +106,7 @@
 	// Not measured: it follows a change within some 16 requests.
 	averageWeight = 16
 	// initialServiceTime is assumed until a request has been run. Not measured: short, so that
-	// nothing is refused for a wait that nobody has seen.
+	// nothing is refused for a wait that was never seen.
 	initialServiceTime = 10 * time.Millisecond
 )
 
@@ -227,7 +227,7 @@
 	return !r.TargetAt.IsZero() && from.Add(usual).After(r.TargetAt)
 }
 
-// before returns how many wait that are served before one of that priority.
+// before returns how many waiting requests are served before a new one of that priority.
 func (q *Queue) before(priority int) int {
 	waiting := 0
 	for _, l := range q.lines {
@@ -247,8 +247,8 @@
 	return q.lines[at]
 }
 
-// wait returns how long the request at that place in the queue waits. Nobody knows when a
-// slot that is stalled comes free, so the others alone are counted on.
+// wait returns how long the request at that place in the queue waits. When a stalled slot
+// comes free is not known, so only the others are counted on.
 func (q *Queue) wait(place int) time.Duration {
 	over := q.running + place - q.config.Slots
 	if over <= 0 {
--- a/internal/admission/crowded.go
+++ b/internal/admission/crowded.go
@@ -20,7 +20,7 @@
 
 // roomForOthers is the most of the places that are left free for others. Source: where
 // hundreds of customers ask a little each, most of those seen in the last ActiveFor have
-// nothing to ask now, and a queue kept free for them all turns away whoever has one waiting: at
+// nothing to ask now, and a queue kept free for them all turns away those that have one waiting: at
 // 1.2 times the capacity that was 0.06 of all requests of 81 customers
 // (TestManyCustomersInTimeGoFirst), and is none.
 const roomForOthers = 0.5
@@ -78,8 +78,7 @@
 	return Decision{Verdict: Queued, Evicted: out.ID}
 }
 
-// leastUrgent returns the least urgent line in which somebody waits. The queue
-// is not empty.
+// leastUrgent returns the least urgent line in which a request waits. The queue is not empty.
 func (q *Queue) leastUrgent() *line {
 	for _, l := range slices.Backward(q.lines) {
 		if len(l.places) > 0 {
--- a/internal/admission/line.go
+++ b/internal/admission/line.go
@@ -8,7 +8,7 @@
 
 // line is the requests of one priority that wait. Their customers take turns, in rounds: in
 // each round a customer has one turn, and who comes first in a round is served first in it. So
-// requests of customers who ask little are served in the order in which they came, and one who
+// requests of customers who ask little are served in the order in which they came, and one that
 // floods waits behind them with all requests but one.
 type line struct {
 	priority int
@@ -34,12 +34,12 @@
 	l.waiting[bucket]++
 }
 
-// popTurn takes the request whose turn is next among those whose latency target is not before ready,
+// popTurn removes and returns the request whose turn is next among those whose latency target is not before ready,
 // which is when an answer could be there, or among all if there are none. The line is not
 // empty.
 //
-// Where many customers wait with one request each, a turn that goes to whoever is next, late
-// or not, leaves too few to those who can still be in time: of what 81 customers asked of a
+// Where many customers wait with one request each, a turn that goes to the next request, late
+// or not, leaves too few to those that can still be in time: of what 81 customers asked of a
 // backend server at 1.2 times its capacity, 0.63 was answered within its latency target and 0.19 later; so
 // it is 0.79 and 0.04, as with one customer (TestManyCustomersInTimeGoFirst).
 func (l *line) popTurn(ready time.Time) Request {
@@ -51,8 +51,8 @@
 	return l.take(next)
 }
 
-// firstTurn returns where the request is whose turn is next among those that the function
-// names; it is less than zero if there are none.
+// firstTurn returns the index of the request whose turn is next among those of which the function
+// is true; it is less than zero if there are none.
 func (l *line) firstTurn(which func(Request) bool) int {
 	first := -1
 	for i, p := range l.places {
@@ -63,7 +63,7 @@
 	return first
 }
 
-// take takes the request at that place out.
+// take removes the request at that index and returns it.
 func (l *line) take(at int) Request {
 	p := l.places[at]
 	l.places = slices.Delete(l.places, at, at+1)
@@ -78,7 +78,7 @@
 	return places
 }
 
-// newest returns where the bucket's newest request is; one waits.
+// newest returns the index of the bucket's newest request, of which there is one at least.
 func (l *line) newest(bucket int) int {
 	at := len(l.places) - 1
 	for l.places[at].bucket != bucket {
@@ -87,7 +87,7 @@
 	return at
 }
 
-// popNewest takes the bucket's newest request out, and gives its turn back.
+// popNewest removes the bucket's newest request and returns it; its turn is free again.
 func (l *line) popNewest(bucket int) Request {
 	at := l.newest(bucket)
 	l.next[bucket] = l.places[at].round
@@ -105,7 +105,7 @@
 	return longest
 }
 
-// remove takes out the requests that the function names and returns them.
+// remove removes the requests of which the function is true and returns their ids.
 func (l *line) remove(which func(Request) bool) []uint64 {
 	var removed []uint64
 	l.places = slices.DeleteFunc(l.places, func(p place) bool {
--- a/internal/admission/remove.go
+++ b/internal/admission/remove.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Expire takes out the waiting requests that have no hope or, in a crowded queue, will come
-// too late for their latency target, and returns them. A queue is crowded while more wait than there are
+// Expire removes the waiting requests that can no longer be answered by their deadline or, in a crowded
+// queue, by their latency target, and returns their ids. A queue is crowded while more wait than there are
 // slots.
 //
 // When a request will come is judged by its place now: what is more urgent may have come
@@ -31,12 +31,12 @@
 	return q.remove(func(r Request) bool { return out[r.ID] })
 }
 
-// Clear takes out every waiting request and returns them.
+// Clear removes every waiting request and returns their ids.
 func (q *Queue) Clear() []uint64 {
 	return q.remove(func(Request) bool { return true })
 }
 
-// remove takes out the waiting requests of which that is true, and returns them.
+// remove removes the waiting requests of which the function is true and returns their ids.
 func (q *Queue) remove(which func(Request) bool) []uint64 {
 	removed := make([]uint64, 0, q.waiting)
 	for _, l := range q.lines {
@@ -46,7 +46,7 @@
 	return removed
 }
 
-// Cancel takes a waiting request out and reports whether it was waiting.
+// Cancel removes a waiting request and reports whether it was waiting.
 func (q *Queue) Cancel(id uint64) bool {
 	return len(q.remove(func(r Request) bool { return r.ID == id })) > 0
 }
--- a/internal/detect/baseline.go
+++ b/internal/detect/baseline.go
@@ -11,12 +11,16 @@
 )
 
 const (
-	// normalFailure and normalSlow are the least rates that count as normal.
+	// normalFailure and normalSlow are the least rates of bad observations that count as normal:
+	// where the others show none, one would otherwise weigh without bound. Measured together with
+	// Rules, not alone.
 	normalFailure = 0.01
 	normalSlow    = 0.05
-	// maxNormal is the greatest, so that a sick share beyond it is left.
+	// maxNormal is the greatest rate that counts as normal, so that there is room for a sick one
+	// above it. Not measured.
 	maxNormal = 0.9
-	// minSamples is how many observations make a subject fit to compare with.
+	// minSamples is how many observations make a subject fit to compare others with. Not measured:
+	// at ten requests a minute to each it takes less than a minute.
 	minSamples = 8
 )
 
@@ -130,7 +134,8 @@
 // Baseline returns how the others than the one named did at the last Compare.
 func (g *Group) Baseline(name string) Baseline { return g.others[name] }
 
-// IsOutlier reports whether the suspicion of the backend server named is its own.
+// IsOutlier reports whether the backend server named does worse than the others; see
+// Subject.IsOutlier.
 func (g *Group) IsOutlier(name string) bool {
 	suspected, ok := g.subjects[name]
 	if !ok {
@@ -221,11 +226,12 @@
 }
 
 const (
-	// latencyStep is how far one time taken moves the middle, as a logarithm.
+	// latencyStep is how far one time taken moves the middle at most, as a natural logarithm: 3%.
+	// Measured together with Rules, not alone.
 	latencyStep = 0.03
-	// firstStep is the step while few times are known.
-	firstStep = 0.3
-	// firstSamples is how many those are.
+	// firstStep is the step for the first firstSamples times, so that the middle is found soon:
+	// 35% each. Measured together with Rules, not alone.
+	firstStep    = 0.3
 	firstSamples = 16
 )
 
--- a/internal/detect/detect.go
+++ b/internal/detect/detect.go
@@ -29,7 +29,7 @@
 //     floor) it takes no work for EjectionTime, longer if it was ejected of late. Leases are
 //     renewed; if too few are left it returns at once (Subject.Return).
 //  6. Probation (Subject.ObserveProbation). Then it gets one idempotent request at a time. A failed or slow
-//     one ejects it again, for twice as long; ProbationPasses good ones in a row return it.
+//     one ejects it again; ProbationPasses good ones in a row return it.
 //  7. Return (Subject.Return, Subject.Share). It begins without evidence, and gets a growing
 //     part of its slots during Ramp. One that answers well while suspected (package suspicion)
 //     returns at once with all of them (Subject.Restore).
--- a/internal/detect/ejection.go
+++ b/internal/detect/ejection.go
@@ -73,7 +73,7 @@
 }
 
 // ObserveProbation takes the outcome of a probation request and reports whether the subject has
-// returned. A failure, or a slow answer, ejects it again, for longer.
+// returned. A failure, or a slow answer, ejects it again.
 func (s *Subject) ObserveProbation(now time.Time, o Observation, others Baseline) bool {
 	if others.known() {
 		s.baseline = others
--- a/internal/detect/evidence.go
+++ b/internal/detect/evidence.go
@@ -19,8 +19,8 @@
 	longRate float64   // the same, further back
 }
 
-// rateWeight and longRateWeight are the weight of the newest observation in a
-// rate, as one part in so many.
+// rateWeight and longRateWeight are the weight of the newest observation in the recent and in
+// the longer rate, as one part in so many. Measured together with Rules, not alone.
 const (
 	rateWeight     = 10
 	longRateWeight = 100
--- a/internal/detect/rules.go
+++ b/internal/detect/rules.go
@@ -57,13 +57,13 @@
 	// has just recovered, or is hardly worse, in service. Measured together, not alone.
 	Margin float64
 	// EjectionTime is how long a subject stays ejected the first time: 5 s, 3 s. Each further
-	// ejection doubles it, up to EjectionTimeMax, 5 minutes; each EjectionMemory, 1 minute, in
-	// service takes one doubling back. Not measured: a backend server that is restarted is
+	// ejection doubles it, up to EjectionTimeMax, 5 minutes; each EjectionMemory, 1 minute, since
+	// the last return takes one doubling back. Not measured: a backend server that is restarted is
 	// back in seconds; one that keeps failing should not cost a probation every few seconds.
 	EjectionTime, EjectionTimeMax, EjectionMemory time.Duration
 	// ProbationPasses is how many good answers in a row end a probation: 5, 3. Not measured:
-	// one that fails a third of its requests passes five by chance once in eight, three once
-	// in three, and is ejected again for twice as long.
+	// one that fails a third of its requests passes five by chance once in eight, three three
+	// times in ten.
 	ProbationPasses int
 	// Ramp is how long a returned subject takes to get all its slots: 5 s, 3 s. Not measured:
 	// as long as its first ejection, so that one that is not well shows it on part of its work.
--- a/internal/detect/summary.go
+++ b/internal/detect/summary.go
@@ -41,13 +41,14 @@
 	return summary
 }
 
-// idleFactor is how many times the usual evidence is needed if none of the
-// others was asked anything meanwhile.
+// idleFactor is how many times the usual evidence is needed if none of the others was asked
+// anything meanwhile. Source: at ten requests a minute that took a fourth failure in 1 of 20
+// simulated runs (docs/design/0002-detection.md).
 const idleFactor = 2
 
-// IsOutlier reports whether the suspicion is the subject's own: at least one of the
-// others did well meanwhile, more did well than are suspects themselves, and
-// what bad answers they gave would not make the subject's likely.
+// IsOutlier reports whether the subject does worse than the others since it came under suspicion:
+// at least one of them did well, more did well than are suspects themselves, and the bad answers
+// that they gave would not make the subject's likely.
 func (s *Subject) IsOutlier(others []Summary) bool {
 	e := s.suspicion()
 	good, suspect := 0, 0
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -28,8 +28,8 @@
 //   - A request in quarantine is tried once more, by one daemon of the fleet, some time after its last
 //     end: many backend servers may have ended together by themselves. After that only an operator
 //     lifts it, or the answer of a run that began before.
-//   - Suspects are forgotten some time after their last end, and the end of a quarantine a day after it;
-//     what is quarantined is not.
+//   - A suspect is forgotten some time after its last change, and the end of a quarantine a day after it; what
+//     is quarantined is not.
 //
 // A Table is in table.go, the merge of records in record.go, lookups in view.go. None of them has a clock,
 // goroutine or socket.
@@ -55,6 +55,7 @@
 	// most bounds how many records are kept. Source: at 400 bytes each they take 1.6 MB of a daemon's
 	// 256 MB. Suspects go first, the oldest of them before the others.
 	most = 4096
-	// longestText bounds what is kept of a name or path for operators, in bytes.
+	// longestText bounds what is kept of a name or path for operators, in bytes. Not measured: enough to
+	// find the request in logs.
 	longestText = 200
 )
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -96,7 +96,8 @@
 	return r, ok
 }
 
-// Forget drops what has not changed for long and is no quarantine, and what is too much, and returns it.
+// Forget drops the records that are no longer needed, which it returns, and those beyond the most that are
+// kept.
 func (t *Table) Forget(now time.Time) []Record {
 	var forgotten []Record
 	for _, r := range t.records {
--- a/internal/quarantinesync/lift.go
+++ b/internal/quarantinesync/lift.go
@@ -7,7 +7,7 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// Lift ends a quarantine by an operator's word, and returns once the store has it.
+// Lift ends a quarantine for an operator, and returns once the store has it.
 func (s *Syncer) Lift(ctx context.Context, id string) (quarantine.Record, error) {
 	reply := make(chan answer, 1)
 	lifted, err := s.ask(ctx, liftMessage{id: id, reply: reply}, reply)
--- a/internal/quarantinesync/quarantinesync.go
+++ b/internal/quarantinesync/quarantinesync.go
@@ -48,7 +48,8 @@
 const (
 	// forgetEvery is how often old records are dropped. Not measured: they are kept for minutes.
 	forgetEvery = 10 * time.Second
-	// messagesWaiting is how many messages may wait for the task.
+	// messagesWaiting is how many messages may wait for the task. Not measured: an end of a backend server
+	// sends one for each request that ran there; a sender waits when there are more.
 	messagesWaiting = 256
 )
 
@@ -63,7 +64,7 @@
 	// tells a few others, each of which tells a few in turn.
 	Tell   func(service string, records []quarantine.Record)
 	Spread func(records []quarantine.Record)
-	// Watches reports whether it is this daemon's part to watch the store.
+	// Watches reports whether this daemon is one that watches the store.
 	Watches func() bool
 	// Logger receives numbered events.
 	Logger *slog.Logger
