--- a/internal/sidecar/lease.go
+++ b/internal/sidecar/lease.go
@@ -9,6 +9,26 @@
 	"github.com/tideliftd/tidelift/internal/floor"
 )
 
+// Peer carries the calls that keep the floor to the sidecar of another backend
+// server of the service.
+type Peer struct {
+	// Ask asks for a lease.
+	Ask func(ctx context.Context, other fleet.Placement, r floor.Request) (LeaseAnswer, error)
+	// Trusted tells ingresses that a backend server of this host is no longer
+	// suspected.
+	Trusted func(hosts []string, backendServer string)
+	// Release gives a lease back.
+	Release func(ctx context.Context, other fleet.Placement, r floor.Release) error
+}
+
+// LeaseAnswer answers a request for a lease.
+type LeaseAnswer struct {
+	// Refusal says why not; floor.Granted means that it was given.
+	Refusal floor.Refusal `json:"refusal"`
+	// Summary is how the one asked does itself.
+	Summary detect.Summary `json:"standing"`
+}
+
 // askTimeout bounds one call for a lease. Not measured: less than floor.RenewEvery, so that
 // a call ends before the next one is made.
 const askTimeout = 400 * time.Millisecond
--- a/internal/sidecar/report.go
+++ b/internal/sidecar/report.go
@@ -4,8 +4,38 @@
 	"time"
 
 	"github.com/tideliftd/tidelift/internal/detect"
+	"github.com/tideliftd/tidelift/internal/fleet"
 )
 
+// State is what the sidecar does with a backend server.
+type State string
+
+// The states.
+const (
+	// StateServing means that the backend server gets work.
+	StateServing State = "serving"
+	// StateEjected means that it gets none for a while.
+	StateEjected State = "ejected"
+	// StateProbation means that it gets one idempotent request at a time.
+	StateProbation State = "trial"
+	// StateDraining means that it gets no new work and is going.
+	StateDraining State = "leaving"
+)
+
+// Report is the state of one backend server as its sidecar sees it.
+type Report struct {
+	BackendServer string             `json:"backend_server"`
+	Service       string             `json:"service"`
+	Daemon        string             `json:"daemon"`
+	State         State              `json:"state"`
+	Adoption      fleet.Adoption     `json:"adoption"`
+	Running       int                `json:"running"`
+	Waiting       int                `json:"waiting"`
+	Load          float64            `json:"load"`
+	Floor         string             `json:"floor"`
+	Detection     detect.Explanation `json:"detection"`
+}
+
 // report is the state of the backend server for operators.
 func (t *task) report(now time.Time) Report {
 	return Report{
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -5,7 +5,8 @@
 // was run facts of one process. One task for each backend server owns them and
 // talks by messages. What it does is in files by theme:
 //
-//	sidecar.go     runs a request: slot, quarantine, sending, evidence
+//	sidecar.go     starts, changes and ends the tasks
+//	do.go          runs a request: slot, quarantine, sending, evidence
 //	handler.go     serves the requests of other daemons
 //	exchange.go    sends the request and checks the answer
 //	reservation.go keeps a slot for a request that must not run twice
@@ -40,17 +41,14 @@
 import (
 	"context"
 	"log/slog"
-	"net/http"
 	"sync"
 	"sync/atomic"
 	"time"
 
 	"github.com/uber-go/tally/v4"
 
-	"github.com/tideliftd/tidelift/internal/detect"
 	"github.com/tideliftd/tidelift/internal/experiment"
 	"github.com/tideliftd/tidelift/internal/fleet"
-	"github.com/tideliftd/tidelift/internal/hop"
 	"github.com/tideliftd/tidelift/internal/metric"
 	"github.com/tideliftd/tidelift/internal/quarantinesync"
 	"github.com/tideliftd/tidelift/internal/result"
@@ -109,16 +107,6 @@
 	headers atomic.Pointer[headers]
 }
 
-// Answer is a backend server's answer.
-type Answer struct {
-	// Response has a body that must be closed.
-	Response *http.Response
-	// Load is the load of the backend server; 1 means that every slot is taken.
-	Load float64
-	// Waited is how long the request waited for a slot.
-	Waited time.Duration
-}
-
 // New returns a sidecar without backend servers, and a function that ends its
 // tasks.
 func New(config Config) (*Sidecar, func()) {
@@ -212,93 +200,3 @@
 	}
 	return server, nil
 }
-
-// Do runs the caller's request on a backend server of this host.
-func (s *Sidecar) Do(ctx context.Context, call hop.Call, in *http.Request) (Answer, error) {
-	answer, err := s.do(ctx, call, in)
-	if err != nil {
-		s.refused.Inc(result.From(err).Code)
-	}
-	return answer, err
-}
-
-func (s *Sidecar) do(ctx context.Context, call hop.Call, in *http.Request) (Answer, error) {
-	others, err := detect.ParseBaseline(call.Baseline)
-	if err != nil {
-		return Answer{}, result.Wrap(result.MalformedRequest, err)
-	}
-	began := time.Now()
-	slot, err := s.slotToRun(ctx, call, in)
-	if err != nil {
-		return Answer{}, err
-	}
-	server := slot.server
-	end, err := s.begin(ctx, server, call, s.headers.Load().id(in.Header))
-	if err != nil {
-		slot.release()
-		return Answer{}, err
-	}
-	slot.begin(others, call)
-	response, err := s.exchange(ctx, server, call, in, began) //nolint:bodyclose // the answer carries the body to who closes it
-	if err != nil {
-		slot.failed(result.From(err))
-		s.recordLost(server, result.From(err), call, in, began)
-		slot.release()
-		end()
-		return Answer{}, err
-	}
-	slot.answered(response)
-	s.reportAnswered(response)
-	s.recordAnswered(server, call, in)
-	response.Body = hop.OnClose(response.Body, func() {
-		slot.release()
-		end()
-	})
-	return Answer{Response: response, Load: server.load(), Waited: slot.waited}, nil
-}
-
-// reportAnswered calls Config.Answered.
-func (s *Sidecar) reportAnswered(response *http.Response) {
-	if s.config.Answered != nil {
-		s.config.Answered(response.StatusCode < http.StatusInternalServerError)
-	}
-}
-
-// slotToRun returns a slot for the request, unless that is quarantined. A quarantined one is refused before it
-// waits for a slot; a slot that a reservation has kept for it is released.
-func (s *Sidecar) slotToRun(ctx context.Context, call hop.Call, in *http.Request) (*slot, error) {
-	if call.Reservation == "" {
-		if err := s.mayWait(call, in); err != nil {
-			return nil, err
-		}
-	}
-	slot, err := s.slotFor(ctx, call)
-	if err != nil {
-		return nil, err
-	}
-	if err := s.mayRun(ctx, call, in); err != nil {
-		slot.release()
-		return nil, err
-	}
-	return slot, nil
-}
-
-// slotFor returns the slot that the call's reservation kept, or waits for one.
-func (s *Sidecar) slotFor(ctx context.Context, call hop.Call) (*slot, error) {
-	if call.Reservation == "" {
-		return s.acquire(ctx, call)
-	}
-	return s.reservations.redeem(call, time.Now())
-}
-
-// acquire waits for a slot of the call's backend server.
-func (s *Sidecar) acquire(ctx context.Context, call hop.Call) (*slot, error) {
-	if s.stopping.Load() {
-		return nil, result.New(result.Stopping)
-	}
-	server, err := s.server(call.BackendServer)
-	if err != nil {
-		return nil, err
-	}
-	return server.acquire(ctx, s.nextID.Add(1), call)
-}
