--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -9,7 +9,7 @@
 // # Usage
 //
 //	q := admission.NewQueue(admission.Config{Slots: 10, Depth: 20})
-//	decision := q.Admit(now, &admission.Server{State: detect.Serving, Size: size}, admission.Request{ID: 1, Customer: "county-7"})
+//	decision := q.Admit(now, &admission.Server{State: detect.Serving, Size: size}, admission.Attempt{}, admission.Request{ID: 1, Customer: "county-7"})
 //	switch decision.Verdict { ... }
 //	granted, expired := q.Done(now, took)
 //
@@ -134,15 +134,6 @@
 	Usual time.Duration
 	// Deadline is when the answer has to be there.
 	Deadline time.Time
-	// NonIdempotent says that it must not run more than once.
-	NonIdempotent bool
-	// Retry says that it is an attempt beyond its caller's first.
-	Retry bool
-	// DespiteSuspicion says that nobody else takes it.
-	DespiteSuspicion bool
-	// RefuseIfHanging asks for a refusal if the backend server seems to hang, RefuseIfBusy in
-	// place of a wait.
-	RefuseIfHanging, RefuseIfBusy bool
 }
 
 // Decision says what becomes of a request.
--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -40,25 +40,38 @@
 	RetryAfter time.Duration
 }
 
-// Admit decides on one request: whether the backend server takes it at all, and then whether
+// Attempt is what a backend server has to know of an attempt beside its request for a slot.
+type Attempt struct {
+	// NonIdempotent says that the request must not run more than once.
+	NonIdempotent bool
+	// Retry says that the attempt is beyond its request's first.
+	Retry bool
+	// DespiteSuspicion says that nobody else takes the request.
+	DespiteSuspicion bool
+	// RefuseIfHanging asks for a refusal if the backend server seems to hang, RefuseIfBusy in
+	// place of a wait.
+	RefuseIfHanging, RefuseIfBusy bool
+}
+
+// Admit decides on one attempt: whether the backend server takes it at all, and then whether
 // it gets a slot or a place in the queue. The first rule that applies decides.
-func (q *Queue) Admit(now time.Time, s *Server, r Request) Decision {
+func (q *Queue) Admit(now time.Time, s *Server, a Attempt, r Request) Decision {
 	switch {
 	case s.Draining:
 		return Decision{Verdict: RefusedDraining}
-	case s.Suspicion.Suspected && !s.Suspicion.takes(&r):
+	case s.Suspicion.Suspected && !s.Suspicion.takes(a):
 		return Decision{Verdict: RefusedSuspected, RetryAfter: s.Suspicion.RetryAfter}
 	case s.isEjected() && s.State == detect.Ejected:
 		return Decision{Verdict: RefusedEjected, RetryAfter: retryafter.Ejected(s.EjectedFor)}
-	case s.isEjected() && (r.NonIdempotent || s.ProbationRuns):
+	case s.isEjected() && (a.NonIdempotent || s.ProbationRuns):
 		return Decision{Verdict: RefusedEjected, RetryAfter: retryafter.Probation}
-	case r.RefuseIfHanging && s.Hanging:
+	case a.RefuseIfHanging && s.Hanging:
 		return Decision{Verdict: RefusedHanging}
-	case r.Retry && !s.RetryLeft:
+	case a.Retry && !s.RetryLeft:
 		return Decision{Verdict: RefusedRetry}
 	}
 	q.Resize(s.Size)
-	if r.RefuseIfBusy && !q.HasSlot() {
+	if a.RefuseIfBusy && !q.HasSlot() {
 		return Decision{Verdict: RefusedBusy, RetryAfter: q.RetryAfter()}
 	}
 	decision := q.Offer(now, r)
@@ -75,11 +88,11 @@
 // takes reports whether a suspected backend server takes the request: one that nobody else
 // takes, an idempotent one of which a hedge is sent in time if it is slow here too, or one that
 // finds out how the backend server does.
-func (s *Suspicion) takes(r *Request) bool {
+func (s *Suspicion) takes(a Attempt) bool {
 	switch {
-	case r.DespiteSuspicion:
+	case a.DespiteSuspicion:
 		return true
-	case !r.NonIdempotent && (s.MostlySlow || s.MayProbe):
+	case !a.NonIdempotent && (s.MostlySlow || s.MayProbe):
 		return true
 	default:
 		return s.MayProbeWithAny
--- a/internal/admission/admit_test.go
+++ b/internal/admission/admit_test.go
@@ -13,7 +13,7 @@
 type admitCase struct {
 	name       string
 	server     admission.Server
-	request    admission.Request
+	attempt    admission.Attempt
 	running    int // of two slots
 	want       admission.Verdict
 	retryAfter time.Duration // not looked at where the queue decides
@@ -26,31 +26,31 @@
 	slow := admission.Suspicion{Suspected: true, MostlySlow: true}
 	probed := admission.Suspicion{Suspected: true, MayProbe: true}
 	risked := admission.Suspicion{Suspected: true, MayProbe: true, MayProbeWithAny: true}
-	once := admission.Request{NonIdempotent: true}
+	once := admission.Attempt{NonIdempotent: true}
 	return []admitCase{
 		{name: "nothing is known", want: admission.Granted},
 		{
 			name: "draining goes before all", server: admission.Server{Draining: true, Suspicion: suspected, State: detect.Ejected},
-			request: admission.Request{DespiteSuspicion: true}, want: admission.RefusedDraining,
+			attempt: admission.Attempt{DespiteSuspicion: true}, want: admission.RefusedDraining,
 		},
 		{name: "suspected", server: admission.Server{Suspicion: suspected}, want: admission.RefusedSuspected, retryAfter: suspectedFor},
 		{
 			name: "suspected, and nobody else takes it", server: admission.Server{Suspicion: suspected},
-			request: admission.Request{NonIdempotent: true, DespiteSuspicion: true}, want: admission.Granted,
+			attempt: admission.Attempt{NonIdempotent: true, DespiteSuspicion: true}, want: admission.Granted,
 		},
 		{name: "suspected as slow, idempotent", server: admission.Server{Suspicion: slow}, want: admission.Granted},
-		{name: "suspected as slow, not idempotent", server: admission.Server{Suspicion: slow}, request: once, want: admission.RefusedSuspected},
+		{name: "suspected as slow, not idempotent", server: admission.Server{Suspicion: slow}, attempt: once, want: admission.RefusedSuspected},
 		{name: "a probe is due, idempotent", server: admission.Server{Suspicion: probed}, want: admission.Granted},
-		{name: "a probe is due, not idempotent", server: admission.Server{Suspicion: probed}, request: once, want: admission.RefusedSuspected},
-		{name: "a probe is long due, not idempotent", server: admission.Server{Suspicion: risked}, request: once, want: admission.Granted},
+		{name: "a probe is due, not idempotent", server: admission.Server{Suspicion: probed}, attempt: once, want: admission.RefusedSuspected},
+		{name: "a probe is long due, not idempotent", server: admission.Server{Suspicion: risked}, attempt: once, want: admission.Granted},
 		{name: "suspicion goes before ejection", server: admission.Server{Suspicion: probed, State: detect.Ejected}, want: admission.Granted},
 		{
 			name: "ejected", server: admission.Server{State: detect.Ejected, EjectedFor: 400 * time.Millisecond},
-			request: admission.Request{DespiteSuspicion: true}, want: admission.RefusedEjected, retryAfter: 400 * time.Millisecond,
+			attempt: admission.Attempt{DespiteSuspicion: true}, want: admission.RefusedEjected, retryAfter: 400 * time.Millisecond,
 		},
 		{name: "in probation", server: admission.Server{State: detect.Probation}, want: admission.Granted, probation: true},
 		{
-			name: "in probation, not idempotent", server: admission.Server{State: detect.Probation}, request: once,
+			name: "in probation, not idempotent", server: admission.Server{State: detect.Probation}, attempt: once,
 			want: admission.RefusedEjected, retryAfter: retryafter.Probation,
 		},
 		{
@@ -61,14 +61,14 @@
 		{name: "hanging", server: admission.Server{Hanging: true}, want: admission.Granted},
 		{
 			name: "hanging, and it asks not to be taken", server: admission.Server{Hanging: true},
-			request: admission.Request{RefuseIfHanging: true, Retry: true}, want: admission.RefusedHanging,
+			attempt: admission.Attempt{RefuseIfHanging: true, Retry: true}, want: admission.RefusedHanging,
 		},
 		{name: "no retry is left, a first attempt", want: admission.Granted},
-		{name: "no retry is left, a retry", request: admission.Request{Retry: true, RefuseIfBusy: true}, running: 2, want: admission.RefusedRetry},
-		{name: "a retry is left", server: admission.Server{RetryLeft: true}, request: admission.Request{Retry: true}, want: admission.Granted},
+		{name: "no retry is left, a retry", attempt: admission.Attempt{Retry: true, RefuseIfBusy: true}, running: 2, want: admission.RefusedRetry},
+		{name: "a retry is left", server: admission.Server{RetryLeft: true}, attempt: admission.Attempt{Retry: true}, want: admission.Granted},
 		{name: "busy", running: 2, want: admission.Queued},
 		{
-			name: "busy, and it does not wait", running: 2, request: admission.Request{RefuseIfBusy: true},
+			name: "busy, and it does not wait", running: 2, attempt: admission.Attempt{RefuseIfBusy: true},
 			want: admission.RefusedBusy, retryAfter: 5 * time.Millisecond,
 		},
 	}
@@ -88,9 +88,7 @@
 			if server.State == "" {
 				server.State = detect.Serving
 			}
-			asked := test.request
-			asked.ID, asked.Deadline = 9, start.Add(time.Minute)
-			got := q.Admit(start, &server, asked)
+			got := q.Admit(start, &server, test.attempt, request(9, ""))
 			if got.Verdict != test.want || got.Probation != test.probation || got.RetryAfter != test.retryAfter {
 				t.Fatalf("got %+v, want %s in %v, probation %t", got, test.want, test.retryAfter, test.probation)
 			}
@@ -104,7 +102,7 @@
 	q := admission.NewQueue(admission.Config{Slots: 4, Depth: 4})
 	q.Offer(start, request(1, "county-7"))
 	ramping := admission.Server{State: detect.Serving, Size: admission.Config{Slots: 1, Depth: 4}}
-	if got := q.Admit(start, &ramping, request(2, "county-7")); got.Verdict != admission.Queued {
+	if got := q.Admit(start, &ramping, admission.Attempt{}, request(2, "county-7")); got.Verdict != admission.Queued {
 		t.Fatalf("a second request at one slot: %s", got.Verdict)
 	}
 }
@@ -115,7 +113,7 @@
 	server := admission.Server{State: detect.Serving, Size: size}
 	b.ReportAllocs()
 	for b.Loop() {
-		q.Admit(start, &server, request(1, "county-7"))
+		q.Admit(start, &server, admission.Attempt{}, request(1, "county-7"))
 		q.Done(start, time.Millisecond)
 	}
 }
--- a/internal/sidecar/acquire.go
+++ b/internal/sidecar/acquire.go
@@ -11,15 +11,21 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// newRequest returns what the call asks of admission.
+// newRequest returns the call's request for a slot.
 func newRequest(id uint64, call hop.Call, deadline time.Time) admission.Request {
 	return admission.Request{
-		ID:               id,
-		Customer:         call.Customer,
-		Priority:         call.Priority,
-		TargetAt:         deadline.Add(call.TargetLeft - call.TimeLeft),
-		Usual:            call.Usual,
-		Deadline:         deadline,
+		ID:       id,
+		Customer: call.Customer,
+		Priority: call.Priority,
+		TargetAt: deadline.Add(call.TargetLeft - call.TimeLeft),
+		Usual:    call.Usual,
+		Deadline: deadline,
+	}
+}
+
+// newAttempt returns what the call says of the attempt.
+func newAttempt(call hop.Call) admission.Attempt {
+	return admission.Attempt{
 		NonIdempotent:    call.NonIdempotent,
 		Retry:            call.Retry,
 		DespiteSuspicion: call.DespiteSuspicion,
@@ -33,7 +39,7 @@
 	asked := time.Now()
 	request := newRequest(id, call, asked.Add(call.TimeLeft))
 	reply := make(chan grant, 1)
-	if !s.send(offerMessage{request: request, host: call.Host, reply: reply}) {
+	if !s.send(offerMessage{attempt: newAttempt(call), request: request, host: call.Host, reply: reply}) {
 		return nil, result.New(result.Draining)
 	}
 	select {
--- a/internal/sidecar/admit.go
+++ b/internal/sidecar/admit.go
@@ -11,7 +11,7 @@
 // offer has admission decide on one request and carries the decision out.
 func (t *task) offer(now time.Time, m *offerMessage) {
 	known := t.known(now, m)
-	decision := t.queue.Admit(now, &known, m.request)
+	decision := t.queue.Admit(now, &known, m.attempt, m.request)
 	if decision.Evicted != 0 {
 		t.reply(decision.Evicted, refused(result.PlaceLost, t.queue.RetryAfter()))
 	}
@@ -46,8 +46,8 @@
 		s.EjectedFor = t.subject.EjectedFor(now)
 		s.ProbationRuns = t.probationRuns
 	}
-	s.Hanging = m.request.RefuseIfHanging && t.suspicion.Hanging(now)
-	s.RetryLeft = m.request.Retry && t.config.Retries.MayRun(now, t.declared.Service.Name)
+	s.Hanging = m.attempt.RefuseIfHanging && t.suspicion.Hanging(now)
+	s.RetryLeft = m.attempt.Retry && t.config.Retries.MayRun(now, t.declared.Service.Name)
 	s.Size = t.size(now)
 	return s
 }
--- a/internal/sidecar/messages.go
+++ b/internal/sidecar/messages.go
@@ -12,6 +12,7 @@
 // The messages that a server's task takes.
 type (
 	offerMessage struct {
+		attempt admission.Attempt
 		request admission.Request
 		host    string // the ingress's
 		reply   chan grant
--- a/internal/sidecar/retries_test.go
+++ b/internal/sidecar/retries_test.go
@@ -28,7 +28,7 @@
 
 // offer offers the task a request and returns what it says.
 func offer(t *task, now time.Time, id uint64, call hop.Call) grant {
-	m := offerMessage{request: newRequest(id, call, now.Add(time.Minute)), reply: make(chan grant, 1)}
+	m := offerMessage{attempt: newAttempt(call), request: newRequest(id, call, now.Add(time.Minute)), reply: make(chan grant, 1)}
 	t.offer(now, &m)
 	return <-m.reply
 }
