--- a/internal/floor/floor.go
+++ b/internal/floor/floor.go
@@ -1,12 +1,11 @@
 // Package floor keeps a service's floor while backend servers are ejected.
 //
-// Only a backend server's own sidecar ejects it. Before it does, it must
-// hold leases to keep serving from at least as many other backend servers of
-// the service as the floor says. Whoever granted one does
-// not eject itself until it has run out. So the backend servers that are
-// not ejected are never fewer than the floor, whoever asks whom, whatever
-// messages are lost, and whether the platform answers or not. What is lost is
-// speed: a backend server that cannot collect leases stays in service.
+// Only a backend server's own sidecar ejects it. Before it does, it must hold leases to keep
+// serving from at least as many other backend servers of the service as the floor says. A backend
+// server that granted one is not ejected itself until the lease has run out. So those that are not
+// ejected are never fewer than the floor, in whatever order they ask, whichever messages are lost,
+// and whether the platform answers or not. What is lost is speed: a backend server that cannot
+// collect leases stays in service.
 //
 // When a backend server is ejected and when it comes back is told in package detect; this
 // package has the step between a verdict and the ejection. A Ledger is the leases of one backend
@@ -44,7 +43,7 @@
 	// is lost counts towards the floor for as long, and a sidecar that has just started is not
 	// ejected for as long.
 	Lease = 2 * time.Second
-	// RenewEvery is how often a holder asks again. Not measured: three renewals may be lost
+	// RenewEvery is how often a holder asks again. Not measured: two renewals may be lost
 	// before a lease runs out; each costs as many calls as the floor.
 	RenewEvery = 500 * time.Millisecond
 	// DriftPart is the part of a lease that a holder leaves unused, as one part in so many: 100 ms,
--- a/internal/quarantinesync/schedule.go
+++ b/internal/quarantinesync/schedule.go
@@ -73,7 +73,7 @@
 	return batch
 }
 
-// wakeForNext has the task look again when the next write is due.
+// wakeForNext wakes the task when the next write is due.
 func (t *task) wakeForNext(now time.Time) {
 	wait := time.Duration(-1)
 	for _, due := range t.due {
--- a/internal/quarantinesync/write.go
+++ b/internal/quarantinesync/write.go
@@ -101,7 +101,7 @@
 	return record, errors.Wrapf(store.ErrConflict, "write what is held against request %s", record.ID)
 }
 
-// decodeFound reads what the store has of a record, if it has something.
+// decodeFound decodes the store's record, if it has one.
 func (s *Syncer) decodeFound(item store.Item) (quarantine.Record, bool) {
 	if item.Data == nil {
 		return quarantine.Record{}, false
@@ -109,7 +109,7 @@
 	return s.decode(item)
 }
 
-// putOf returns what writes the record. What was ever quarantined stays until it is forgotten everywhere; the
+// putOf returns the entry that writes the record. What was ever quarantined stays until it is forgotten everywhere; the
 // rest ends with a lease.
 func (s *Syncer) putOf(ctx context.Context, record quarantine.Record) (store.Put, error) {
 	data, err := json.Marshal(record)
