--- a/internal/attempts/choose.go
+++ b/internal/attempts/choose.go
@@ -27,10 +27,10 @@
 	// or none, looks again. Source: one is trusted again within some tens of milliseconds of the
 	// first proof.
 	LookAgainAfter = 50 * time.Millisecond
-	// lookAgainPart is the part of the time in which an answer is worth most that a request may
-	// look for a backend server that is not suspected. Source: a refusal is best given within a
-	// quarter of that time.
-	lookAgainPart = 4
+	// lookAgainDivisor divides the time in which an answer is worth most into what a request may
+	// spend on the search for a backend server that is not suspected. Source: a refusal is best
+	// given within a quarter of that time.
+	lookAgainDivisor = 4
 )
 
 // Choice is whom to ask next, and how.
@@ -131,6 +131,6 @@
 
 // mayLookAgain reports whether the request has the time for another look.
 func (t Terms) mayLookAgain(now time.Time) bool {
-	patience := t.TargetAt.Sub(t.Began) / lookAgainPart
+	patience := t.TargetAt.Sub(t.Began) / lookAgainDivisor
 	return patience-now.Sub(t.Began) > LookAgainAfter
 }
--- a/internal/ingress/judge.go
+++ b/internal/ingress/judge.go
@@ -44,20 +44,20 @@
 	ended        chan struct{}
 	dropped      tally.Counter
 
-	declared fleet.Service
-	group    *detect.Group
-	held     map[string]bool // sick, and kept by the floor
-	idle     bool
-	lastSeen time.Time // of the last observation
+	declared    fleet.Service
+	group       *detect.Group
+	keptByFloor map[string]bool // sick, and kept by the floor
+	idle        bool
+	lastSeen    time.Time // of the last observation
 }
 
 // observation is what a request saw of a target. A probation is the request that
 // an avoided target is given to show that it has recovered.
 type observation struct {
-	target    *balance.Target
-	probation bool
-	seen      bool // false if the request says nothing of the target
-	saw       detect.Observation
+	target     *balance.Target
+	probation  bool
+	isEvidence bool // false if the request says nothing of the target
+	saw        detect.Observation
 }
 
 type question struct {
@@ -81,7 +81,7 @@
 		ended:        make(chan struct{}),
 		dropped:      config.Scope.Counter("ingress_observations_dropped"),
 		group:        detect.NewGroup(detect.Careful()),
-		held:         make(map[string]bool),
+		keptByFloor:  make(map[string]bool),
 	}
 	go j.run()
 	return j
@@ -138,7 +138,7 @@
 				pace.Reset(judgeEvery)
 			}
 		case declared := <-j.changes:
-			j.change(declared)
+			j.apply(declared)
 		case q := <-j.questions:
 			q.reply <- j.answer(time.Now(), q.backendServer)
 		case <-j.ended:
@@ -147,7 +147,7 @@
 	}
 }
 
-func (j *judge) change(declared fleet.Service) {
+func (j *judge) apply(declared fleet.Service) {
 	j.declared = declared
 	names := make([]string, 0, len(declared.BackendServers))
 	for _, b := range declared.BackendServers {
@@ -163,13 +163,13 @@
 		return
 	}
 	if !o.probation {
-		if o.seen && subject.State(now) == detect.Serving {
+		if o.isEvidence && subject.State(now) == detect.Serving {
 			subject.Observe(now, o.saw, j.group.Baseline(o.target.Name))
 		}
 		return
 	}
 	o.target.CloseProbation()
-	if !o.seen || subject.State(now) != detect.Probation {
+	if !o.isEvidence || subject.State(now) != detect.Probation {
 		return
 	}
 	if subject.Try(now, o.saw, j.group.Baseline(o.target.Name)) {
@@ -179,7 +179,7 @@
 
 // settled reports whether nothing will change without a request.
 func (j *judge) settled(now time.Time) bool {
-	if now.Sub(j.lastSeen) < idleAfter || len(j.held) > 0 {
+	if now.Sub(j.lastSeen) < idleAfter || len(j.keptByFloor) > 0 {
 		return false
 	}
 	for _, target := range j.pool.Targets() {
@@ -265,14 +265,14 @@
 	name := s.target.Name
 	paused := j.pool.Paused(s.target, now)
 	if left <= 0 && !paused {
-		if !j.held[name] {
-			j.held[name] = true
+		if !j.keptByFloor[name] {
+			j.keptByFloor[name] = true
 			j.log(event.FloorHeld, s.target, "cause", s.verdict.Cause)
 		}
 		return left
 	}
 	s.subject.Eject(now)
-	delete(j.held, name)
+	delete(j.keptByFloor, name)
 	j.log(event.ServerAvoided, s.target, "cause", s.verdict.Cause)
 	if paused {
 		return left
@@ -295,11 +295,11 @@
 
 func (j *judge) servingShare(now time.Time, target *balance.Target, subject *detect.Subject) uint32 {
 	share := uint32(subject.Share(now) * balance.FullShare)
-	if !j.held[target.Name] {
+	if !j.keptByFloor[target.Name] {
 		return share
 	}
 	if !subject.Verdict(now).Sick {
-		delete(j.held, target.Name)
+		delete(j.keptByFloor, target.Name)
 		return share
 	}
 	return min(share, reducedShare)
@@ -311,7 +311,7 @@
 		return explanation{}
 	}
 	floor := fmt.Sprintf("floor %d", j.declared.Floor)
-	if j.held[backendServer] {
+	if j.keptByFloor[backendServer] {
 		floor += ": kept in use with a reduced share"
 	}
 	return explanation{Explanation: subject.Explain(now), floor: floor, known: true}
--- a/internal/ingress/learn.go
+++ b/internal/ingress/learn.go
@@ -29,14 +29,14 @@
 	if a.RefuseIfBusy {
 		a.request.service.pool.Looked(true)
 	}
-	outcome, seen := detect.FromAnswer(answer.Response)
+	outcome, isEvidence := detect.FromAnswer(answer.Response)
 	switch {
-	case seen && outcome != detect.OK:
+	case isEvidence && outcome != detect.OK:
 		a.Target.Fail()
-	case seen:
+	case isEvidence:
 		a.request.latency.Good(took)
 	}
-	a.report(detect.Observation{Outcome: outcome, Took: took, WasOverdue: a.overdue.Load()}, seen)
+	a.report(detect.Observation{Outcome: outcome, Took: took, WasOverdue: a.overdue.Load()}, isEvidence)
 }
 
 // learnFromFailure records what a failure shows, and passes a target over for a while that refuses.
@@ -56,16 +56,16 @@
 	case failures.NoWork:
 		pool.Pause(a.Target, time.Now().Add(pauseFor(failure)))
 	case failures.HostUnreachable, failures.HostSilent:
-		a.lostHost(meaning.Target)
+		a.passOverHost(meaning.Target)
 	case failures.Unreachable:
 		pool.Pause(a.Target, time.Now().Add(unreachablePause))
 	case failures.Unchanged, failures.QueueFull, failures.Hanging, failures.NoRetries: // nothing that outlasts the request
 	}
 }
 
-// lostHost passes the backend servers of the target's host over, which could not be reached, until
+// passOverHost passes the backend servers of the target's host over, which could not be reached, until
 // it answers; without a way to ask it only this one, for a moment.
-func (a *attempt) lostHost(state failures.Target) {
+func (a *attempt) passOverHost(state failures.Target) {
 	if a.in.config.Ping != nil {
 		a.in.reach.recordLost(a.Target.Placement().Host)
 		return
@@ -76,14 +76,14 @@
 }
 
 // report gives the service's judge what the attempt saw.
-func (a *attempt) report(saw detect.Observation, seen bool) {
-	if !seen && !a.Probation {
+func (a *attempt) report(saw detect.Observation, isEvidence bool) {
+	if !isEvidence && !a.Probation {
 		return
 	}
 	if a.Probation && saw.Outcome == detect.Overdue {
 		return // the probation's end says more
 	}
-	a.request.service.judge.record(observation{target: a.Target, probation: a.Probation, seen: seen, saw: saw})
+	a.request.service.judge.record(observation{target: a.Target, probation: a.Probation, isEvidence: isEvidence, saw: saw})
 }
 
 // stayAway is how long to keep away from a suspected target. Those near it find out
--- a/internal/ingress/reservation.go
+++ b/internal/ingress/reservation.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// reservationPart is the part of the time left that a reservation may take if it does
-	// not wait for a slot: what is left then is enough to try another backend
+	// reservationDivisor divides the time left into what a reservation may take that does not
+	// wait for a slot: a third. Not measured: what is left then is enough to try another backend
 	// server.
-	reservationPart = 3
+	reservationDivisor = 3
 	// reservationWithin bounds it further. Source: ten round trips between data
 	// centres, and a lost packet's first retransmission after 200 ms.
 	reservationWithin = 400 * time.Millisecond
@@ -42,7 +42,7 @@
 	if !call.RefuseIfBusy {
 		return call.TimeLeft
 	}
-	return min(call.TimeLeft/reservationPart, reservationWithin)
+	return min(call.TimeLeft/reservationDivisor, reservationWithin)
 }
 
 // askReservation asks the daemon at the address for a reservation. Asking runs nothing, so whatever becomes of it,
