--- a/internal/attempts/attempts.go
+++ b/internal/attempts/attempts.go
@@ -1,5 +1,6 @@
 // Package attempts decides what becomes of a request that is sent to one backend server after
-// another: whether it may be tried again, whom it goes to, and what its caller is told in the end.
+// another: whether it may be tried again, which backend server gets it, when a hedge of it is sent,
+// and what its caller is told in the end.
 //
 // A History is what became of a request's attempts so far; it belongs to whoever serves the
 // request. Everything else is given: the Terms of the request and the time. The package has no
@@ -33,7 +34,7 @@
 //   - What another backend server would not change is final: the customer's own limits, the
 //     deadline, a caller that went away, a malformed request.
 //
-// Whom does it go to (choose.go)? The first of these that there is:
+// Which backend server gets it (choose.go)? The first of these that there is:
 //
 //   - for an idempotent request's first attempt, a backend server that is to show whether it is
 //     well again;
@@ -42,7 +43,8 @@
 //   - a suspected one, unless queues are full.
 //
 // When is a hedge sent, and where (hedge.go)? Once the attempt sent last is slow, if the request may
-// run more than once and has attempts left, to a backend server that keeps a slot for it.
+// run more than once and has attempts left, to a backend server that keeps a slot for it. The first
+// answer ends all others; an attempt that began before the one that was answered is overdue.
 package attempts
 
 import (
--- a/internal/attempts/choose.go
+++ b/internal/attempts/choose.go
@@ -33,7 +33,7 @@
 	lookAgainDivisor = 4
 )
 
-// Choice is whom to ask next, and how.
+// Choice is the backend server to ask next, and how.
 type Choice struct {
 	// Target is the backend server; nil if there is none to ask.
 	Target *balance.Target
@@ -43,14 +43,14 @@
 	RefuseIfBusy bool
 	// RefuseIfHanging asks for a refusal if the target seems to hang.
 	RefuseIfHanging bool
-	// DespiteSuspicion says that nobody else is left, so that suspicion is no reason to refuse.
+	// DespiteSuspicion says that no other is left, so that suspicion is no reason to refuse.
 	DespiteSuspicion bool
 	// LookAgain says that the request has the time to choose again after LookAgainAfter, when a
 	// better target may be found.
 	LookAgain bool
 }
 
-// Choose returns whom to ask next. A target that is on probation, that is to show whether it is
+// Choose returns the backend server to ask next. A target that is on probation, that is to show whether it is
 // well or that the request waits at is taken: no other choice has it.
 func Choose(now time.Time, t Terms, h *History) Choice {
 	c := choose(now, t, h)
@@ -123,7 +123,7 @@
 }
 
 // mayFindAnother reports whether another look may find a better target: not if queues are full or
-// everybody was tried. Where nobody is known yet somebody may soon be.
+// all were tried. Where no backend server is known yet, one may soon be.
 func (h *History) mayFindAnother(pool *balance.Pool) bool {
 	known := len(pool.Targets())
 	return h.FullQueues == 0 && (known == 0 || len(h.Tried) < known)
--- a/internal/attempts/hedge.go
+++ b/internal/attempts/hedge.go
@@ -94,7 +94,7 @@
 	return target
 }
 
-// Sent records that the request is sent to the target, be it as a hedge.
+// Sent records that the request is sent to the target, as a hedge or before any.
 func (g *Hedging) Sent(target *balance.Target) { g.avoid = append(g.avoid, target) }
 
 // Refused records that the target kept no slot for a hedge.
--- a/internal/attempts/history.go
+++ b/internal/attempts/history.go
@@ -60,7 +60,7 @@
 // recordTarget enters what the failure says of the target, and whether it may be chosen again.
 func (h *History) recordTarget(target *balance.Target, state failures.Target, wait time.Duration, far bool) {
 	switch state {
-	case failures.Suspected: // may be chosen again once it is trusted, or if nobody else is left
+	case failures.Suspected: // may be chosen again once it is trusted, or if no other is left
 		return
 	case failures.Hanging: // may be chosen again if others hang too
 		h.Hanging = append(h.Hanging, target)
--- a/internal/attempts/retry.go
+++ b/internal/attempts/retry.go
@@ -31,7 +31,7 @@
 	case meaning.Target == failures.QueueFull:
 		return h.FullQueues < MaxQueues || t.Subrequest
 	case !meaning.Reached:
-		return true
+		return true // the refusal cost no backend server anything
 	case h.Sent >= t.MaxSent || h.NoRetries >= maxNoRetries:
 		return false
 	default:
@@ -51,9 +51,9 @@
 // Failure is what the caller is told after the last failure.
 func (h *History) Failure() *result.Error { return h.worstOf(h.Last) }
 
-// NoneLeft is what the caller is told if nobody is left to ask, of so many backend servers that
-// are known: the last failure, unless there was none or the last one asked takes no work.
-// passedOver says who was passed over.
+// NoneLeft is what the caller is told if no backend server is left to ask, of so many that are
+// known: the last failure, unless there was none or the last one asked takes no work.
+// passedOver says for which reasons some were passed over.
 func (h *History) NoneLeft(known int, passedOver string) *result.Error {
 	if h.Last == nil || failures.Of(h.Last.Code).TakesNoWork() {
 		return h.worstOf(result.New(result.NoneAble).WithRetryAfter(retryafter.NoneAble).
--- a/internal/failures/failures.go
+++ b/internal/failures/failures.go
@@ -40,7 +40,7 @@
 	Hanging Target = "hanging"
 	// NoRetries: the services that it calls have no room for the calls of a retry.
 	NoRetries Target = "no-retries"
-	// NoWork: it takes no requests now, be it from anybody or from this daemon.
+	// NoWork: it takes no requests now, or none of this daemon.
 	NoWork Target = "no-work"
 	// HostUnreachable: no connection to its host could be made.
 	HostUnreachable Target = "host-unreachable"
--- a/internal/ingress/admit.go
+++ b/internal/ingress/admit.go
@@ -172,7 +172,7 @@
 	return min(match.Deadline, time.Duration(millis)*time.Millisecond), nil
 }
 
-// addForwarded says whom the request came from.
+// addForwarded adds the headers that say where the request came from.
 func addForwarded(r *http.Request) {
 	caller, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
--- a/internal/ingress/attempts.go
+++ b/internal/ingress/attempts.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// choose returns whom to ask next. It waits while a better choice may be found.
+// choose returns the backend server to ask next. It waits while a better choice may be found.
 func (in *Ingress) choose(ctx context.Context, r *request, p *progress) attempts.Choice {
 	choice := attempts.Choose(time.Now(), r.terms, &p.History)
 	for choice.LookAgain && wait.For(ctx, attempts.LookAgainAfter) {
--- a/internal/ingress/customer.go
+++ b/internal/ingress/customer.go
@@ -9,7 +9,7 @@
 	"github.com/tideliftd/tidelift/internal/route"
 )
 
-// identity is for whom a request is.
+// identity is the customer of a request.
 type identity struct {
 	// name is the customer's; empty if there is none.
 	name string
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -22,7 +22,7 @@
 //     goes before other work (putSubrequestFirst, and subrequest.go for how that is learned).
 //  3. A short body is read whole, so that it can be sent again (package body).
 //  4. tryAll (attempts.go) sends it to one backend server after another. Package attempts decides:
-//     Choose, whom it goes to; MayRetry, whether there is another attempt after a failure; Failure and
+//     Choose, which backend server gets it; MayRetry, whether there is another attempt after a failure; Failure and
 //     NoneLeft, what the caller is told in the end. The ingress waits before another look, takes a
 //     retry from the service's limit (limit.go) and logs.
 //  5. runRace (race.go) runs one attempt and, if it is slow, hedges of it, as attempts.Hedging decides.
@@ -106,7 +106,7 @@
 	// Silent is told of a host that has not answered for long.
 	Silent func(fleet.Host)
 	// Subrequest is told what is seen of routes that the backend servers of this host may
-	// call; nil if nobody is told.
+	// call; nil if it is of no use.
 	Subrequest func([]subrequest.Evidence)
 	// AdmitCustomer decides whether a request of the customer is within its limit, and GiveBack
 	// takes that back for one that reached no backend server; nil if there are no limits.
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -16,7 +16,7 @@
 	carriedOver = 0.25
 	// slackPart is the part of the slack that hosts may use without a request that earned it. Source:
 	// the rest is for hosts that have not been heard of, a third of those that have, and for calls
-	// that nobody expected.
+	// that were not expected.
 	slackPart = 0.75
 	// oneRetry is what a retry costs.
 	oneRetry = 1
@@ -50,7 +50,7 @@
 // slack before all that it spent of it in its last incarnation is out of the window.
 func NewBudget(began time.Time) *Budget { return &Budget{began: began} }
 
-// Clear records that nobody used this host's part of the slack for that long before the daemon began,
+// Clear records that this host's part of the slack was not used for that long before the daemon began,
 // so that it need not wait as long for it.
 func (b *Budget) Clear(before time.Duration) { b.slackUnusedFor = before }
 
--- a/internal/retry/budgets.go
+++ b/internal/retry/budgets.go
@@ -72,7 +72,7 @@
 	// learned before are in callsBefore, which is forgotten once calls are older than learnedFor.
 	calls, callsBefore map[callPath]int
 	callsSince         time.Time
-	slackUnusedFor     time.Duration // before the daemon began; nobody used this host's part of the slack then
+	slackUnusedFor     time.Duration // before the daemon began; this host's part of the slack was not used then
 }
 
 // NewBudgets returns the budgets of one host. It allows nothing until Resize.
