--- a/internal/latency/latency.go
+++ b/internal/latency/latency.go
@@ -11,9 +11,9 @@
 //
 // # Usage
 //
-//	p := latency.New()
-//	p.Good(180 * time.Millisecond)         // for each good answer
-//	slow := p.SlowAfter(400 * time.Millisecond) // the route's latency target
+//	estimate := latency.New()
+//	estimate.Good(180 * time.Millisecond)         // for each good answer
+//	slow := estimate.SlowAfter(400 * time.Millisecond) // the route's latency target
 //
 // # Rules
 //
@@ -33,8 +33,8 @@
 )
 
 const (
-	// shortest is the upper bound of the first class.
-	shortest = time.Millisecond
+	// firstBound is the upper bound of the first class.
+	firstBound = time.Millisecond
 	// classes is how many there are; the last counts what is longer. Source: 1 ms times
 	// 1.125 to the 120th is 23 minutes.
 	classes = 120
@@ -43,19 +43,19 @@
 	// Memory is how many answers are counted before all counts are halved. Source: some
 	// minutes of a route at one daemon of a small fleet.
 	Memory = 200
-	// enough is how many answers have to be known for a quantile to say something.
-	enough = 8
-	// most and nearly are the shares of good answers that a request has outlasted when it
+	// minAnswers is how many answers have to be known for a quantile to say something.
+	minAnswers = 8
+	// earliestQuantile and slowQuantile are the shares of good answers that a request has outlasted when it
 	// may be slow and when it is. Source: of requests that run as long as nearly all, one
 	// in twenty would have been answered in a moment; a hedge for these is a
 	// quarter of what a service's retry limit usually allows.
-	most   = 0.75
-	nearly = 0.95
-	// middle is the quantile that a hedge is expected to take.
-	middle = 0.5
-	// untaught is the part of the target after which a request is slow while too little
+	earliestQuantile = 0.75
+	slowQuantile     = 0.95
+	// median is the quantile that a hedge is expected to take.
+	median = 0.5
+	// shareOfTarget is the part of the target after which a request is slow while too little
 	// is known: the other half is for a hedge.
-	untaught = 0.5
+	shareOfTarget = 0.5
 )
 
 // Estimate is what is known of one route's good answers.
@@ -69,56 +69,56 @@
 func New() *Estimate { return &Estimate{} }
 
 // Good records how long a good answer took.
-func (p *Estimate) Good(took time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.counts[classOf(took)]++
-	p.sum++
-	if p.sum >= Memory {
-		p.fade()
+func (e *Estimate) Good(took time.Duration) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.counts[classOf(took)]++
+	e.sum++
+	if e.sum >= Memory {
+		e.fade()
 	}
 }
 
 // fade halves all counts.
-func (p *Estimate) fade() {
-	for i := range p.counts {
-		p.counts[i] /= 2
+func (e *Estimate) fade() {
+	for i := range e.counts {
+		e.counts[i] /= 2
 	}
-	p.sum /= 2
+	e.sum /= 2
 }
 
 // SlowAfter returns how long a request of the route runs before it is slow. Without a target
 // and with too little known it returns zero: nothing is slow.
-func (p *Estimate) SlowAfter(target time.Duration) time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.sum < enough {
-		return time.Duration(untaught * float64(target))
+func (e *Estimate) SlowAfter(target time.Duration) time.Duration {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.sum < minAnswers {
+		return time.Duration(shareOfTarget * float64(target))
 	}
-	slowAfter := p.quantile(nearly)
-	if inTime := target - p.quantile(middle); target > 0 && inTime < slowAfter {
-		slowAfter = max(inTime, p.quantile(most))
+	slowAfter := e.quantile(slowQuantile)
+	if inTime := target - e.quantile(median); target > 0 && inTime < slowAfter {
+		slowAfter = max(inTime, e.quantile(earliestQuantile))
 	}
 	return slowAfter
 }
 
 // Usual returns how long a good answer of the route usually takes, and false while too
 // little is known.
-func (p *Estimate) Usual() (time.Duration, bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.sum < enough {
+func (e *Estimate) Usual() (time.Duration, bool) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.sum < minAnswers {
 		return 0, false
 	}
-	return p.quantile(middle), true
+	return e.quantile(median), true
 }
 
 // quantile returns the bound below which that share of the answers lies.
-func (p *Estimate) quantile(share float64) time.Duration {
+func (e *Estimate) quantile(share float64) time.Duration {
 	below := 0.0
-	for class, count := range p.counts {
+	for class, count := range e.counts {
 		below += count
-		if below >= share*p.sum {
+		if below >= share*e.sum {
 			return boundOf(class)
 		}
 	}
@@ -127,14 +127,14 @@
 
 // classOf returns the class of a duration.
 func classOf(took time.Duration) int {
-	if took <= shortest {
+	if took <= firstBound {
 		return 0
 	}
-	class := math.Ceil(math.Log(float64(took)/float64(shortest)) / math.Log(growth))
+	class := math.Ceil(math.Log(float64(took)/float64(firstBound)) / math.Log(growth))
 	return min(classes-1, int(class))
 }
 
 // boundOf returns the longest duration of a class.
 func boundOf(class int) time.Duration {
-	return time.Duration(float64(shortest) * math.Pow(growth, float64(class)))
+	return time.Duration(float64(firstBound) * math.Pow(growth, float64(class)))
 }
