--- a/internal/ingress/admit.go
+++ b/internal/ingress/admit.go
@@ -25,7 +25,7 @@
 	latencyTarget   time.Duration // within which an answer is worth most
 	deadline        time.Time
 	customer        string
-	queueCustomer   string // whose turns it takes in queues
+	queueCustomer   string // as which it waits in queues
 	terms           attempts.Terms
 	priority        int
 	body            *body.Body
--- a/internal/ingress/attempt.go
+++ b/internal/ingress/attempt.go
@@ -33,13 +33,13 @@
 
 // finish runs the attempt. One that retries the request has taken a retry, which ends here.
 func (a *attempt) finish(ctx context.Context) outcome {
-	f := a.runReserved(ctx)
-	reached := f.err == nil || failures.Of(result.From(f.err).Code).Reached
+	o := a.runReserved(ctx)
+	reached := o.err == nil || failures.Of(result.From(o.err).Code).Reached
 	if reached {
 		a.request.reached.Store(true)
 	}
 	a.request.service.limit.end(a.grant, reached)
-	return f
+	return o
 }
 
 // runReserved runs the attempt, a hedge only once a slot is kept for it.
--- a/internal/ingress/attempts.go
+++ b/internal/ingress/attempts.go
@@ -22,14 +22,14 @@
 			r.service.limit.giveBack(p.grant)
 			return p.end(p.NoneLeft(len(r.service.pool.Targets()), p.passedOver.String()))
 		}
-		f := in.runRace(ctx, &attempt{in: in, request: r, Choice: choice, grant: p.grant}, p)
-		if f.isAnswer() {
+		o := in.runRace(ctx, &attempt{in: in, request: r, Choice: choice, grant: p.grant}, p)
+		if o.isAnswer() {
 			p.closeAnswer()
-			return f.response, nil
+			return o.response, nil
 		}
-		failure := p.record(f)
+		failure := p.record(o)
 		retried := p.MayRetry(time.Now(), r.terms, r.body.Spent()) && in.takeRetry(ctx, r, p)
-		in.logAttempt(r, f.attempt, p, failure, retried)
+		in.logAttempt(r, o.attempt, p, failure, retried)
 		if !retried {
 			return p.end(p.Failure())
 		}
--- a/internal/ingress/progress.go
+++ b/internal/ingress/progress.go
@@ -17,21 +17,21 @@
 
 // record enters an attempt that failed, or whose answer is kept if nothing better comes, and
 // returns its failure.
-func (p *progress) record(f outcome) *result.Error {
-	failure := p.failureOf(f)
-	p.Record(f.attempt.Target, failure, f.attempt.far())
+func (p *progress) record(o outcome) *result.Error {
+	failure := p.failureOf(o)
+	p.Record(o.attempt.Target, failure, o.attempt.far())
 	return failure
 }
 
 // failureOf returns the attempt's failure. An answer of a backend server that says that it failed
 // is kept in place of the one before.
-func (p *progress) failureOf(f outcome) *result.Error {
-	if f.err != nil {
-		return result.From(f.err)
+func (p *progress) failureOf(o outcome) *result.Error {
+	if o.err != nil {
+		return result.From(o.err)
 	}
 	p.closeAnswer()
-	p.answer = f.response
-	return result.New(result.ServerError).WithDetail("status %d", f.response.StatusCode)
+	p.answer = o.response
+	return result.New(result.ServerError).WithDetail("status %d", o.response.StatusCode)
 }
 
 // end returns the answer of a backend server if there is one, and else the failure.
--- a/internal/ingress/race.go
+++ b/internal/ingress/race.go
@@ -33,8 +33,8 @@
 }
 
 // isAnswer reports whether the attempt has an answer that is passed on.
-func (f outcome) isAnswer() bool {
-	return f.err == nil && !f.attempt.request.terms.MayImprove(f.response)
+func (o outcome) isAnswer() bool {
+	return o.err == nil && !o.attempt.request.terms.MayImprove(o.response)
 }
 
 // runRace runs the attempt and, where it is slow, hedges of it. It returns the one that
@@ -52,8 +52,8 @@
 	defer look.Stop()
 	for {
 		select {
-		case f := <-r.done:
-			if end := r.handle(f); end != nil {
+		case o := <-r.done:
+			if end := r.handle(o); end != nil {
 				return *end
 			}
 		case <-look.C:
@@ -75,24 +75,24 @@
 
 // handle records the outcome of an attempt, and returns the one that ends the race; nil if it
 // goes on.
-func (r *race) handle(f outcome) *outcome {
-	r.running = slices.DeleteFunc(r.running, func(a *attempt) bool { return a == f.attempt })
-	if f.hedgeRefused {
-		r.hedging.Refused(f.attempt.Target)
+func (r *race) handle(o outcome) *outcome {
+	r.running = slices.DeleteFunc(r.running, func(a *attempt) bool { return a == o.attempt })
+	if o.hedgeRefused {
+		r.hedging.Refused(o.attempt.Target)
 		if len(r.running) == 0 {
 			return r.failed // the attempt that it was to be a hedge of
 		}
 		return nil
 	}
 	r.recordFailed()
-	if f.isAnswer() {
-		r.cancelRest(f.attempt)
-		return &f
+	if o.isAnswer() {
+		r.cancelRest(o.attempt)
+		return &o
 	}
 	if len(r.running) == 0 {
-		return &f
+		return &o
 	}
-	r.failed = &f
+	r.failed = &o
 	return nil
 }
 
@@ -101,13 +101,13 @@
 	if r.failed == nil {
 		return
 	}
-	f := *r.failed
+	o := *r.failed
 	r.failed = nil
-	failure := r.progress.record(f)
-	r.in.logAttempt(r.request, f.attempt, r.progress, failure, true)
+	failure := r.progress.record(o)
+	r.in.logAttempt(r.request, o.attempt, r.progress, failure, true)
 }
 
-// start runs an attempt beside the race.
+// start starts an attempt, which runs beside the race's own goroutine.
 func (r *race) start(ctx context.Context, a *attempt) {
 	ctx, a.cancel = context.WithCancelCause(ctx)
 	a.startedAt = time.Now()
@@ -153,9 +153,9 @@
 // drain waits for the attempts that were left over.
 func (r *race) drain(count int) {
 	for range count {
-		f := <-r.done
-		if f.response != nil {
-			_ = f.response.Body.Close() // it is not needed, whether it is whole or not
+		o := <-r.done
+		if o.response != nil {
+			_ = o.response.Body.Close() // it is not needed, whether it is whole or not
 		}
 	}
 }
