--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -31,7 +31,7 @@
 //     this host by a call, else over the hop. What must not run twice gets a reservation first, as does
 //     each hedge (reservation.go). A clock reports an attempt that is overdue (clock.go).
 //  7. What an answer or a failure shows is learned (learn.go): whether the backend server is asked less
-//     for a while, and evidence for the service's judge (judge.go), which avoids those whose path looks
+//     for a while, and evidence for the service's judge (judge.go), which avoids (avoid.go) those whose path looks
 //     sick. What a failure means stands in package failures. A host that cannot be reached is asked
 //     until it answers (reach.go).
 //  8. The answer is passed on (serve.go), or the failure is answered with its code and when to come back
--- a/internal/ingress/judge.go
+++ b/internal/ingress/judge.go
@@ -1,9 +1,7 @@
 package ingress
 
 import (
-	"cmp"
 	"fmt"
-	"slices"
 	"time"
 
 	"github.com/uber-go/tally/v4"
@@ -24,9 +22,6 @@
 	// observationsKept is how many observations may wait for the judge; more are dropped and
 	// counted, since requests do not wait for it. Not measured.
 	observationsKept = 512
-	// reducedShare is what a sick target gets that the floor keeps in service. Not measured: enough
-	// that its recovery shows soon.
-	reducedShare = balance.FullShare / 8
 )
 
 // judge owns what this daemon believes of the path to each backend server of
@@ -147,6 +142,7 @@
 	}
 }
 
+// apply puts what is declared of the service in force.
 func (j *judge) apply(declared fleet.Service) {
 	j.declared = declared
 	names := make([]string, 0, len(declared.BackendServers))
@@ -156,6 +152,7 @@
 	j.group.Reconfigure(detect.RulesOf(declared.Detection), names)
 }
 
+// observe enters what a request showed of a target, and ends the probation that it was.
 func (j *judge) observe(now time.Time, o observation) {
 	j.lastSeen = now
 	subject, ok := j.group.Subject(o.target.Name)
@@ -190,121 +187,7 @@
 	return true
 }
 
-// decide looks at every target and sets its share.
-func (j *judge) decide(now time.Time) {
-	targets := j.pool.Targets()
-	j.group.Compare()
-	if j.declared.AdoptionIn(j.config.DataCentre) == fleet.AdoptionSteer {
-		j.avoidSick(now, targets)
-	}
-	for _, target := range targets {
-		j.publish(now, target)
-	}
-}
-
-// avoidSick avoids as many sick targets as the floor leaves, the worst first.
-func (j *judge) avoidSick(now time.Time, targets []*balance.Target) {
-	var sick []sickTarget
-	for _, target := range targets {
-		subject, ok := j.group.Subject(target.Name)
-		if !ok || subject.State(now) != detect.Serving {
-			continue
-		}
-		if verdict := subject.Verdict(now); verdict.Sick && j.group.Alone(target.Name) {
-			sick = append(sick, sickTarget{target, subject, verdict})
-		}
-	}
-	slices.SortStableFunc(sick, func(a, b sickTarget) int {
-		return cmp.Compare(b.verdict.Severity, a.verdict.Severity)
-	})
-	left := j.spare(now, targets)
-	for _, s := range sick {
-		left = j.avoid(now, s, left)
-	}
-}
-
-// sickTarget is a target that the rules would avoid.
-type sickTarget struct {
-	target  *balance.Target
-	subject *detect.Subject
-	verdict detect.Verdict
-}
-
-// publish tells requests how much of the work the target gets, and what goes
-// along to its sidecar.
-func (j *judge) publish(now time.Time, target *balance.Target) {
-	subject, ok := j.group.Subject(target.Name)
-	if !ok {
-		return
-	}
-	others := j.group.Baseline(target.Name)
-	target.SetBaseline(others.Encode(), others.Typical)
-	if j.declared.AdoptionIn(j.config.DataCentre) != fleet.AdoptionSteer {
-		target.SetShare(balance.FullShare)
-		return
-	}
-	j.setShare(now, target, subject)
-}
-
-// spare returns how many more targets may be avoided.
-func (j *judge) spare(now time.Time, targets []*balance.Target) int {
-	out := 0
-	for _, target := range targets {
-		subject, ok := j.group.Subject(target.Name)
-		avoided := ok && subject.State(now) != detect.Serving
-		if avoided || j.pool.Paused(target, now) {
-			out++
-		}
-	}
-	return len(targets) - j.declared.Floor - out
-}
-
-// avoid avoids a sick target if the floor leaves one to avoid, and returns how
-// many it leaves then. A paused target is counted already.
-func (j *judge) avoid(now time.Time, s sickTarget, left int) int {
-	name := s.target.Name
-	paused := j.pool.Paused(s.target, now)
-	if left <= 0 && !paused {
-		if !j.keptByFloor[name] {
-			j.keptByFloor[name] = true
-			j.log(event.FloorHeld, s.target, "cause", s.verdict.Cause)
-		}
-		return left
-	}
-	s.subject.Eject(now)
-	delete(j.keptByFloor, name)
-	j.log(event.ServerAvoided, s.target, "cause", s.verdict.Cause)
-	if paused {
-		return left
-	}
-	return left - 1
-}
-
-// setShare gives the target the share that its state asks for.
-func (j *judge) setShare(now time.Time, target *balance.Target, subject *detect.Subject) {
-	switch subject.State(now) {
-	case detect.Ejected:
-		target.SetShare(0)
-	case detect.Probation:
-		target.SetShare(0)
-		target.OpenProbation()
-	case detect.Serving:
-		target.SetShare(j.servingShare(now, target, subject))
-	}
-}
-
-func (j *judge) servingShare(now time.Time, target *balance.Target, subject *detect.Subject) uint32 {
-	share := uint32(subject.Share(now) * balance.FullShare)
-	if !j.keptByFloor[target.Name] {
-		return share
-	}
-	if !subject.Verdict(now).Sick {
-		delete(j.keptByFloor, target.Name)
-		return share
-	}
-	return min(share, reducedShare)
-}
-
+// answer returns the evidence on a backend server, and what the floor does for it.
 func (j *judge) answer(now time.Time, backendServer string) explanation {
 	subject, ok := j.group.Subject(backendServer)
 	if !ok {
