--- a/internal/ingress/admit.go
+++ b/internal/ingress/admit.go
@@ -25,7 +25,7 @@
 	latencyTarget   time.Duration // within which an answer is worth most
 	deadline        time.Time
 	customer        string
-	queueCustomer   string // whose turns it takes in queues
+	queueCustomer   string // as which it waits in queues
 	terms           attempts.Terms
 	priority        int
 	body            *body.Body
@@ -172,7 +172,7 @@
 	return min(match.Deadline, time.Duration(millis)*time.Millisecond), nil
 }
 
-// addForwarded says whom the request came from.
+// addForwarded adds the headers that say where the request came from.
 func addForwarded(r *http.Request) {
 	caller, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
--- a/internal/ingress/judge.go
+++ b/internal/ingress/judge.go
@@ -1,9 +1,7 @@
 package ingress
 
 import (
-	"cmp"
 	"fmt"
-	"slices"
 	"time"
 
 	"github.com/uber-go/tally/v4"
@@ -15,15 +13,15 @@
 )
 
 const (
-	// judgeEvery is how often the verdicts are looked at.
+	// judgeEvery is how often the verdicts are looked at. Not measured: a fraction of the time in
+	// which evidence gathers.
 	judgeEvery = 100 * time.Millisecond
-	// idleAfter is how long after the last request a judge goes on deciding.
+	// idleAfter is how long after the last request a judge goes on deciding. Not measured: a
+	// service without requests is to cost nothing.
 	idleAfter = time.Second
-	// observationsKept is how many observations may wait for the judge; more
-	// are dropped and counted, since requests do not wait for it.
+	// observationsKept is how many observations may wait for the judge; more are dropped and
+	// counted, since requests do not wait for it. Not measured.
 	observationsKept = 512
-	// reducedShare is what a sick target gets that the floor keeps in service.
-	reducedShare = balance.FullShare / 8
 )
 
 // judge owns what this daemon believes of the path to each backend server of
@@ -41,20 +39,20 @@
 	ended        chan struct{}
 	dropped      tally.Counter
 
-	declared fleet.Service
-	group    *detect.Group
-	held     map[string]bool // sick, and kept by the floor
-	idle     bool
-	lastSeen time.Time // of the last observation
+	declared    fleet.Service
+	group       *detect.Group
+	keptByFloor map[string]bool // sick, and kept by the floor
+	idle        bool
+	lastSeen    time.Time // of the last observation
 }
 
 // observation is what a request saw of a target. A probation is the request that
 // an avoided target is given to show that it has recovered.
 type observation struct {
-	target    *balance.Target
-	probation bool
-	seen      bool // false if the request says nothing of the target
-	saw       detect.Observation
+	target     *balance.Target
+	probation  bool
+	isEvidence bool // false if the request says nothing of the target
+	saw        detect.Observation
 }
 
 type question struct {
@@ -78,7 +76,7 @@
 		ended:        make(chan struct{}),
 		dropped:      config.Scope.Counter("ingress_observations_dropped"),
 		group:        detect.NewGroup(detect.Careful()),
-		held:         make(map[string]bool),
+		keptByFloor:  make(map[string]bool),
 	}
 	go j.run()
 	return j
@@ -135,7 +133,7 @@
 				pace.Reset(judgeEvery)
 			}
 		case declared := <-j.changes:
-			j.change(declared)
+			j.apply(declared)
 		case q := <-j.questions:
 			q.reply <- j.answer(time.Now(), q.backendServer)
 		case <-j.ended:
@@ -144,7 +142,8 @@
 	}
 }
 
-func (j *judge) change(declared fleet.Service) {
+// apply puts what is declared of the service in force.
+func (j *judge) apply(declared fleet.Service) {
 	j.declared = declared
 	names := make([]string, 0, len(declared.BackendServers))
 	for _, b := range declared.BackendServers {
@@ -153,6 +152,7 @@
 	j.group.Reconfigure(detect.RulesOf(declared.Detection), names)
 }
 
+// observe enters what a request showed of a target, and ends the probation that it was.
 func (j *judge) observe(now time.Time, o observation) {
 	j.lastSeen = now
 	subject, ok := j.group.Subject(o.target.Name)
@@ -160,13 +160,13 @@
 		return
 	}
 	if !o.probation {
-		if o.seen && subject.State(now) == detect.Serving {
+		if o.isEvidence && subject.State(now) == detect.Serving {
 			subject.Observe(now, o.saw, j.group.Baseline(o.target.Name))
 		}
 		return
 	}
 	o.target.CloseProbation()
-	if !o.seen || subject.State(now) != detect.Probation {
+	if !o.isEvidence || subject.State(now) != detect.Probation {
 		return
 	}
 	if subject.ObserveProbation(now, o.saw, j.group.Baseline(o.target.Name)) {
@@ -176,7 +176,7 @@
 
 // settled reports whether nothing will change without a request.
 func (j *judge) settled(now time.Time) bool {
-	if now.Sub(j.lastSeen) < idleAfter || len(j.held) > 0 {
+	if now.Sub(j.lastSeen) < idleAfter || len(j.keptByFloor) > 0 {
 		return false
 	}
 	for _, target := range j.pool.Targets() {
@@ -187,128 +187,14 @@
 	return true
 }
 
-// decide looks at every target and sets its share.
-func (j *judge) decide(now time.Time) {
-	targets := j.pool.Targets()
-	j.group.Compare()
-	if j.declared.AdoptionIn(j.config.DataCentre) == fleet.AdoptionSteer {
-		j.avoidSick(now, targets)
-	}
-	for _, target := range targets {
-		j.publish(now, target)
-	}
-}
-
-// avoidSick avoids as many sick targets as the floor leaves, the worst first.
-func (j *judge) avoidSick(now time.Time, targets []*balance.Target) {
-	var sick []sickTarget
-	for _, target := range targets {
-		subject, ok := j.group.Subject(target.Name)
-		if !ok || subject.State(now) != detect.Serving {
-			continue
-		}
-		if verdict := subject.Verdict(now); verdict.Sick && j.group.IsOutlier(target.Name) {
-			sick = append(sick, sickTarget{target, subject, verdict})
-		}
-	}
-	slices.SortStableFunc(sick, func(a, b sickTarget) int {
-		return cmp.Compare(b.verdict.Severity, a.verdict.Severity)
-	})
-	left := j.spare(now, targets)
-	for _, s := range sick {
-		left = j.avoid(now, s, left)
-	}
-}
-
-// sickTarget is a target that the rules would avoid.
-type sickTarget struct {
-	target  *balance.Target
-	subject *detect.Subject
-	verdict detect.Verdict
-}
-
-// publish tells requests how much of the work the target gets, and what goes
-// along to its sidecar.
-func (j *judge) publish(now time.Time, target *balance.Target) {
-	subject, ok := j.group.Subject(target.Name)
-	if !ok {
-		return
-	}
-	others := j.group.Baseline(target.Name)
-	target.SetBaseline(others.Encode(), others.Typical)
-	if j.declared.AdoptionIn(j.config.DataCentre) != fleet.AdoptionSteer {
-		target.SetShare(balance.FullShare)
-		return
-	}
-	j.setShare(now, target, subject)
-}
-
-// spare returns how many more targets may be avoided.
-func (j *judge) spare(now time.Time, targets []*balance.Target) int {
-	out := 0
-	for _, target := range targets {
-		subject, ok := j.group.Subject(target.Name)
-		avoided := ok && subject.State(now) != detect.Serving
-		if avoided || j.pool.Paused(target, now) {
-			out++
-		}
-	}
-	return len(targets) - j.declared.Floor - out
-}
-
-// avoid avoids a sick target if the floor leaves one to avoid, and returns how
-// many it leaves then. A paused target is counted already.
-func (j *judge) avoid(now time.Time, s sickTarget, left int) int {
-	name := s.target.Name
-	paused := j.pool.Paused(s.target, now)
-	if left <= 0 && !paused {
-		if !j.held[name] {
-			j.held[name] = true
-			j.log(event.FloorHeld, s.target, "cause", s.verdict.Cause)
-		}
-		return left
-	}
-	s.subject.Eject(now)
-	delete(j.held, name)
-	j.log(event.ServerAvoided, s.target, "cause", s.verdict.Cause)
-	if paused {
-		return left
-	}
-	return left - 1
-}
-
-// setShare gives the target the share that its state asks for.
-func (j *judge) setShare(now time.Time, target *balance.Target, subject *detect.Subject) {
-	switch subject.State(now) {
-	case detect.Ejected:
-		target.SetShare(0)
-	case detect.Probation:
-		target.SetShare(0)
-		target.OpenProbation()
-	case detect.Serving:
-		target.SetShare(j.servingShare(now, target, subject))
-	}
-}
-
-func (j *judge) servingShare(now time.Time, target *balance.Target, subject *detect.Subject) uint32 {
-	share := uint32(subject.Share(now) * balance.FullShare)
-	if !j.held[target.Name] {
-		return share
-	}
-	if !subject.Verdict(now).Sick {
-		delete(j.held, target.Name)
-		return share
-	}
-	return min(share, reducedShare)
-}
-
+// answer returns the evidence on a backend server, and what the floor does for it.
 func (j *judge) answer(now time.Time, backendServer string) explanation {
 	subject, ok := j.group.Subject(backendServer)
 	if !ok {
 		return explanation{}
 	}
 	floor := fmt.Sprintf("floor %d", j.declared.Floor)
-	if j.held[backendServer] {
+	if j.keptByFloor[backendServer] {
 		floor += ": kept in use with a reduced share"
 	}
 	return explanation{Explanation: subject.Explain(now), floor: floor, known: true}
