--- /dev/null
+++ b/internal/daemon/build.go
@@ -0,0 +1,234 @@
+package daemon
+
+import (
+	"context"
+
+	"github.com/google/uuid"
+
+	"github.com/tideliftd/tidelift/internal/control"
+	"github.com/tideliftd/tidelift/internal/declaration"
+	"github.com/tideliftd/tidelift/internal/fleet"
+	"github.com/tideliftd/tidelift/internal/gossip"
+	"github.com/tideliftd/tidelift/internal/hostlist"
+	"github.com/tideliftd/tidelift/internal/ingress"
+	"github.com/tideliftd/tidelift/internal/lend"
+	"github.com/tideliftd/tidelift/internal/limits"
+	"github.com/tideliftd/tidelift/internal/member"
+	"github.com/tideliftd/tidelift/internal/membership"
+	"github.com/tideliftd/tidelift/internal/metric"
+	"github.com/tideliftd/tidelift/internal/record"
+	"github.com/tideliftd/tidelift/internal/retry"
+	"github.com/tideliftd/tidelift/internal/revision"
+	"github.com/tideliftd/tidelift/internal/runs"
+	"github.com/tideliftd/tidelift/internal/settings"
+	"github.com/tideliftd/tidelift/internal/sidecar"
+	"github.com/tideliftd/tidelift/internal/storehealth"
+)
+
+// build makes the parts, each after those that it is given. What a part calls of a later one it calls
+// by way of d.
+func (d *daemon) build() error {
+	if err := d.readKeys(); err != nil {
+		return err
+	}
+	d.buildMetrics()
+	d.health = storehealth.New(storehealth.Config{Logger: d.config.Logger})
+	d.buildPeers()
+	d.budgets = retry.NewBudgets(retry.Config{Began: d.started, Borrows: true})
+	d.buildMembers()
+	d.quarantines = d.newQuarantines()
+	d.buildLedger()
+	d.buildHostList()
+	d.buildDeclarations()
+	d.buildLender()
+	d.buildLimits()
+	d.runs = runs.New()
+	d.buildSidecar()
+	d.buildIngress()
+	return nil
+}
+
+func (d *daemon) buildMetrics() {
+	var cleanUp func()
+	d.metrics, cleanUp = metric.New(metric.Config{DataCentre: d.config.Settings.DataCentre})
+	d.atEnd(cleanUp)
+}
+
+func (d *daemon) buildPeers() {
+	var cleanUp func()
+	d.peers, cleanUp = control.NewClient(control.ClientConfig{
+		TLS:        d.clientTLS(),
+		Far:        d.isFar,
+		DataCentre: d.config.Settings.DataCentre,
+		Logger:     d.config.Logger,
+	})
+	d.atEnd(cleanUp)
+}
+
+// buildMembers makes the table of hosts, in which this one begins a new incarnation.
+func (d *daemon) buildMembers() {
+	s := d.config.Settings
+	d.members = membership.New(membership.Config{
+		Self: member.Host{
+			Name:       s.Name,
+			DataCentre: s.DataCentre,
+			Peers:      s.Listen.Peers,
+			Control:    s.Listen.Control,
+			Start:      uuid.NewString(),
+		},
+		Registers: d.registers(),
+		Logger:    d.config.Logger,
+		Peers:     d.peers,
+		Record: record.Config{
+			Host:       s.Name,
+			Store:      d.config.Store,
+			Prefix:     s.Platform.Prefix,
+			FirstStart: s.FirstStart,
+			Health:     d.health,
+			Logger:     d.config.Logger,
+			Unused:     d.budgets.Clear,
+		},
+		Plan:     func() *gossip.Plan { return d.declarations.Plan() },
+		Services: func() ([]fleet.Service, bool) { return d.declarations.Services() },
+		Reapply:  func() { d.declarations.Reapply() },
+		Ask:      func(ctx context.Context, address string) bool { return d.declarations.Ask(ctx, address) },
+	})
+}
+
+// registers reports whether hosts and backend servers register themselves.
+func (d *daemon) registers() bool {
+	return d.config.Settings.Source.Declared == settings.DeclaredByPlatform
+}
+
+func (d *daemon) buildLedger() {
+	d.ledger = revision.New(revision.Config{
+		Store:    d.config.Store,
+		Prefix:   d.config.Settings.Platform.Prefix,
+		OnError:  d.health.Failed,
+		OnAnswer: d.health.Answered,
+	})
+}
+
+func (d *daemon) buildHostList() {
+	d.hostList = hostlist.New(hostlist.Config{
+		Store:    d.config.Store,
+		Prefix:   d.config.Settings.Platform.Prefix,
+		Host:     d.config.Settings.Name,
+		Peers:    d.peers,
+		Index:    func() (*fleet.Index, bool) { return d.declarations.Index() },
+		Draining: func(draining bool) { d.sidecar.HostDraining(draining) },
+	})
+}
+
+func (d *daemon) buildDeclarations() {
+	s := d.config.Settings
+	config := declaration.Config{
+		Host:        s.Name,
+		DataCentre:  s.DataCentre,
+		Seeds:       s.Seeds,
+		Registers:   d.registers(),
+		Logger:      d.config.Logger,
+		Health:      d.health,
+		Peers:       d.peers,
+		Away:        d.isAway,
+		Members:     d.members,
+		Quarantines: d.quarantines,
+		Source:      d.source(),
+		Publish:     d.ledger.Publish,
+		Apply:       d.apply,
+	}
+	if !d.registers() {
+		config.WhileWatching = d.hostList.Run
+	}
+	d.declarations = declaration.New(config)
+}
+
+// source returns where the settings say that declarations come from.
+func (d *daemon) source() declaration.Source {
+	if d.config.Settings.Source.Declared == settings.DeclaredByOperators {
+		return declaration.FromOperators(d.ledger)
+	}
+	return declaration.FromStore(declaration.StoreConfig{
+		Store:    d.config.Store,
+		Stored:   d.config.StoredDeclaration,
+		Settings: func() settings.Source { return d.live.Load().Source },
+		Health:   d.health,
+		Logger:   d.config.Logger,
+	})
+}
+
+// apply gives what is in force to every part.
+func (d *daemon) apply(index *fleet.Index) {
+	d.sidecar.Reconfigure(index)
+	d.limits.Reconfigure(index.Declaration)
+	d.ingress.Reconfigure(index)
+}
+
+func (d *daemon) buildLender() {
+	d.lender = lend.New(lend.Config{
+		Host:       d.config.Settings.Name,
+		DataCentre: d.config.Settings.DataCentre,
+		Budgets:    d.budgets,
+		Hosts:      d.declarations.Hosts,
+		Away:       d.isAway,
+		Call:       d.peers.CallHost,
+		Scope:      d.metrics.Scope,
+	})
+}
+
+func (d *daemon) buildLimits() {
+	d.limits = limits.New(limits.Config{
+		Host:       d.config.Settings.Name,
+		DataCentre: d.config.Settings.DataCentre,
+		Peers:      d.peers,
+		Away:       d.isAway,
+	})
+}
+
+// isAway reports whether the host of that name does not answer the ingress.
+func (d *daemon) isAway(host string) bool { return d.ingress.Away(host) }
+
+func (d *daemon) buildSidecar() {
+	var cleanUp func()
+	d.sidecar, cleanUp = sidecar.New(sidecar.Config{
+		Host:        d.config.Settings.Name,
+		Off:         d.config.Settings.Experiments.Off,
+		Logger:      d.config.Logger,
+		Scope:       d.metrics.Scope,
+		Answered:    func(good bool) { d.ingress.ServerAnswered(good) },
+		Peer:        d.sidecarPeer(),
+		Runs:        d.runs,
+		Retries:     d.budgets,
+		BorrowRetry: d.lender.Borrow,
+		Quarantine:  d.quarantines,
+	})
+	d.atEnd(cleanUp)
+}
+
+func (d *daemon) buildIngress() {
+	s := d.config.Settings
+	var cleanUp func()
+	d.ingress, cleanUp = ingress.New(ingress.Config{
+		Host:             s.Name,
+		DataCentre:       s.DataCentre,
+		Service:          s.Service,
+		Off:              s.Experiments.Off,
+		TLS:              d.clientTLS(),
+		HeaderBytes:      s.Limits.HeaderBytes,
+		Logger:           d.config.Logger,
+		Scope:            d.metrics.Scope,
+		Runs:             d.runs,
+		Retries:          d.budgets,
+		BorrowRetry:      d.lender.Borrow,
+		HostsCounted:     d.members.HostsCounted,
+		Local:            d.sidecar.Do,
+		LocalReservation: d.sidecar.Reserve,
+		Far:              d.isFar,
+		Ping:             d.ping,
+		Silent:           d.members.CheckGone,
+		Subrequest:       d.tellSubrequest,
+		AdmitCustomer:    d.limits.Admit,
+		GiveBack:         d.limits.GiveBack,
+	})
+	d.atEnd(cleanUp)
+}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -9,39 +9,43 @@
 // flight and closes the listeners. Force, or the settings' stop limit, ends it earlier
 // and cuts what is left.
 //
-// The steps of a start, in order: keys, metrics, sidecar, ingress, ledger, table of
-// hosts, listeners with the operator API, declaration, and last, if hosts register
-// themselves, the record in the store. Without a declaration the daemon answers
-// callers with the result code not-ready.
+// # What it joins
 //
-// One theme is in one file:
+// Each part owns its state and is a package of its own; what it is for stands there. The daemon makes the parts,
+// passes each the functions of others that it calls, and owns only the settings, the certificates and
+// tokens, and whether it is stopping.
 //
-//	daemon.go   makes the parts and runs them
-//	listen.go   the listeners and what they serve
-//	unused.go   connections on which no request has come
-//	stop.go     the planned stop
-//	calls.go    control calls, taken and made
-//	keys.go     certificates and tokens
-//	reload.go   settings that change in a running daemon
-//	source.go   whether operators or the platform declare
-//	inforce.go  puts a revision in force in every part
-//	watch.go    watches the platform while that is this daemon's part
-//	platform.go whether the platform answers, here or elsewhere
-//	gossip.go   tells others of a revision
-//	poll.go     asks others for theirs now and then
-//	ask.go      one such question, which also finds what is known of hosts
-//	hosts.go    the list of draining hosts in the store
-//	members.go  what is known of hosts and of the own backend servers
-//	registrations.go registrations of the own backend servers
-//	join.go     the order in which a daemon that registers itself joins
-//	record.go   this host's record in the store, and the others' at the start
-//	first.go    whether this is the first start of a declared host
-//	updates.go tells others of hosts
-//	digest.go   finds what two daemons know differently of hosts
-//	subrequest.go   tells others which routes backend servers call
-//	quarantine.go   tells others what is held against requests
-//	limits.go   keeps customers' limits with the other daemons
-//	gone.go     takes a silent host for gone
+//	control        calls other daemons, and answers them by the table in calls.go
+//	storehealth    whether the platform answers
+//	membership     which hosts there are and which backend servers serve there
+//	declaration    what is declared, put in force in sidecar, limits and ingress
+//	hostlist       the platform's list of draining hosts, where hosts are declared
+//	quarantinesync requests that end backend servers
+//	retry, lend    the retries of this host, and those of others
+//	limits         the customers' limits
+//	sidecar        takes hops for the backend servers of this host
+//	ingress        takes callers' requests
+//	serve          the listeners
+//
+// # Start
+//
+// Keys and metrics come first, then the parts in the order of build, then the listeners, and last the
+// tasks: the declaration's, the settings file's, the limits', the quarantines' and the
+// membership's, which writes this host's record in the store if hosts register themselves. Without a
+// declaration the daemon answers callers with the result code not-ready.
+//
+// # Planned stop
+//
+// It goes in this order, within the settings' stop limit:
+//
+//  1. The daemon says that it is not ready, and serves on for as long as the settings say (Unready).
+//  2. It tells the other daemons that it stops, refuses work for its backend servers, and takes no new
+//     connections.
+//  3. For a second, answers ask callers and peers to close their connections (settleFor).
+//  4. It closes connections without a request, and ends callers, then peers, then operators, each after what
+//     it has begun.
+//  5. Shortly before the limit, callers that still wait get a last answer; at the limit the rest is cut.
+//  6. The clean-up functions run, the last part first.
 package daemon
 
 import (
@@ -52,23 +56,19 @@
 	"time"
 
 	"github.com/go-faster/errors"
-	"github.com/google/uuid"
 
 	"github.com/tideliftd/tidelift/internal/control"
 	"github.com/tideliftd/tidelift/internal/declaration"
 	"github.com/tideliftd/tidelift/internal/event"
-	"github.com/tideliftd/tidelift/internal/fleet"
-	"github.com/tideliftd/tidelift/internal/gossip"
+	"github.com/tideliftd/tidelift/internal/hostlist"
 	"github.com/tideliftd/tidelift/internal/ingress"
 	"github.com/tideliftd/tidelift/internal/keys"
 	"github.com/tideliftd/tidelift/internal/lend"
 	"github.com/tideliftd/tidelift/internal/limits"
-	"github.com/tideliftd/tidelift/internal/member"
 	"github.com/tideliftd/tidelift/internal/membership"
 	"github.com/tideliftd/tidelift/internal/metric"
 	"github.com/tideliftd/tidelift/internal/operatorapi"
 	"github.com/tideliftd/tidelift/internal/quarantinesync"
-	"github.com/tideliftd/tidelift/internal/record"
 	"github.com/tideliftd/tidelift/internal/retry"
 	"github.com/tideliftd/tidelift/internal/revision"
 	"github.com/tideliftd/tidelift/internal/runs"
@@ -121,6 +121,7 @@
 	members      *membership.Membership
 	quarantines  *quarantinesync.Syncer
 	ledger       *revision.Ledger
+	hostList     *hostlist.Follower
 	declarations *declaration.Follower
 	lender       *lend.Lender
 	limits       *limits.Limits
@@ -159,202 +160,6 @@
 	}
 }
 
-// build makes the parts, each after those that it is given. What a part calls of a later one it calls
-// by way of d.
-func (d *daemon) build() error {
-	if err := d.readKeys(); err != nil {
-		return err
-	}
-	d.buildMetrics()
-	d.health = storehealth.New(storehealth.Config{Logger: d.config.Logger})
-	d.buildPeers()
-	d.budgets = retry.NewBudgets(retry.Config{Began: d.started, Borrows: true})
-	d.buildMembers()
-	d.quarantines = d.newQuarantines()
-	d.buildLedger()
-	d.buildDeclarations()
-	d.buildLender()
-	d.buildLimits()
-	d.runs = runs.New()
-	d.buildSidecar()
-	d.buildIngress()
-	return nil
-}
-
-func (d *daemon) buildMetrics() {
-	var cleanUp func()
-	d.metrics, cleanUp = metric.New(metric.Config{DataCentre: d.config.Settings.DataCentre})
-	d.atEnd(cleanUp)
-}
-
-func (d *daemon) buildPeers() {
-	var cleanUp func()
-	d.peers, cleanUp = control.NewClient(control.ClientConfig{
-		TLS:        d.clientTLS(),
-		Far:        d.isFar,
-		DataCentre: d.config.Settings.DataCentre,
-		Logger:     d.config.Logger,
-	})
-	d.atEnd(cleanUp)
-}
-
-// buildMembers makes the table of hosts, in which this one begins a new incarnation.
-func (d *daemon) buildMembers() {
-	s := d.config.Settings
-	d.members = membership.New(membership.Config{
-		Self: member.Host{
-			Name:       s.Name,
-			DataCentre: s.DataCentre,
-			Peers:      s.Listen.Peers,
-			Control:    s.Listen.Control,
-			Start:      uuid.NewString(),
-		},
-		Registers: d.registers(),
-		Logger:    d.config.Logger,
-		Peers:     d.peers,
-		Record: record.Config{
-			Host:       s.Name,
-			Store:      d.config.Store,
-			Prefix:     s.Platform.Prefix,
-			FirstStart: s.FirstStart,
-			Health:     d.health,
-			Logger:     d.config.Logger,
-			Unused:     d.budgets.Clear,
-		},
-		Plan:     func() *gossip.Plan { return d.declarations.Plan() },
-		Services: func() ([]fleet.Service, bool) { return d.declarations.Services() },
-		Reapply:  func() { d.declarations.Reapply() },
-		Ask:      func(ctx context.Context, address string) bool { return d.declarations.Ask(ctx, address) },
-	})
-}
-
-// registers reports whether hosts and backend servers register themselves.
-func (d *daemon) registers() bool {
-	return d.config.Settings.Source.Declared == settings.DeclaredByPlatform
-}
-
-func (d *daemon) buildLedger() {
-	d.ledger = revision.New(revision.Config{
-		Store:    d.config.Store,
-		Prefix:   d.config.Settings.Platform.Prefix,
-		OnError:  d.health.Failed,
-		OnAnswer: d.health.Answered,
-	})
-}
-
-func (d *daemon) buildDeclarations() {
-	s := d.config.Settings
-	config := declaration.Config{
-		Host:        s.Name,
-		DataCentre:  s.DataCentre,
-		Seeds:       s.Seeds,
-		Registers:   d.registers(),
-		Logger:      d.config.Logger,
-		Health:      d.health,
-		Peers:       d.peers,
-		Away:        d.isAway,
-		Members:     d.members,
-		Quarantines: d.quarantines,
-		Source:      d.source(),
-		Publish:     d.ledger.Publish,
-		Apply:       d.apply,
-	}
-	if !d.registers() {
-		config.WhileWatching = d.followDrainingHosts
-	}
-	d.declarations = declaration.New(config)
-}
-
-// source returns where the settings say that declarations come from.
-func (d *daemon) source() declaration.Source {
-	if d.config.Settings.Source.Declared == settings.DeclaredByOperators {
-		return declaration.FromOperators(d.ledger)
-	}
-	return declaration.FromStore(declaration.StoreConfig{
-		Store:    d.config.Store,
-		Stored:   d.config.StoredDeclaration,
-		Settings: func() settings.Source { return d.live.Load().Source },
-		Health:   d.health,
-		Logger:   d.config.Logger,
-	})
-}
-
-// apply gives what is in force to every part.
-func (d *daemon) apply(index *fleet.Index) {
-	d.sidecar.Reconfigure(index)
-	d.limits.Reconfigure(index.Declaration)
-	d.ingress.Reconfigure(index)
-}
-
-func (d *daemon) buildLender() {
-	d.lender = lend.New(lend.Config{
-		Host:       d.config.Settings.Name,
-		DataCentre: d.config.Settings.DataCentre,
-		Budgets:    d.budgets,
-		Hosts:      d.declarations.Hosts,
-		Away:       d.isAway,
-		Call:       d.peers.CallHost,
-		Scope:      d.metrics.Scope,
-	})
-}
-
-func (d *daemon) buildLimits() {
-	d.limits = limits.New(limits.Config{
-		Host:       d.config.Settings.Name,
-		DataCentre: d.config.Settings.DataCentre,
-		Peers:      d.peers,
-		Away:       d.isAway,
-	})
-}
-
-// isAway reports whether the host of that name does not answer the ingress.
-func (d *daemon) isAway(host string) bool { return d.ingress.Away(host) }
-
-func (d *daemon) buildSidecar() {
-	var cleanUp func()
-	d.sidecar, cleanUp = sidecar.New(sidecar.Config{
-		Host:        d.config.Settings.Name,
-		Off:         d.config.Settings.Experiments.Off,
-		Logger:      d.config.Logger,
-		Scope:       d.metrics.Scope,
-		Answered:    func(good bool) { d.ingress.ServerAnswered(good) },
-		Peer:        d.sidecarPeer(),
-		Runs:        d.runs,
-		Retries:     d.budgets,
-		BorrowRetry: d.lender.Borrow,
-		Quarantine:  d.quarantines,
-	})
-	d.atEnd(cleanUp)
-}
-
-func (d *daemon) buildIngress() {
-	s := d.config.Settings
-	var cleanUp func()
-	d.ingress, cleanUp = ingress.New(ingress.Config{
-		Host:             s.Name,
-		DataCentre:       s.DataCentre,
-		Service:          s.Service,
-		Off:              s.Experiments.Off,
-		TLS:              d.clientTLS(),
-		HeaderBytes:      s.Limits.HeaderBytes,
-		Logger:           d.config.Logger,
-		Scope:            d.metrics.Scope,
-		Runs:             d.runs,
-		Retries:          d.budgets,
-		BorrowRetry:      d.lender.Borrow,
-		HostsCounted:     d.members.HostsCounted,
-		Local:            d.sidecar.Do,
-		LocalReservation: d.sidecar.Reserve,
-		Far:              d.isFar,
-		Ping:             d.ping,
-		Silent:           d.members.CheckGone,
-		Subrequest:       d.tellSubrequest,
-		AdmitCustomer:    d.limits.Admit,
-		GiveBack:         d.limits.GiveBack,
-	})
-	d.atEnd(cleanUp)
-}
-
 // atEnd keeps a function for cleanUp, which calls the last one first.
 func (d *daemon) atEnd(cleanUp func()) { d.cleanUps = append(d.cleanUps, cleanUp) }
 
--- a/internal/daemon/quarantine.go
+++ b/internal/daemon/quarantine.go
@@ -1,9 +1,6 @@
 package daemon
 
 import (
-	"context"
-	"encoding/json"
-
 	"github.com/tideliftd/tidelift/internal/control"
 	"github.com/tideliftd/tidelift/internal/quarantine"
 	"github.com/tideliftd/tidelift/internal/quarantinesync"
@@ -25,7 +22,7 @@
 	})
 }
 
-// watchesQuarantines says whether this daemon follows quarantines in the store: if it watches that anyway, or
+// watchesQuarantines reports whether this daemon follows quarantines in the store: if it watches that anyway, or
 // if no other daemon has told it what there is.
 func (d *daemon) watchesQuarantines() bool {
 	return d.declarations.Watches() || !d.declarations.PeerAnswered()
@@ -45,13 +42,3 @@
 	}
 	d.peers.Tell(plan.Notify(), control.MethodQuarantine, control.Quarantine{Records: records})
 }
-
-// callQuarantine takes what another daemon holds against requests.
-func (d *daemon) callQuarantine(_ context.Context, params json.RawMessage) (any, error) {
-	var told control.Quarantine
-	if err := control.Decode(params, &told); err != nil {
-		return nil, err
-	}
-	d.quarantines.Take(told.Records)
-	return control.Done{}, nil
-}
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -32,7 +32,7 @@
 	event.Log(d.config.Logger, event.SettingsTaken, "needs_start", needsStart(*old, s))
 }
 
-// needsStart says whether something changed that only a start puts in force. Whether it is the
+// needsStart reports whether something changed that only a start puts in force. Whether it is the
 // fleet's first start is of no use once it has been.
 func needsStart(old, next settings.Settings) bool {
 	next.Log.Level, next.Source, next.Limits.Stop = old.Log.Level, old.Source, old.Limits.Stop
--- a/internal/daemon/subrequest.go
+++ b/internal/daemon/subrequest.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"math/rand/v2"
 	"slices"
 
@@ -56,15 +55,3 @@
 	}
 	return hosts
 }
-
-// callSubrequest takes what another host has seen of the calls of this one's service.
-func (d *daemon) callSubrequest(_ context.Context, params json.RawMessage) (any, error) {
-	var told control.Subrequest
-	if err := control.Decode(params, &told); err != nil {
-		return nil, err
-	}
-	if told.Service != d.config.Settings.Service {
-		return control.Known{}, nil
-	}
-	return control.Known{Routes: d.ingress.HearSubrequest(told.Seen)}, nil
-}
