--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,6 +1,6 @@
 // Package gossip decides how a revision of the declaration and updates of hosts
-// reach every daemon: who watches the platform, whom a daemon tells of what is new,
-// and whom it asks now and then for what it missed.
+// reach every daemon: who watches the platform, which others a daemon tells of what is new,
+// and which it asks now and then for what it missed.
 //
 // A Plan is read-only and made anew with each declaration. It has no clock,
 // goroutine or socket; the daemon's task owns what it is used for.
@@ -19,10 +19,10 @@
 //   - WatchersEach daemons of each data centre watch the platform, those whose
 //     names hash highest. All work that out from the declaration alone.
 //   - A daemon that learns of a new revision tells a few others at random, in its
-//     own data centre and outside, each of whom fetches it and tells a few in
+//     own data centre and outside, each of which fetches it and tells a few in
 //     turn. So it spreads in a number of steps that grows with the logarithm of
 //     the daemons, also round a cut.
-//   - News of hosts is told to a few in the own data centre. What a host has to tell
+//   - Updates of hosts are told to a few in the own data centre. What a host has to tell
 //     of itself goes to one host each of a few other data centres too, who tell it on
 //     near them.
 //   - Every PollEvery a daemon asks one other at random which revision it has, for
@@ -104,7 +104,7 @@
 	return p
 }
 
-// isWatcher says whether the host is one of those of its data centre that watch.
+// isWatcher reports whether the host is one of those of its data centre that watch.
 func isWatcher(host string, own []fleet.Host) bool {
 	slices.SortFunc(own, func(a, b fleet.Host) int {
 		return cmp.Compare(xxhash.Sum64String(b.Name), xxhash.Sum64String(a.Name))
@@ -113,25 +113,25 @@
 	return slices.ContainsFunc(chosen, func(h fleet.Host) bool { return h.Name == host })
 }
 
-// Watches says whether the daemon watches the platform, if the platform was last
+// Watches reports whether the daemon watches the platform, if the platform was last
 // known to answer then.
 func (p *Plan) Watches(answered, now time.Time) bool {
 	return p.watcher || now.Sub(answered) > p.stale
 }
 
-// IsWatcher says whether the daemon is one of those that always watch.
+// IsWatcher reports whether the daemon is one of those that always watch.
 func (p *Plan) IsWatcher() bool { return p.watcher }
 
-// Notify returns whom to notify of a new revision.
+// Notify returns the hosts to notify of a new revision.
 func (p *Plan) Notify() []fleet.Host {
 	return append(p.some(p.near, NotifyNear), p.some(p.far, NotifyFar)...)
 }
 
-// Near returns whom to tell of updates of hosts in the own data centre.
+// Near returns the hosts of the own data centre to tell of updates of hosts.
 func (p *Plan) Near() []fleet.Host { return p.some(p.near, updatesNear) }
 
-// OneOfEach returns one host of each of a few other data centres, to whom a host
-// tells updates of its own. They tell it on to those near them.
+// OneOfEach returns one host of each of a few other data centres, which a host
+// tells its own updates. They tell them on to those near them.
 func (p *Plan) OneOfEach() []fleet.Host {
 	byDataCentre := make(map[string][]fleet.Host)
 	for _, h := range p.far {
@@ -163,7 +163,7 @@
 	return chosen
 }
 
-// Poll returns one other to ask for its revision. It says false if there is none.
+// Poll returns one other to ask for its revision. It returns false if there is none.
 func (p *Plan) Poll() (fleet.Host, bool) {
 	from := p.near
 	if len(from) == 0 || len(p.far) > 0 && p.below(farOneIn) == 0 {
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -41,9 +41,9 @@
 // Limits keeps the customers' limits with the other daemons: it is this daemon's gate, and
 // a collector or the ledger when others report here.
 type Limits struct {
-	config     Config
-	spent      chan struct{} // holds one while the gate should report at once
-	forwarding sync.Mutex    // held while a data centre's report is on its way
+	config        Config
+	verdictWanted chan struct{} // holds one while the gate should report at once
+	forwarding    sync.Mutex    // held while a data centre's report is on its way
 
 	mu         sync.Mutex // guards what follows
 	gate       *quota.Gate
@@ -60,13 +60,13 @@
 // New returns the limits; nothing is limited before Reconfigure.
 func New(config Config) *Limits {
 	return &Limits{
-		config:    config,
-		spent:     make(chan struct{}, 1),
-		gate:      quota.NewGate(),
-		collector: quota.NewCollector(),
-		ledger:    quota.NewLedger(config.Host),
-		silent:    make(map[string]time.Time),
-		refused:   make(map[string]int64),
+		config:        config,
+		verdictWanted: make(chan struct{}, 1),
+		gate:          quota.NewGate(),
+		collector:     quota.NewCollector(),
+		ledger:        quota.NewLedger(config.Host),
+		silent:        make(map[string]time.Time),
+		refused:       make(map[string]int64),
 	}
 }
 
@@ -110,9 +110,9 @@
 	if !decision.Admitted {
 		l.refused[customer]++
 	}
-	if l.gate.Spent() {
+	if l.gate.AwaitsVerdict() {
 		select {
-		case l.spent <- struct{}{}:
+		case l.verdictWanted <- struct{}{}:
 		default: // it is known
 		}
 	}
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -49,7 +49,7 @@
 		b.Fatal(err)
 	}
 	collector := quota.NewCollector()
-	collector.Hear(time.Now(), quota.Verdict{Known: true, Allowances: []quota.Allowance{{Customer: "county-1", Share: 0.5, Level: -3}, {Customer: "county-2", Share: 0.7, Level: 1}}})
+	collector.SetVerdict(time.Now(), quota.Verdict{Known: true, Allowances: []quota.Allowance{{Customer: "county-1", Share: 0.5, Level: -3}, {Customer: "county-2", Share: 0.7, Level: 1}}})
 	cleanUp := control.Serve(control.ServerConfig{Listener: listener, Handle: func(_ context.Context, _ control.Method, params json.RawMessage) (any, error) {
 		var counted control.Counted
 		if err := control.Decode(params, &counted); err != nil {
--- a/internal/limits/report.go
+++ b/internal/limits/report.go
@@ -29,7 +29,7 @@
 // a task each, so that neither waits for the other's answer.
 func (l *Limits) Run(ctx context.Context) {
 	go l.repeatWhileLimited(ctx, nil, l.forwardIfDue)
-	l.repeatWhileLimited(ctx, l.spent, l.reportIfDue)
+	l.repeatWhileLimited(ctx, l.verdictWanted, l.reportIfDue)
 }
 
 // repeatWhileLimited calls the function as often as a report may be due, and when woken.
@@ -55,8 +55,8 @@
 		l.mu.Unlock()
 		return
 	}
-	counted := control.Counted{Urgent: l.gate.Spent()}
-	counted.Report = quota.Report{From: l.config.Host, Hosts: 1, Counts: l.gate.Drain(now), Follows: l.gate.Follows()}
+	counted := control.Counted{Urgent: l.gate.AwaitsVerdict()}
+	counted.Report = quota.Report{From: l.config.Host, Hosts: 1, Counts: l.gate.Drain(now), Follows: l.gate.HasVerdict()}
 	to, remote := l.firstPresent(l.collectors, now)
 	l.mu.Unlock()
 	var verdict quota.Verdict
@@ -72,7 +72,7 @@
 		l.gate.Restore(counted.Report.Counts)
 		return
 	}
-	l.gate.Hear(verdict)
+	l.gate.SetVerdict(verdict)
 }
 
 // collect counts a daemon's report and returns the ledger's last verdict. An urgent one is
@@ -115,7 +115,7 @@
 	counted := l.collector.Drain(now, l.config.Host)
 	to, remote := l.firstPresent(l.ledgers, now)
 	if !remote {
-		l.collector.Hear(now, l.ledger.Take(now, counted))
+		l.collector.SetVerdict(now, l.ledger.Add(now, counted))
 		l.mu.Unlock()
 		return
 	}
@@ -127,7 +127,7 @@
 		l.collector.Restore(counted.Counts)
 		return
 	}
-	l.collector.Hear(time.Now(), verdict)
+	l.collector.SetVerdict(time.Now(), verdict)
 }
 
 // firstPresent returns the first host in the order that is not passed over; false if that is
@@ -170,5 +170,5 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.ledger.Take(time.Now(), counted.Report), nil
+	return l.ledger.Add(time.Now(), counted.Report), nil
 }
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -2,7 +2,7 @@
 // the backend servers that registered with them.
 //
 // A Table is the aggregate. It merges what daemons tell each other and what the
-// store holds, and says what changed; it has no clock, goroutine or socket.
+// store holds, and returns what changed; it has no clock, goroutine or socket.
 //
 // # Usage
 //
@@ -76,7 +76,7 @@
 	Left []string `json:"left,omitempty"`
 }
 
-// newer says whether h replaces other.
+// newer reports whether h replaces other.
 func (h Host) newer(other Host) bool {
 	if h.Incarnation != other.Incarnation {
 		return h.Incarnation > other.Incarnation
@@ -105,7 +105,7 @@
 	return t
 }
 
-// put takes a host's record in place of the one before.
+// put stores a host's record in place of the one before.
 func (t *Table) put(h Host) {
 	if known, ok := t.hosts[h.Name]; ok {
 		t.sum ^= known.hash()
@@ -117,21 +117,21 @@
 // Self returns what is told of the daemon's own host.
 func (t *Table) Self() Host { return t.hosts[t.self] }
 
-// SetServers takes the backend servers of the own host.
+// SetServers sets the backend servers of the own host.
 func (t *Table) SetServers(servers []Server, left []string) {
 	self := t.Self()
 	self.Servers, self.Left = servers, left
 	t.setSelf(self)
 }
 
-// SetStopping says that the own daemon is stopping.
+// SetStopping records that the own daemon is stopping.
 func (t *Table) SetStopping() {
 	self := t.Self()
 	self.Stopping = true
 	t.setSelf(self)
 }
 
-// setSelf takes a new version of the own host's record.
+// setSelf stores a new version of the own host's record.
 func (t *Table) setSelf(self Host) {
 	self.Version++
 	t.put(self)
@@ -172,7 +172,7 @@
 	return self, true
 }
 
-// SetGone says that a host was found gone. It returns the record to tell, or
+// SetGone records that a host was found gone. It returns the record to tell, or
 // false if a newer one is known.
 func (t *Table) SetGone(name string, incarnation, version int64) (Host, bool) {
 	h, ok := t.hosts[name]
--- a/internal/quota/collector.go
+++ b/internal/quota/collector.go
@@ -6,19 +6,19 @@
 	// presentFor is how long a reporter counts as present after a report. Source: reports
 	// come every 400 ms at least, so that two may be lost.
 	presentFor = time.Second
-	// passOnEvery is the pause between two reports of a collector while it has something
-	// to pass on. Source: ten calls a second of each data centre to one daemon.
-	passOnEvery = 100 * time.Millisecond
-	// heardFor is how long a collector gives the last verdict that it heard. Source: verdicts
+	// forwardEvery is the pause between two reports of a collector while it has something
+	// to forward. Source: ten calls a second of each data centre to one daemon.
+	forwardEvery = 100 * time.Millisecond
+	// verdictKeptFor is how long a collector passes its last verdict to a ledger that begins. Source: verdicts
 	// come ten times a second; a daemon that collects again after a while knows nothing yet.
-	heardFor = 2 * time.Second
-	// freshFor is how long gates are told it. Source: three reports to the ledger. A gate that
-	// is told an older one would take it for the word that a customer is below its limit,
+	verdictKeptFor = 2 * time.Second
+	// verdictFreshFor is how long gates are told it. Source: three reports to the ledger. A gate that
+	// is told an older one would conclude that a customer is below its limit,
 	// while the ledger is gone and the customer's rate rises.
-	freshFor = 300 * time.Millisecond
+	verdictFreshFor = 300 * time.Millisecond
 )
 
-// present keeps who reported of late, for how many hosts.
+// present records who reported of late, for how many hosts.
 type present map[string]presence
 
 // presence is when a reporter last reported, and for how many hosts.
@@ -42,13 +42,13 @@
 
 // Collector adds up the reports of a data centre's daemons.
 type Collector struct {
-	present present
-	counts  map[string]Count
-	heard   Verdict
-	heardAt time.Time
-	passed  time.Time
-	added   bool
-	follows bool // who reported since the last report had heard a verdict before
+	present     present
+	counts      map[string]Count
+	verdict     Verdict
+	verdictAt   time.Time
+	forwardedAt time.Time
+	added       bool
+	follows     bool // who reported since the last report had a verdict before
 }
 
 // NewCollector returns a collector without reports.
@@ -56,7 +56,7 @@
 	return &Collector{present: make(present), counts: make(map[string]Count)}
 }
 
-// Add takes a daemon's report and returns what the ledger last said.
+// Add counts a daemon's report and returns what the ledger last said.
 func (c *Collector) Add(now time.Time, r Report) Verdict {
 	c.present[r.From] = presence{at: now, hosts: r.Hosts}
 	c.added = true
@@ -67,40 +67,40 @@
 
 // Verdict returns what the ledger last said, for gates; it is unknown if that is no longer
 // fresh.
-func (c *Collector) Verdict(now time.Time) Verdict { return c.heardWithin(now, freshFor) }
+func (c *Collector) Verdict(now time.Time) Verdict { return c.verdictWithin(now, verdictFreshFor) }
 
-// heardWithin returns the last verdict, unless that was longer ago.
-func (c *Collector) heardWithin(now time.Time, length time.Duration) Verdict {
-	if now.Sub(c.heardAt) > length {
+// verdictWithin returns the last verdict, unless that was longer ago.
+func (c *Collector) verdictWithin(now time.Time, length time.Duration) Verdict {
+	if now.Sub(c.verdictAt) > length {
 		return Verdict{}
 	}
-	return c.heard
+	return c.verdict
 }
 
-// Added says whether there is something to pass on.
+// Added reports whether there is something to forward.
 func (c *Collector) Added() bool { return c.added }
 
-// Due says whether it is time to pass something on.
-func (c *Collector) Due(now time.Time) bool { return c.added && now.Sub(c.passed) >= passOnEvery }
+// Due reports whether it is time to forward something.
+func (c *Collector) Due(now time.Time) bool { return c.added && now.Sub(c.forwardedAt) >= forwardEvery }
 
-// Drain returns the report to pass on under that name.
+// Drain returns the report to forward under that name.
 func (c *Collector) Drain(now time.Time, from string) Report {
-	c.passed = now
+	c.forwardedAt = now
 	c.added = false
 	follows := c.follows
 	c.follows = false
-	return Report{From: from, Hosts: c.present.hosts(now), Counts: drain(c.counts), Follows: follows, Heard: c.heardWithin(now, heardFor)}
+	return Report{From: from, Hosts: c.present.hosts(now), Counts: drain(c.counts), Follows: follows, Heard: c.verdictWithin(now, verdictKeptFor)}
 }
 
-// Restore takes back the counts of a report that was not answered.
+// Restore adds again the counts of a report that was not answered.
 func (c *Collector) Restore(counts []Count) {
 	c.added = c.added || len(counts) > 0
 	merge(c.counts, counts)
 }
 
-// Hear takes the ledger's verdict.
-func (c *Collector) Hear(now time.Time, v Verdict) {
+// SetVerdict sets what Verdict returns, if the ledger has answered.
+func (c *Collector) SetVerdict(now time.Time, v Verdict) {
 	if v.Known {
-		c.heard, c.heardAt = v, now
+		c.verdict, c.verdictAt = v, now
 	}
 }
--- a/internal/quota/gate.go
+++ b/internal/quota/gate.go
@@ -9,9 +9,9 @@
 	urgentCount = 3
 	// urgentEvery is the pause between two reports at least.
 	urgentEvery = 100 * time.Millisecond
-	// spentEvery is the pause after which a gate reports that refuses for want of a word.
+	// awaitEvery is the pause after which a gate reports that refuses until the next verdict.
 	// Source: ten round trips between data centres.
-	spentEvery = 20 * time.Millisecond
+	awaitEvery = 20 * time.Millisecond
 	// nearEvery is the pause while a customer is near its limit or beyond. Source: the
 	// shares of a customer that comes back below its limit have to rise again soon.
 	nearEvery = 200 * time.Millisecond
@@ -22,12 +22,12 @@
 )
 
 const (
-	// allowed is mostOpen in parts of the burst that fall to a host. Source: callers are
+	// unconfirmedPart is maxUnconfirmed in parts of the burst that fall to a host. Source: callers are
 	// not spread evenly; a flood gets no more than two bursts before the ledger knows.
-	allowed = 2.0
-	// allowedEarly is the same before the first verdict. Source: where all daemons start
+	unconfirmedPart = 2.0
+	// unconfirmedPartEarly is the same before the first verdict. Source: where all daemons start
 	// again each second, more than half of the burst a time is beyond the limit.
-	allowedEarly = 0.5
+	unconfirmedPartEarly = 0.5
 )
 
 const (
@@ -37,7 +37,7 @@
 	maxRetryAfter = 5 * time.Second
 )
 
-// Decision says whether a request is admitted.
+// Decision tells whether a request is admitted.
 type Decision struct {
 	Admitted bool
 	// RetryAfter is when the limit has room for a refused one.
@@ -46,25 +46,25 @@
 
 // Gate admits the requests of one daemon's callers.
 type Gate struct {
-	limits     map[string]Limit
-	hosts      int            // that share the limits
-	heard      bool           // a verdict
-	open       map[string]int // admitted since the last verdict
-	counts     map[string]Count
-	allowances map[string]Allowance
-	credit     map[string]float64 // parts of a request that are left from the shares
-	spent      bool               // some customer has mostOpen requests open
-	urgent     bool               // some customer has urgentCount unreported requests
-	near       bool               // some customer's share is below one
-	reported   time.Time
+	limits        map[string]Limit
+	hosts         int            // that share the limits
+	hasVerdict    bool           // there ever was one
+	unconfirmed   map[string]int // admitted since the last verdict
+	counts        map[string]Count
+	allowances    map[string]Allowance
+	credit        map[string]float64 // parts of a request that are left from the shares
+	awaitsVerdict bool               // some customer has maxUnconfirmed requests admitted since the last verdict
+	urgent        bool               // some customer has urgentCount unreported requests
+	near          bool               // some customer's share is below one
+	reported      time.Time
 }
 
 // NewGate returns a gate without limits, which admits everything.
 func NewGate() *Gate {
-	return &Gate{open: make(map[string]int), counts: make(map[string]Count), allowances: make(map[string]Allowance), credit: make(map[string]float64)}
+	return &Gate{unconfirmed: make(map[string]int), counts: make(map[string]Count), allowances: make(map[string]Allowance), credit: make(map[string]float64)}
 }
 
-// Reconfigure takes the limits by customer, and how many hosts share them. Customers without
+// Reconfigure sets the limits by customer, and how many hosts share them. Customers without
 // a limit are admitted uncounted.
 func (g *Gate) Reconfigure(limits map[string]Limit, hosts int) { g.limits, g.hosts = limits, hosts }
 
@@ -90,20 +90,20 @@
 }
 
 // admits decides by the customer's allowance, if there is one, and admits no more than the
-// mostOpen between two verdicts: the first share that a flood gets is taken from few requests.
+// maxUnconfirmed between two verdicts: the first share that a flood gets is taken from few requests.
 func (g *Gate) admits(customer string, limit Limit, allowance Allowance, near bool) bool {
 	if near && !g.spend(customer, allowance.Share) {
 		return false
 	}
-	if float64(g.open[customer]) < g.mostOpen(limit) {
-		g.open[customer]++
+	if float64(g.unconfirmed[customer]) < g.maxUnconfirmed(limit) {
+		g.unconfirmed[customer]++
 		return true
 	}
-	g.spent = true
+	g.awaitsVerdict = true
 	return false
 }
 
-// mostOpen is how many requests of one customer are admitted between two verdicts: twice this
+// maxUnconfirmed is how many requests of one customer are admitted between two verdicts: twice this
 // host's part of the burst, which the bucket holds while the customer is below its limit. It
 // bounds what a flood gets before the ledger knows of it. Three daemons that were asked 13,000
 // times a second for a customer with a limit of 40 ran 612 requests in four seconds without it,
@@ -111,12 +111,12 @@
 // (TestALimitHoldsForTheWholeFleet). Who has used it up
 // reports at once, so that a customer whose callers are all on one host waits for one answer
 // and is held to nothing else.
-func (g *Gate) mostOpen(limit Limit) float64 {
+func (g *Gate) maxUnconfirmed(limit Limit) float64 {
 	part := limit.Burst / float64(max(1, g.hosts))
-	if !g.heard {
-		return max(1, allowedEarly*part)
+	if !g.hasVerdict {
+		return max(1, unconfirmedPartEarly*part)
 	}
-	return max(urgentCount, allowed*part)
+	return max(urgentCount, unconfirmedPart*part)
 }
 
 // spend adds the share to the customer's credit and takes one request from it, if it is there.
@@ -152,15 +152,15 @@
 	g.counts[customer] = count
 }
 
-// Due says whether it is time for a report.
+// Due reports whether it is time for a report.
 func (g *Gate) Due(now time.Time) bool {
 	since := now.Sub(g.reported)
 	switch {
-	case g.spent:
-		return since >= spentEvery
+	case g.awaitsVerdict:
+		return since >= awaitEvery
 	case g.urgent:
 		return since >= urgentEvery
-	case !g.heard:
+	case !g.hasVerdict:
 		return since >= urgentEvery
 	case g.near:
 		return since >= nearEvery
@@ -169,30 +169,30 @@
 	}
 }
 
-// Spent says whether requests are refused until the next verdict, which the ledger should
+// AwaitsVerdict reports whether requests are refused until the next verdict, which the ledger should
 // give at once.
-func (g *Gate) Spent() bool { return g.spent }
+func (g *Gate) AwaitsVerdict() bool { return g.awaitsVerdict }
 
-// Follows says whether a verdict was ever heard.
-func (g *Gate) Follows() bool { return g.heard }
+// HasVerdict reports whether there ever was a verdict.
+func (g *Gate) HasVerdict() bool { return g.hasVerdict }
 
 // Drain returns what was counted since the last report.
 func (g *Gate) Drain(now time.Time) []Count {
 	g.reported = now
-	g.spent, g.urgent = false, false
+	g.awaitsVerdict, g.urgent = false, false
 	return drain(g.counts)
 }
 
-// Restore takes back the counts of a report that was not answered.
+// Restore adds again the counts of a report that was not answered.
 func (g *Gate) Restore(counts []Count) { merge(g.counts, counts) }
 
-// Hear takes a verdict.
-func (g *Gate) Hear(v Verdict) {
+// SetVerdict sets what is admitted until the next verdict.
+func (g *Gate) SetVerdict(v Verdict) {
 	if !v.Known {
 		return
 	}
-	g.heard, g.near = true, false
-	clear(g.open)
+	g.hasVerdict, g.near = true, false
+	clear(g.unconfirmed)
 	clear(g.allowances)
 	for _, s := range v.Allowances {
 		if s.Share < 1 {
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -3,22 +3,22 @@
 //
 // Nobody is asked on a request's way. Each daemon counts what its callers ask and what it
 // admits (Gate), and reports that a few times a second to a collector of its data centre
-// (Collector), which adds up the reports and passes the sum on to one daemon of the fleet
+// (Collector), which adds up the reports and forwards the sum to one daemon of the fleet
 // (Ledger). The ledger keeps a bucket of tokens for each customer. While there is room in
-// the bucket, gates admit everything. When there is not, the ledger says which share of the
+// the bucket, gates admit everything. When there is not, the ledger tells which share of the
 // customer's requests to admit, and each gate admits that share of its own. So a customer
 // that is far below its limit costs a line in a report, and no request waits for an answer.
 //
 // # Usage
 //
 //	gate := quota.NewGate()
-//	gate.Reconfigure(limits)
-//	if decision := gate.Admit(now, "county-7"); !decision.Admitted { ... }
+//	gate.Reconfigure(limits, hosts)
+//	if decision := gate.Admit("county-7"); !decision.Admitted { ... }
 //	...
 //	if gate.Due(now) {
 //		counts := gate.Drain(now)
 //		verdict := collector.Add(now, quota.Report{From: "csepel-1", Hosts: 1, Counts: counts})
-//		gate.Hear(verdict)
+//		gate.SetVerdict(verdict)
 //	}
 //
 // # Rules
@@ -41,7 +41,7 @@
 //     stricter for a moment, one that is lost would make it laxer.
 //
 //   - A gate that admits more of a customer's requests than its part of the burst without a
-//     word of the ledger reports at once and refuses until it is answered. So a flood gets
+//     verdict of the ledger reports at once and refuses until it is answered. So a flood gets
 //     little before the ledger knows of it.
 //
 // The bound: in any time w all parts together admit at most rate*w + burst, and in addition
@@ -84,9 +84,9 @@
 	Heard Verdict `json:"heard,omitzero"`
 }
 
-// Verdict says how much of their customers' requests gates admit.
+// Verdict tells how much of their customers' requests gates admit.
 type Verdict struct {
-	// Known is false if no ledger has answered yet.
+	// Known is false if no ledger has given one yet.
 	Known bool `json:"known,omitempty"`
 	// By names the ledger's host.
 	By string `json:"by,omitempty"`
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -73,7 +73,7 @@
 func (h *oneHost) pass(d time.Duration) {
 	for end := h.now.Add(d); h.now.Before(end); h.now = h.now.Add(10 * time.Millisecond) {
 		if h.gate.Due(h.now) {
-			h.gate.Hear(h.ledger.Take(h.now, quota.Report{From: "csepel-1", Hosts: 1, Counts: h.gate.Drain(h.now)}))
+			h.gate.SetVerdict(h.ledger.Add(h.now, quota.Report{From: "csepel-1", Hosts: 1, Counts: h.gate.Drain(h.now)}))
 		}
 	}
 }
@@ -133,15 +133,15 @@
 func TestAShareOfAFloodIsBoundedToo(t *testing.T) {
 	gate := quota.NewGate()
 	gate.Reconfigure(limitsOf(40, 20), 3)
-	gate.Hear(quota.Verdict{Known: true, Allowances: []quota.Allowance{{Customer: "a", Share: 0.43, Level: 7}}})
+	gate.SetVerdict(quota.Verdict{Known: true, Allowances: []quota.Allowance{{Customer: "a", Share: 0.43, Level: 7}}})
 	admitted := 0
 	for range 1000 {
 		if gate.Admit("a").Admitted {
 			admitted++
 		}
 	}
-	if admitted > 14 || !gate.Spent() {
-		t.Fatalf("%d of 1000 admitted before the next verdict; the gate asks for one: %v", admitted, gate.Spent())
+	if admitted > 14 || !gate.AwaitsVerdict() {
+		t.Fatalf("%d of 1000 admitted before the next verdict; the gate asks for one: %v", admitted, gate.AwaitsVerdict())
 	}
 }
 
@@ -187,7 +187,7 @@
 		if i%2 == 0 {
 			h.gate.Restore(counts)
 		} else {
-			h.gate.Hear(h.ledger.Take(h.now, quota.Report{From: "csepel-1", Hosts: 1, Counts: counts}))
+			h.gate.SetVerdict(h.ledger.Add(h.now, quota.Report{From: "csepel-1", Hosts: 1, Counts: counts}))
 		}
 		h.now = h.now.Add(100 * time.Millisecond)
 	}
@@ -200,7 +200,7 @@
 // that is fresh, a ledger that follows for longer, and nobody long after.
 func TestACollectorForgetsAnOldVerdict(t *testing.T) {
 	c := quota.NewCollector()
-	c.Hear(simStart, quota.Verdict{Known: true, Allowances: []quota.Allowance{{Customer: "a", Share: 0.1}}})
+	c.SetVerdict(simStart, quota.Verdict{Known: true, Allowances: []quota.Allowance{{Customer: "a", Share: 0.1}}})
 	tests := []struct {
 		later       time.Duration
 		gate, heard bool
@@ -228,7 +228,7 @@
 	var verdict quota.Verdict
 	for i := range 5 {
 		at := simStart.Add(time.Duration(i) * 100 * time.Millisecond)
-		verdict = ledger.Take(at, quota.Report{From: "csepel-1", Hosts: 1, Heard: heard, Counts: []quota.Count{{Customer: "a", Asked: 5, Admitted: 1}}})
+		verdict = ledger.Add(at, quota.Report{From: "csepel-1", Hosts: 1, Heard: heard, Counts: []quota.Count{{Customer: "a", Asked: 5, Admitted: 1}}})
 	}
 	if len(verdict.Allowances) != 1 || verdict.Allowances[0].Level > -40 || verdict.Allowances[0].Share > 0 {
 		t.Fatalf("%+v", verdict)
@@ -246,14 +246,14 @@
 	}
 	gate := quota.NewGate()
 	gate.Reconfigure(limits, 4600)
-	gate.Hear(quota.Verdict{Known: true})
+	gate.SetVerdict(quota.Verdict{Known: true})
 	b.ReportAllocs()
 	n := 0
 	for b.Loop() {
 		gate.Admit(names[n%count])
 		if n++; n%60 == 0 { // what a busy daemon counts between two reports
 			gate.Drain(simStart)
-			gate.Hear(quota.Verdict{Known: true})
+			gate.SetVerdict(quota.Verdict{Known: true})
 		}
 	}
 }
--- a/internal/quota/ways_test.go
+++ b/internal/quota/ways_test.go
@@ -41,24 +41,24 @@
 			collectors[host].Restore(report.Counts) // it does not answer
 			return
 		}
-		collectors[host].Hear(now, ledgers[to].Take(now.Add(simDelay/2), report))
+		collectors[host].SetVerdict(now, ledgers[to].Add(now.Add(simDelay/2), report))
 	}
 	report := func(now time.Time, host int) {
 		messages += 2
 		gate := gates[host]
-		spent := gate.Spent()
+		spent := gate.AwaitsVerdict()
 		counts := gate.Drain(now)
 		to := first(part(host), host%simPlaces)
 		if downFor[to] > 0 {
 			gate.Restore(counts)
 			return
 		}
-		verdict := collectors[to].Add(now.Add(simDelay/2), quota.Report{From: customerName(host), Hosts: 1, Counts: counts, Follows: gate.Follows()})
+		verdict := collectors[to].Add(now.Add(simDelay/2), quota.Report{From: customerName(host), Hosts: 1, Counts: counts, Follows: gate.HasVerdict()})
 		if spent {
 			passOn(now, to)
 			verdict = collectors[to].Verdict(now)
 		}
-		gate.Hear(verdict)
+		gate.SetVerdict(verdict)
 	}
 	restarted := make(map[int]bool)
 	step := func(now time.Time) {
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,7 +1,7 @@
 // Package registry keeps the backend servers that register themselves with the
 // daemon on their host.
 //
-// A Registry is the aggregate of one host. It takes registrations and says who
+// A Registry is the aggregate of one host. It records registrations and returns who
 // serves; it has no clock, goroutine or socket. The daemon owns it.
 //
 // # Usage
@@ -14,13 +14,13 @@
 // # Rules
 //
 //   - Each start of a backend server is an incarnation with a name of its own.
-//   - Draining is final: whoever has said that it leaves never serves again under
+//   - Draining is final: whoever has said that it is draining never serves again under
 //     that name, whatever late registration still comes.
 //   - A registration whose sequence number is not above the last one is late and
 //     changes nothing.
 //   - Of two incarnations at one address the one that registered last serves. But an
 //     incarnation that a younger one has replaced, by its lower sequence number, is taken
-//     back only once it has registered twice with no word of the younger one between:
+//     back only once it has registered twice with no registration of the younger one between:
 //     a registration of it may come seconds after its end.
 //   - Silence removes nobody. A backend server that cannot reach the daemon may
 //     still serve; one that is gone refuses connections, which its requests show.
@@ -38,7 +38,7 @@
 const keptLeft = 64
 
 // keptReplaced bounds how many incarnations are remembered that others replaced at their
-// addresses.
+// addresses. Not measured: as many as have left.
 const keptReplaced = 64
 
 // Registration is what a backend server says of itself.
@@ -61,7 +61,7 @@
 type Registry struct {
 	servers  map[string]Registration // by name, the last registration of each
 	holders  map[string]holder       // who serves at an address
-	left     []string                // names that said that they leave, the oldest first
+	left     []string                // names that said that they are draining, the oldest first
 	replaced []string                // names that others replaced, the oldest first
 }
 
@@ -79,7 +79,7 @@
 	return &Registry{servers: make(map[string]Registration), holders: make(map[string]holder)}
 }
 
-// Register takes a registration and says whether Serving or Left changed.
+// Register records a registration and reports whether Serving or Left changed.
 func (r *Registry) Register(c Registration) bool {
 	if slices.Contains(r.left, c.Name) {
 		return false
@@ -96,15 +96,15 @@
 		delete(r.holders, last.Address)
 	}
 	r.servers[c.Name] = c
-	if r.hold(c, known) {
+	if r.claimAddress(c, known) {
 		return true
 	}
 	last.Sequence = c.Sequence
 	return r.holders[c.Address].name == c.Name && last != c
 }
 
-// hold says whether the registration makes its incarnation the one that serves at its address.
-func (r *Registry) hold(c Registration, known bool) bool {
+// claimAddress lets the incarnation serve at its address if it may, and reports whether it newly does.
+func (r *Registry) claimAddress(c Registration, known bool) bool {
 	h, held := r.holders[c.Address]
 	if held && h.name == c.Name {
 		h.challenger = ""
@@ -119,14 +119,14 @@
 	next := holder{name: c.Name}
 	if held {
 		next.young = !known && c.Sequence < r.servers[h.name].Sequence
-		r.replace(h.name)
+		r.addReplaced(h.name)
 	}
 	r.holders[c.Address] = next
 	return true
 }
 
-// replace remembers that an incarnation was replaced, and forgets the oldest such.
-func (r *Registry) replace(name string) {
+// addReplaced remembers that an incarnation was replaced, and forgets the oldest such.
+func (r *Registry) addReplaced(name string) {
 	r.replaced = append(r.replaced, name)
 	if len(r.replaced) <= keptReplaced {
 		return
@@ -138,13 +138,13 @@
 	}
 }
 
-// Serves says whether the incarnation serves at an address.
+// Serves reports whether the incarnation serves at an address.
 func (r *Registry) Serves(name string) bool {
 	server, ok := r.servers[name]
 	return ok && r.holders[server.Address].name == name
 }
 
-// Leave takes it that a backend server ends, and says whether that is news.
+// Leave records that a backend server ends, and reports whether that was not known.
 func (r *Registry) Leave(name string) bool {
 	if slices.Contains(r.left, name) {
 		return false
@@ -153,7 +153,7 @@
 	return true
 }
 
-// Forbid takes names that left in an earlier incarnation of the daemon.
+// Forbid records names that left in an earlier incarnation of the daemon, and reports whether one was not known.
 func (r *Registry) Forbid(names []string) bool {
 	changed := false
 	for _, name := range names {
@@ -162,7 +162,7 @@
 	return changed
 }
 
-// leave takes a backend server out for good.
+// leave removes a backend server for good.
 func (r *Registry) leave(name string) {
 	r.left = append(r.left, name)
 	r.left = r.left[max(0, len(r.left)-keptLeft):]
--- a/internal/revision/revision.go
+++ b/internal/revision/revision.go
@@ -104,7 +104,7 @@
 	return &Ledger{config: config}
 }
 
-// write writes a key if it still has the revision, and says whether it did.
+// write writes a key if it still has the revision, and reports whether it did.
 func (l *Ledger) write(ctx context.Context, key string, data []byte, expected int64) (bool, error) {
 	_, err := l.config.Store.Commit(ctx, store.Change{
 		Expect: []store.Expect{{Key: key, Revision: expected}},
--- a/internal/revision/root.go
+++ b/internal/revision/root.go
@@ -58,7 +58,7 @@
 	return r, nil
 }
 
-// writeRoot writes the root if it still has the store's revision, and says whether it
+// writeRoot writes the root if it still has the store's revision, and reports whether it
 // did.
 func (l *Ledger) writeRoot(ctx context.Context, next root, expected int64) (bool, error) {
 	data, err := json.Marshal(next)
--- a/internal/subrequest/subrequest.go
+++ b/internal/subrequest/subrequest.go
@@ -16,7 +16,7 @@
 // that none follows speaks against it, by the logarithm of how much likelier that is if the
 // route is called than by chance. Chance is how often the backend servers fail at any time,
 // which is much where they are sick. The sum is the weight of the route: from enough on it is
-// taken for called, and until the weight is gone again. The sum is bounded, so that what was
+// considered called, and until the weight is gone again. The sum is bounded, so that what was
 // learned wrongly is unlearned soon.
 //
 // A Tracker is the aggregate of one host. It takes routes, outcomes and the time; it has no
@@ -40,9 +40,9 @@
 )
 
 const (
-	// within is how soon a backend server fails after a call of it has. Source: its own
+	// followWithin is how soon a backend server fails after a call of it has. Source: its own
 	// answer's way on the host, and some milliseconds of its work.
-	within = 100 * time.Millisecond
+	followWithin = 100 * time.Millisecond
 	// followed is the share of a called route's trials that a failed answer follows. Source:
 	// what needs a call fails without it; some was given up by its caller before.
 	followed = 0.8
@@ -51,9 +51,9 @@
 	// where most are followed by chance, nothing can be learned.
 	leastChance = 0.05
 	mostChance  = 0.4
-	// remembered is the time over which failed answers are averaged. Source: a backend
+	// averageOver is the time over which failed answers are averaged. Source: a backend
 	// server is sick for some seconds at a time.
-	remembered = 10 * time.Second
+	averageOver = 10 * time.Second
 	// startRate is the rate of failed answers, a second, that is assumed at first, as if it had
 	// been seen for startTime. Source: what a host with a sick backend server has; another rate
 	// shows within seconds.
@@ -61,14 +61,14 @@
 	startTime = 2 * time.Second
 )
 
-// enough is the weight from which a route is taken for called. Source: with the logarithm of
+// enough is the weight from which a route is considered called. Source: with the logarithm of
 // a thousand one route in a thousand is taken so by chance; three trials are enough where
 // backend servers seldom fail, four at first.
 var enough = math.Log(1000)
 
-// Config says who is told.
+// Config holds who is told.
 type Config struct {
-	// Changed is told of a route that is taken for called from now on, or no longer. It must
+	// Changed is told of a route that is considered called from now on, or no longer. It must
 	// not call the tracker.
 	Changed func(name route.Name, called bool)
 }
@@ -89,7 +89,7 @@
 	name   route.Name
 	weight float64
 	untold float64 // of the weight, what other hosts have not been told
-	known  bool    // it is taken for called
+	known  bool    // it is considered called
 	opened time.Time
 	ended  time.Time // the last trial that a failed answer followed
 }
@@ -107,7 +107,7 @@
 	return &Tracker{config: config, routes: make(map[route.Name]*record)}
 }
 
-// Failed takes it that a request to the route, which began on this host, got no answer.
+// Failed records that a request to the route, which began on this host, got no answer.
 func (t *Tracker) Failed(now time.Time, name route.Name) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -117,7 +117,7 @@
 	}
 	r := t.recordOf(name)
 	t.expire(now, r)
-	if r.opened.IsZero() && now.Sub(r.ended) > within {
+	if r.opened.IsZero() && now.Sub(r.ended) > followWithin {
 		r.opened = now
 	}
 }
@@ -134,7 +134,7 @@
 
 // expire ends a trial that no failed answer followed.
 func (t *Tracker) expire(now time.Time, r *record) {
-	if r.opened.IsZero() || now.Sub(r.opened) <= within {
+	if r.opened.IsZero() || now.Sub(r.opened) <= followWithin {
 		return
 	}
 	r.opened = time.Time{}
@@ -143,7 +143,7 @@
 
 // chance is the share of trials that a failed answer follows by chance.
 func (t *Tracker) chance(now time.Time) float64 {
-	return min(mostChance, max(leastChance, 1-math.Exp(-t.rateAt(now)*within.Seconds())))
+	return min(mostChance, max(leastChance, 1-math.Exp(-t.rateAt(now)*followWithin.Seconds())))
 }
 
 // rateAt is the rate of failed answers, fading since the last one.
@@ -154,7 +154,7 @@
 // averaged is the time in seconds over which failed answers are averaged: as long as they
 // have been seen, up to a limit.
 func (t *Tracker) averaged(now time.Time) float64 {
-	return min(remembered, startTime+now.Sub(t.began)).Seconds()
+	return min(averageOver, startTime+now.Sub(t.began)).Seconds()
 }
 
 // weigh adds to the weight what was seen here.
@@ -178,7 +178,7 @@
 	}
 }
 
-// Answered takes an answer of a backend server of this host, and returns what to tell the
+// Answered records an answer of a backend server of this host, and returns what to tell the
 // other hosts of its service.
 func (t *Tracker) Answered(now time.Time, good bool) []Evidence {
 	t.mu.Lock()
@@ -203,7 +203,7 @@
 }
 
 // follow ends a trial that a failed answer followed, and returns what to tell of it: nothing
-// once the route has been taken for called for a while.
+// once the route has been considered called for a while.
 func (t *Tracker) follow(now time.Time, r *record, weight float64) []Evidence {
 	r.opened, r.ended = time.Time{}, now
 	wasKnown := r.known
@@ -216,7 +216,7 @@
 	return []Evidence{{Route: r.name, Weight: untold}}
 }
 
-// Hear takes what another host of the same service saw, and says whether the route is known
+// Hear adds what another host of the same service saw, and reports whether the route is known
 // to be called.
 func (t *Tracker) Hear(e Evidence) bool {
 	t.mu.Lock()
@@ -226,14 +226,14 @@
 	return r.known
 }
 
-// Learn takes it from another host of the same service that the route is called.
+// Learn records that another host of the same service knows the route to be called.
 func (t *Tracker) Learn(name route.Name) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.add(t.recordOf(name), 2*enough)
 }
 
-// Is says whether the route is known to be called by the host's backend servers.
+// Is reports whether the route is known to be called by the host's backend servers.
 func (t *Tracker) Is(name route.Name) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -241,7 +241,7 @@
 	return ok && r.known
 }
 
-// Keep forgets the routes for which the function says no.
+// Keep forgets the routes for which the function returns false.
 func (t *Tracker) Keep(declared func(route.Name) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
