--- a/internal/daemon/listen.go
+++ b/internal/daemon/listen.go
@@ -29,7 +29,6 @@
 		Local:       d.localHandlers(),
 		Control:     handle,
 		DaemonsOnly: d.daemonsOnly,
-		Stopping:    d.stopping.Load,
 		Logger:      d.config.Logger,
 	})
 	if err != nil {
--- a/internal/daemon/stop.go
+++ b/internal/daemon/stop.go
@@ -10,7 +10,8 @@
 )
 
 const (
-	// settleFor is how long a planned stop waits before it closes connections.
+	// settleFor is how long a planned stop waits before it closes connections. Not measured: whoever sends a
+	// request a second on a connection is answered once meanwhile, and asked to close it.
 	settleFor = time.Second
 	// lastAnswersPart and endPart are the parts of a stop's limit before its end in which
 	// callers that still wait get their last answers and in which the daemon has ended.
@@ -26,6 +27,7 @@
 func (d *daemon) stop(servers *serve.Servers) error {
 	event.Log(d.config.Logger, event.DaemonStopping, "in_flight", d.ingress.InFlight())
 	d.stopping.Store(true)
+	servers.CloseAfterAnswers()
 	d.ingress.Settle()
 	limits := d.live.Load().Limits
 	ctx, cancel := context.WithTimeout(context.Background(), limits.Stop-limits.Stop/endPart)
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -3,8 +3,8 @@
 // There are four: callers and other daemons' hops, which a planned stop ends gently, operators, and control calls. A
 // host's own programs may be given others (Local).
 //
-// A planned stop goes in this order: Refuse takes no new connections, and answers ask the other side to close
-// those there are; CloseUnused closes the connections on which no request has come; Stop waits for the
+// A planned stop goes in this order: CloseAfterAnswers has answers ask the other side to close its connection;
+// Refuse takes no new ones; CloseUnused closes those on which no request has come; Stop waits for the
 // requests that have begun, or cuts them when its context ends.
 //
 // The package owns the sockets and servers. It relies on the handlers it is given, and on
@@ -15,6 +15,7 @@
 //	servers, cleanUp, err := serve.New(serve.Config{Listen: s.Listen, Limits: s.Limits, Callers: ingress, Peers: sidecar, ...})
 //	defer cleanUp()
 //	err = <-servers.Failed()
+//	servers.CloseAfterAnswers()
 //	servers.Refuse()
 //	servers.CloseUnused()
 //	err = servers.Stop(ctx)
@@ -64,8 +65,6 @@
 	Control control.Handle
 	// DaemonsOnly returns a listener that takes daemons' connections alone.
 	DaemonsOnly func(net.Listener) net.Listener
-	// Stopping reports whether a planned stop has begun.
-	Stopping func() bool
 	// Logger receives what net/http has to say.
 	Logger *slog.Logger
 }
@@ -79,6 +78,7 @@
 	failed    chan error
 
 	sockets  []net.Listener // of callers and peers
+	stopping atomic.Bool
 	refusing atomic.Bool
 	unused   unusedConns // of callers and peers
 	cleanUps []func()
@@ -105,6 +105,9 @@
 // Failed is sent an error when a server fails otherwise than by a stop.
 func (s *Servers) Failed() <-chan error { return s.failed }
 
+// CloseAfterAnswers has each answer from now on ask callers and peers to close their connection.
+func (s *Servers) CloseAfterAnswers() { s.stopping.Store(true) }
+
 // Refuse takes no new connections; those there are go on. It comes a while
 // before http.Server.Shutdown, since that drops without an answer a request
 // whose head it reads after it has begun.
@@ -182,11 +185,10 @@
 	}
 }
 
-// closeWhenStopping asks the other side to close its connection once the daemon
-// is stopping.
+// closeWhenStopping asks the other side to close its connection after CloseAfterAnswers.
 func (s *Servers) closeWhenStopping(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if s.config.Stopping() {
+		if s.stopping.Load() {
 			w.Header().Set("Connection", "close")
 		}
 		handler.ServeHTTP(w, r)
