--- /dev/null
+++ b/internal/hostlist/hostlist_test.go
@@ -0,0 +1,49 @@
+package hostlist_test
+
+import (
+	"context"
+	"slices"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/go-faster/errors"
+
+	"github.com/tideliftd/tidelift/internal/fleet"
+	"github.com/tideliftd/tidelift/internal/hostlist"
+	"github.com/tideliftd/tidelift/internal/store"
+)
+
+// TestRunTellsTheOwnHost reads lists with this host, without it, and one that cannot be read, which
+// changes nothing.
+func TestRunTellsTheOwnHost(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		lists := []string{`["csepel-9"]`, `["csepel-1"]`, `{`, `["csepel-1"]`, `[]`}
+		var reads int
+		var told []bool
+		index := fleet.NewIndex(fleet.Declaration{Hosts: []fleet.Host{{Name: "csepel-1", DataCentre: "csepel"}}})
+		get := func(_ context.Context, key string) (store.Item, error) {
+			if key != "tidelift/leaving-hosts" {
+				t.Errorf("key %s is read", key)
+			}
+			if reads == len(lists) {
+				return store.Item{}, errors.New("away")
+			}
+			reads++
+			return store.Item{Data: []byte(lists[reads-1])}, nil
+		}
+		follower := hostlist.New(hostlist.Config{
+			Store:    store.Store{Get: get},
+			Prefix:   "tidelift",
+			Host:     "csepel-1",
+			Index:    func() (*fleet.Index, bool) { return index, true },
+			Draining: func(draining bool) { told = append(told, draining) },
+		})
+		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
+		defer cancel()
+		follower.Run(ctx)
+		if want := []bool{true, true, false}; !slices.Equal(told, want) {
+			t.Fatalf("told %v, want %v", told, want)
+		}
+	})
+}
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -184,6 +184,3 @@
 
 // Left returns the names that left, the oldest first.
 func (r *Registry) Left() []string { return slices.Clone(r.left) }
-
-// Known returns how many incarnations are remembered that have not left.
-func (r *Registry) Known() int { return len(r.servers) }
--- /dev/null
+++ b/internal/storehealth/storehealth_test.go
@@ -0,0 +1,88 @@
+package storehealth_test
+
+import (
+	"context"
+	"log/slog"
+	"testing"
+	"time"
+
+	"github.com/go-faster/errors"
+
+	"github.com/tideliftd/tidelift/internal/storehealth"
+)
+
+var errAway = errors.New("away")
+
+func newHealth() *storehealth.Health {
+	return storehealth.New(storehealth.Config{Logger: slog.New(slog.DiscardHandler)})
+}
+
+func TestUntilAnswered(t *testing.T) {
+	health := newHealth()
+	calls := 0
+	answered := health.UntilAnswered(context.Background(), func() error {
+		calls++
+		if calls < 3 {
+			return errAway
+		}
+		return nil
+	})
+	if !answered || calls != 3 || !health.Answers() {
+		t.Fatalf("answered: %t after %d calls; the store answers: %t", answered, calls, health.Answers())
+	}
+}
+
+func TestUntilAnsweredEndsWithItsContext(t *testing.T) {
+	health := newHealth()
+	ctx, cancel := context.WithCancel(context.Background())
+	answered := health.UntilAnswered(ctx, func() error {
+		cancel()
+		return errAway
+	})
+	if answered || health.Answers() {
+		t.Fatalf("answered: %t; the store answers: %t", answered, health.Answers())
+	}
+}
+
+// TestRetryRecordsFailuresAlone repeats a call that may have to be followed by another.
+func TestRetryRecordsFailuresAlone(t *testing.T) {
+	health := newHealth()
+	health.Failed(errAway)
+	if !health.Retry(context.Background(), func() error { return nil }) || health.Answers() {
+		t.Fatal("the answer was recorded")
+	}
+}
+
+func TestState(t *testing.T) {
+	tests := map[string]struct {
+		happen func(*storehealth.Health)
+		want   storehealth.State
+	}{
+		"nothing is known":                    {func(*storehealth.Health) {}, storehealth.Unknown},
+		"another daemon knew it to answer":    {func(h *storehealth.Health) { h.Seen(time.Now()) }, storehealth.Up},
+		"another daemon did long ago":         {func(h *storehealth.Health) { h.Seen(time.Now().Add(-time.Hour)) }, storehealth.Unknown},
+		"its watch was answered":              {func(h *storehealth.Health) { h.BeginWatch(); h.Answered() }, storehealth.Up},
+		"its watch fails, whatever others do": {func(h *storehealth.Health) { h.BeginWatch(); h.Failed(errAway); h.Seen(time.Now()) }, storehealth.Down},
+		"its watch has just ended":            {func(h *storehealth.Health) { h.BeginWatch(); h.Answered(); h.EndWatch() }, storehealth.Up},
+	}
+	for name, test := range tests {
+		t.Run(name, func(t *testing.T) {
+			health := newHealth()
+			test.happen(health)
+			if got := health.State(); got != test.want {
+				t.Fatalf("state is %s, want %s", got, test.want)
+			}
+		})
+	}
+}
+
+// TestSeenOnlyRises hears of an older answer after a younger one.
+func TestSeenOnlyRises(t *testing.T) {
+	health := newHealth()
+	now := time.Now()
+	health.Seen(now)
+	health.Seen(now.Add(-time.Minute))
+	if got := health.LastSeen(); !got.Equal(now) {
+		t.Fatalf("last seen %s, want %s", got, now)
+	}
+}
