--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -15,7 +15,8 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// idleTimeout is how long a connection without calls is kept.
+// idleTimeout is how long a connection without calls is kept. Not measured: longer than the pauses between
+// calls that a daemon makes to the same others, such as reports and leases.
 const idleTimeout = 30 * time.Second
 
 // Client calls peers, over one connection to each that it has called of late.
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -3,16 +3,18 @@
 //
 // # Usage
 //
-//	cleanUp := control.Serve(control.ServerConfig{Listener: listener, Handle: handle})
-//	client, cleanUp := control.NewClient(control.ClientConfig{})
+//	handlers := control.Handlers{control.MethodLend: lender.HandleLend}
+//	cleanUp := control.Serve(control.ServerConfig{Listener: listener, Handle: handlers.Handle})
+//	client, cleanUp := control.NewClient(control.ClientConfig{DataCentre: "csepel", Logger: logger})
 //	var report sidecar.Report
 //	err := client.Call(ctx, "127.0.0.1:7402", control.MethodReport, control.Name{Name: "csepel/lookup-1"}, &report)
 //
 // A call's failure says nothing about whether the peer acted on it, so every
 // method may be called again with the same effect.
 //
-// The calls and their parameters are in control.go, who answers in server.go, and who
-// calls in client.go.
+// The calls and their parameters are in control.go. Serve hands each to the handler of its method
+// (handlers.go); a Client makes them, knows where a host takes them, and tells many (tell.go). The package owns
+// the connections; it decides nothing, and what a call means stands with its handler.
 package control
 
 import (
@@ -52,7 +54,7 @@
 	MethodTold Method = "hosts.told"
 	// MethodLend asks for a retry to a service that the other host can spare.
 	MethodLend Method = "retries.lend"
-	// MethodQuarantine tells what is held against requests.
+	// MethodQuarantine tells of suspected and quarantined requests.
 	MethodQuarantine Method = "quarantine.told"
 	// MethodCounted tells what was counted of customers' requests, and asks for the verdict.
 	MethodCounted Method = "customers.counted"
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -33,7 +33,8 @@
 	}
 }
 
-// acceptPause is between a failed accept and the next.
+// acceptPause is between a failed accept and the next. Not measured: file descriptors come free within
+// some requests' time, and twenty tries a second cost nothing.
 const acceptPause = 50 * time.Millisecond
 
 // acceptAll takes connections until the listener is closed.
--- a/internal/daemon/calls.go
+++ b/internal/daemon/calls.go
@@ -83,7 +83,7 @@
 	return control.Done{}, d.sidecar.Release(release.Name, release.Release)
 }
 
-// callQuarantine takes what another daemon holds against requests.
+// callQuarantine records which requests another daemon suspects or has quarantined.
 func (d *daemon) callQuarantine(_ context.Context, params json.RawMessage) (any, error) {
 	var told control.Quarantine
 	if err := control.Decode(params, &told); err != nil {
@@ -93,7 +93,7 @@
 	return control.Done{}, nil
 }
 
-// callSubrequest takes what another host has seen of the calls of this one's service.
+// callSubrequest records what another host has seen of the calls of this one's service.
 func (d *daemon) callSubrequest(_ context.Context, params json.RawMessage) (any, error) {
 	var told control.Subrequest
 	if err := control.Decode(params, &told); err != nil {
--- a/internal/daemon/quarantine.go
+++ b/internal/daemon/quarantine.go
@@ -28,7 +28,7 @@
 	return d.declarations.Watches() || !d.declarations.PeerAnswered()
 }
 
-// tellQuarantine tells the daemons that keep backend servers of the service what is held against requests. Whoever
+// tellQuarantine tells the daemons that keep backend servers of the service of suspected and quarantined requests. Whoever
 // is left out learns of a quarantine from others or the store, and of what is suspected when it sees an end itself.
 func (d *daemon) tellQuarantine(service string, records []quarantine.Record) {
 	d.peers.Tell(d.hostsOfService(service), control.MethodQuarantine, control.Quarantine{Records: records})
--- a/internal/operator/describe.go
+++ b/internal/operator/describe.go
@@ -21,7 +21,8 @@
 	"github.com/tideliftd/tidelift/internal/sidecar"
 )
 
-// askTimeout bounds a control call made for an operator.
+// askTimeout bounds a control call made for an operator. Not measured: many times what a call between data
+// centres takes, and an operator waits for it.
 const askTimeout = 2 * time.Second
 
 const (
@@ -111,14 +112,14 @@
 	}
 }
 
-func describeCustomer(c fleet.Customer, standings map[string]quota.Allowance, refused int64) operatorapi.Customer {
+func describeCustomer(c fleet.Customer, allowances map[string]quota.Allowance, refused int64) operatorapi.Customer {
 	described := operatorapi.Customer{Name: c.Name, Keys: len(c.Keys), Rate: c.Rate, Burst: c.Burst, Share: 1, Refused: refused}
 	if c.Priority != nil {
 		described.Priority = operatorapi.NewOptInt(*c.Priority)
 	}
-	if standing, near := standings[c.Name]; near {
-		described.Share = standing.Share
-		described.Level = operatorapi.NewOptFloat64(standing.Level)
+	if allowance, near := allowances[c.Name]; near {
+		described.Share = allowance.Share
+		described.Level = operatorapi.NewOptFloat64(allowance.Level)
 	}
 	return described
 }
@@ -133,7 +134,7 @@
 	}
 }
 
-// ingressObserver says what this daemon sees on the path.
+// ingressObserver describes what this daemon sees on the path.
 func (s *server) ingressObserver(placement fleet.Placement) (operatorapi.Witness, bool) {
 	name := placement.BackendServer.Name
 	seen, floor, ok := s.config.Ingress.Explain(placement.Service.Name, name)
@@ -152,7 +153,7 @@
 	return observer, true
 }
 
-// sidecarObserver says what the backend server's own daemon sees, or that it
+// sidecarObserver describes what the backend server's own daemon sees, or that it
 // does not answer.
 func (s *server) sidecarObserver(ctx context.Context, placement fleet.Placement) operatorapi.Witness {
 	var report sidecar.Report
@@ -232,7 +233,7 @@
 	return nil
 }
 
-// describeHeld returns what is held against a request.
+// describeHeld describes a suspected or quarantined request.
 func describeHeld(record quarantine.Record) operatorapi.HeldRequest {
 	held := operatorapi.HeldRequest{
 		Fingerprint: record.ID,
--- a/internal/operator/history.go
+++ b/internal/operator/history.go
@@ -10,7 +10,8 @@
 	"github.com/tideliftd/tidelift/internal/revision"
 )
 
-// askedAtOnce bounds the daemons that are asked for their revision at once.
+// askedAtOnce bounds the daemons that are asked for their revision at once. Not measured: each takes a
+// connection, and 4,600 are asked in 72 rounds.
 const askedAtOnce = 64
 
 // GetHistory answers with the last changes.
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -6,7 +6,7 @@
 //	handler, err := operator.New(operator.Config{ ... })
 //	http.Serve(listener, handler)
 //
-// Any daemon answers for the fleet. What it says of a backend server is its
+// Any daemon answers for the fleet. What it shows of a backend server is its
 // own ingress's view; why adds the view of the backend server's sidecar, asked
 // over a control call. api/operator.yaml describes the API.
 package operator
@@ -27,7 +27,7 @@
 	"github.com/tideliftd/tidelift/internal/sidecar"
 )
 
-// Config says whom the API asks.
+// Config holds what the API asks.
 type Config struct {
 	// Host and DataCentre name the daemon.
 	Host, DataCentre string
@@ -37,10 +37,10 @@
 	Status func() operatorapi.Status
 	// InForce returns the declaration in force; false if there is none yet.
 	InForce func() (declaration.InForce, bool)
-	// Customers returns where the customers near their limit stand, and how many requests of
+	// Customers returns the allowances of the customers near their limit, and how many requests of
 	// each were refused here.
 	Customers func() (map[string]quota.Allowance, map[string]int64)
-	// Quarantine returns what is held against requests, and Lift lets one of that fingerprint run again.
+	// Quarantine returns the suspected and quarantined requests, and Lift lets one of that fingerprint run again.
 	Quarantine func() []quarantine.Record
 	Lift       func(ctx context.Context, fingerprint string) (quarantine.Record, error)
 	// Ledger reads past revisions.
@@ -99,21 +99,21 @@
 	return servers, nil
 }
 
-// ListCustomers answers with the customers in force and where they stand.
+// ListCustomers answers with the customers in force and their allowances.
 func (s *server) ListCustomers(context.Context) ([]operatorapi.Customer, error) {
 	inForce, err := s.inForce()
 	if err != nil {
 		return nil, err
 	}
-	standings, refused := s.config.Customers()
+	allowances, refused := s.config.Customers()
 	customers := []operatorapi.Customer{}
 	for _, c := range inForce.Index.Declaration.Customers {
-		customers = append(customers, describeCustomer(c, standings, refused[c.Name]))
+		customers = append(customers, describeCustomer(c, allowances, refused[c.Name]))
 	}
 	return customers, nil
 }
 
-// ListQuarantine answers with the requests that something is held against.
+// ListQuarantine answers with the suspected and quarantined requests.
 func (s *server) ListQuarantine(context.Context) ([]operatorapi.HeldRequest, error) {
 	held := []operatorapi.HeldRequest{}
 	for _, record := range s.config.Quarantine() {
