--- a/internal/daemon/quarantine.go
+++ b/internal/daemon/quarantine.go
@@ -1,9 +1,6 @@
 package daemon
 
 import (
-	"context"
-	"encoding/json"
-
 	"github.com/tideliftd/tidelift/internal/control"
 	"github.com/tideliftd/tidelift/internal/quarantine"
 	"github.com/tideliftd/tidelift/internal/quarantinesync"
@@ -25,13 +22,13 @@
 	})
 }
 
-// watchesQuarantines says whether this daemon follows quarantines in the store: if it watches that anyway, or
+// watchesQuarantines reports whether this daemon follows quarantines in the store: if it watches that anyway, or
 // if no other daemon has told it what there is.
 func (d *daemon) watchesQuarantines() bool {
 	return d.declarations.Watches() || !d.declarations.PeerAnswered()
 }
 
-// tellQuarantine tells the daemons that keep backend servers of the service what is held against requests. Whoever
+// tellQuarantine tells the daemons that keep backend servers of the service of suspected and quarantined requests. Whoever
 // is left out learns of a quarantine from others or the store, and of what is suspected when it sees an end itself.
 func (d *daemon) tellQuarantine(service string, records []quarantine.Record) {
 	d.peers.Tell(d.hostsOfService(service), control.MethodQuarantine, control.Quarantine{Records: records})
@@ -45,13 +42,3 @@
 	}
 	d.peers.Tell(plan.Notify(), control.MethodQuarantine, control.Quarantine{Records: records})
 }
-
-// callQuarantine takes what another daemon holds against requests.
-func (d *daemon) callQuarantine(_ context.Context, params json.RawMessage) (any, error) {
-	var told control.Quarantine
-	if err := control.Decode(params, &told); err != nil {
-		return nil, err
-	}
-	d.quarantines.Merge(told.Records)
-	return control.Done{}, nil
-}
