--- a/internal/declaration/declaration.go
+++ b/internal/declaration/declaration.go
@@ -13,8 +13,8 @@
 // The same question to another daemon also exchanges what is known of hosts and of quarantined
 // requests, so that whatever was not told arrives then.
 //
-// The package owns the declaration in force and the plan of whom to tell. It relies on its Source for
-// revisions, on internal/gossip for who watches and whom to tell, on internal/storehealth for whether the
+// The package owns the declaration in force and the plan of which hosts to tell. It relies on its Source for
+// revisions, on internal/gossip for who watches and which hosts to tell, on internal/storehealth for whether the
 // platform answers, on internal/membership for the hosts, and on whoever gives the index to
 // the parts (Apply).
 //
@@ -42,13 +42,13 @@
 	"github.com/tideliftd/tidelift/internal/storehealth"
 )
 
-// Config says where declarations come from and who acts on them.
+// Config holds where declarations come from and who acts on them.
 type Config struct {
 	// Host and DataCentre name this daemon.
 	Host, DataCentre string
 	// Seeds are control addresses of daemons that are asked until there is a declaration.
 	Seeds []string
-	// Registers reports whether hosts register themselves, and so have to join others first.
+	// Registers is true if hosts register themselves, and so have to join others first.
 	Registers bool
 	// Logger receives events of declarations.
 	Logger *slog.Logger
@@ -58,7 +58,7 @@
 	Peers *control.Client
 	// Away reports whether the host of that name does not answer.
 	Away func(host string) bool
-	// Members keeps what is known of hosts, Quarantines what is held against requests.
+	// Members keeps what is known of hosts, Quarantines the suspected and quarantined requests.
 	Members     *membership.Membership
 	Quarantines *quarantinesync.Syncer
 	// Source is where declarations come from.
--- a/internal/declaration/inforce.go
+++ b/internal/declaration/inforce.go
@@ -26,7 +26,7 @@
 		"author", r.Accepted.Author, "reason", r.Accepted.Reason)
 }
 
-// parse reads what the revision declares and keeps it; false if that is wrong. The caller holds mu.
+// parse reads what the revision declares into declared; false if that is wrong. The caller holds mu.
 func (f *Follower) parse(r revision.Revision) bool {
 	declaration, err := f.config.Source.Parse(r.YAML)
 	if err != nil {
@@ -49,7 +49,7 @@
 	f.planWith(f.config.Members.Complete(fleet.Declaration{}).Hosts)
 }
 
-// planWith makes the plan of whom to tell of updates.
+// planWith makes the plan of which hosts to tell of updates.
 func (f *Follower) planWith(hosts []fleet.Host) {
 	f.plan.Store(gossip.NewPlan(gossip.Config{
 		Host:       f.config.Host,
--- a/internal/lend/lend.go
+++ b/internal/lend/lend.go
@@ -40,7 +40,7 @@
 	maxDraws = 8
 )
 
-// Config says who borrows, and from whom.
+// Config holds who borrows, and from which hosts.
 type Config struct {
 	// Host and DataCentre name this daemon.
 	Host, DataCentre string
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -28,7 +28,7 @@
 	"github.com/tideliftd/tidelift/internal/quota"
 )
 
-// Config says who keeps the limits with whom.
+// Config holds who this daemon is and how it reaches the others.
 type Config struct {
 	// Host and DataCentre name this daemon.
 	Host, DataCentre string
@@ -51,8 +51,8 @@
 	ledger     *quota.Ledger
 	customers  []fleet.Customer       // as they were declared last
 	declared   map[string]quota.Limit // theirs, of those that have one
-	collectors []fleet.Host           // whom this daemon reports to, in this order
-	ledgers    []fleet.Host           // whom its collector reports to, in this order
+	collectors []fleet.Host           // to one of which this daemon reports, in this order
+	ledgers    []fleet.Host           // to one of which it reports as a collector, in this order
 	silent     map[string]time.Time   // until when hosts are passed over
 	refused    map[string]int64       // requests beyond the limit, by customer
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -10,7 +10,7 @@
 //
 // The package owns the table of hosts, the registry of the own backend servers, the updates that wait
 // to be told, and the host's record. It relies on internal/member and internal/registry, which
-// decide what is new, on internal/record for the store, on internal/gossip for whom to tell, and on
+// decide what is new, on internal/record for the store, on internal/gossip for which hosts to tell, and on
 // whoever puts declarations in force (Reapply).
 //
 // # Usage
@@ -45,11 +45,11 @@
 	maxWaiting = 256
 )
 
-// Config says who this host is and what its membership acts on.
+// Config holds who this host is and what its membership acts on.
 type Config struct {
 	// Self is this host, in a new incarnation.
 	Self member.Host
-	// Registers reports whether hosts and backend servers register themselves; else they are declared.
+	// Registers is true if hosts and backend servers register themselves; else they are declared.
 	Registers bool
 	// Logger receives events of hosts and registrations.
 	Logger *slog.Logger
@@ -57,7 +57,7 @@
 	Peers *control.Client
 	// Record is the host's record; New sets its Self and Learn.
 	Record record.Config
-	// Plan returns whom to tell; nil while no other host is known.
+	// Plan returns which hosts to tell; nil while no other host is known.
 	Plan func() *gossip.Plan
 	// Services returns the declared services; false while no declaration is in force.
 	Services func() ([]fleet.Service, bool)
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -57,7 +57,7 @@
 	// Store holds the records; their keys begin with Prefix.
 	Store  store.Store
 	Prefix string
-	// FirstStart is the settings' word that this is the first start of the fleet.
+	// FirstStart is true if the settings declare this the first start of the fleet.
 	FirstStart bool
 	// Health is told how the calls went.
 	Health *storehealth.Health
@@ -67,8 +67,8 @@
 	Self func() member.Host
 	// Learn is given what the hosts' records say.
 	Learn func([]member.Host)
-	// Unused is told that nobody used this host's part of what hosts share for so long
-	// before this start.
+	// Unused is called if nobody used this host's part of what hosts share, with for how long before
+	// this start.
 	Unused func(before time.Duration)
 }
 
--- a/internal/record/share.go
+++ b/internal/record/share.go
@@ -29,7 +29,7 @@
 
 // CountHosts reads the hosts' records once more when this daemon has been there for a while. Those
 // that started at the same time are in them, also if none can reach another, so that all hosts
-// together share what each of them takes its part of. It calls changed when HostsCounted may have
+// together share no more than there is. It calls changed when HostsCounted may have
 // changed, until ctx ends.
 func (r *Record) CountHosts(ctx context.Context, changed func()) {
 	if !wait.For(ctx, countAfter) {
