--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -255,39 +255,47 @@
 // it, one for each request. A connection that is refused has lost nothing; one that was made
 // must bring an answer.
 func TestPlannedStopsCutNothing(t *testing.T) {
-	const (
-		stops   = 8
-		callers = 50
-		around  = 200 * time.Millisecond // that callers come before each stop
-	)
+	const stops = 8
 	f := start(t, harness.Spec{
 		DataCentres: []string{"muenchen-nord", "rosenheim"},
 		HostsEach:   1,
 		Services:    []harness.Service{{Name: "akten", Floor: 2, Servers: 4, Slots: 100, Queue: 100}},
 	})
-	var samples []sample
-	for stop := range stops {
-		ctx, cancel := context.WithCancel(context.Background())
-		streams := make([]stream, 0, callers)
-		for caller := range callers {
-			streams = append(streams, stream{
-				urls: []string{f.URL(0, "akten", "/x")}, method: idempotent, interval: 20 * time.Millisecond,
-				workMillis: 1, prefix: fmt.Sprintf("s%d.%d", stop, caller), alone: true,
-			})
+	for number := range stops {
+		samples := stopAmongCallers(t, f, fmt.Sprintf("s%d", number))
+		runs := runsOf(t, f, nil)
+		checkAnswers(t, samples, runs)
+		for _, s := range samples {
+			if s.outcome == outcomeBroken || s.outcome == outcomeIndeterminate {
+				t.Errorf("%s was cut, having run %d times: %s %s", s.key, runs[s.key], s.outcome, s.err)
+			}
 		}
-		done := make(chan []sample, 1)
-		go func() { done <- runAll(ctx, streams) }()
-		time.Sleep(around)
-		stopAsPlanned(t, f.Daemons[0])
-		cancel()
-		samples = append(samples, <-done...)
-		startAgain(t, f.Daemons[0])
 	}
-	runs := runsOf(t, f, nil)
-	checkAnswers(t, samples, runs)
-	for _, s := range samples {
-		if s.outcome == outcomeBroken || s.outcome == outcomeIndeterminate {
-			t.Errorf("%s was cut, having run %d times: %s %s", s.key, runs[s.key], s.outcome, s.err)
-		}
+}
+
+// stopAmongCallers stops the first daemon while callers open connections to it, starts it again
+// and returns their samples.
+func stopAmongCallers(t *testing.T, f *harness.Fleet, prefix string) []sample {
+	t.Helper()
+	const (
+		callers = 50
+		before  = 200 * time.Millisecond // how long they have come when the stop begins
+	)
+	ctx, cancel := context.WithCancel(t.Context())
+	defer cancel()
+	streams := make([]stream, 0, callers)
+	for caller := range callers {
+		streams = append(streams, stream{
+			urls: []string{f.URL(0, "akten", "/x")}, method: idempotent, interval: 20 * time.Millisecond,
+			workMillis: 1, prefix: fmt.Sprintf("%s.%d", prefix, caller), alone: true,
+		})
 	}
+	done := make(chan []sample, 1)
+	go func() { done <- runAll(ctx, streams) }()
+	time.Sleep(before)
+	stopAsPlanned(t, f.Daemons[0])
+	cancel()
+	samples := <-done
+	startAgain(t, f.Daemons[0])
+	return samples
 }
