--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -131,7 +131,7 @@
 	}
 }
 
-// BenchmarkPick measures the choice among 43 targets, the letter's mean.
+// BenchmarkPick measures the choice among 43 targets, the mean of a service in a fleet of the size to design for.
 func BenchmarkPick(b *testing.B) {
 	pool := newPool(b, 9, 34)
 	now := start.Add(time.Minute)
--- a/internal/cli/daemon.go
+++ b/internal/cli/daemon.go
@@ -109,7 +109,7 @@
 }
 
 // DaemonConfig returns what a daemon with these settings needs to meet the users'
-// platform: its store, the desired state there, registrations and readiness.
+// platform: its store, the declaration there, registrations and readiness.
 func DaemonConfig(s settings.Settings, kv store.Store) daemon.Config {
 	return daemon.Config{
 		Settings:          s,
