--- a/internal/body/body.go
+++ b/internal/body/body.go
@@ -57,11 +57,11 @@
 	expects    bool  // the caller sends it once it is asked for it
 
 	whole      atomic.Bool // readAll has read it to its end
+	ended      atomic.Bool // the source was read to its end
 	mu         sync.Mutex
 	source     io.Reader
 	left       int64
 	kept       []byte // from the start on
-	ended      bool   // the source was read to its end
 	overflowed bool   // more was read than is kept
 	attempt    int    // only the newest attempt may read
 }
@@ -105,7 +105,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	piece := make([]byte, b.length+1)
-	for !b.ended {
+	for !b.ended.Load() {
 		if _, err := b.read(piece); err != nil && !errors.Is(err, io.EOF) {
 			return errors.Wrap(err, "read request body")
 		}
@@ -176,7 +176,7 @@
 
 // unread returns how much has yet to be read, at the most, for the first bytes of the body. The caller holds mu.
 func (b *Body) unread(limit int) int {
-	if b.ended || b.overflowed {
+	if b.ended.Load() || b.overflowed {
 		return 0
 	}
 	return max(0, min(limit, maxKept)-len(b.kept))
@@ -192,13 +192,20 @@
 	if b == nil || b.whole.Load() {
 		return
 	}
-	_ = b.controller.SetReadDeadline(time.Now()) // ends a read that is under way
+	if !b.ended.Load() {
+		b.endReading()
+	}
+	if b.ended.Load() {
+		_ = b.controller.SetReadDeadline(time.Time{}) // the connection is fit for another request
+	}
+}
+
+// endReading ends a read that is under way, and returns once it has stopped.
+func (b *Body) endReading() {
+	_ = b.controller.SetReadDeadline(time.Now())
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.attempt++
-	if b.ended {
-		_ = b.controller.SetReadDeadline(time.Time{}) // the connection is fit for another request
-	}
 }
 
 // readAt reads on at the offset, first from what is kept.
@@ -216,11 +223,11 @@
 
 // read reads on from the source.
 func (b *Body) read(p []byte) (int, error) {
-	if b.ended {
+	if b.ended.Load() {
 		return 0, io.EOF
 	}
 	n, err := b.source.Read(p)
-	b.ended = errors.Is(err, io.EOF)
+	b.ended.Store(errors.Is(err, io.EOF))
 	b.left -= int64(n)
 	if b.left < 0 {
 		return 0, ErrTooLong
--- a/internal/body/body_test.go
+++ b/internal/body/body_test.go
@@ -167,3 +167,63 @@
 		}
 	}
 }
+
+// deadlines is a response writer that records the read deadlines of its connection.
+type deadlines struct {
+	*httptest.ResponseRecorder
+	set []time.Time
+}
+
+func (d *deadlines) SetReadDeadline(at time.Time) error {
+	d.set = append(d.set, at)
+	return nil
+}
+
+func (d *deadlines) EnableFullDuplex() error { return nil }
+
+// TestABodyThatWasReadToItsEndIsNotEnded streams a body through an attempt: once that has read all of it
+// net/http reads the connection for the next request, and a read that is ended then takes the caller for gone.
+func TestABodyThatWasReadToItsEndIsNotEnded(t *testing.T) {
+	w := &deadlines{ResponseRecorder: httptest.NewRecorder()}
+	r := httptest.NewRequest(http.MethodPost, "/", io.MultiReader(strings.NewReader("in pieces"))) // of a length that is not known
+	b := body.New(w, r, 100)
+	if err := b.Prepare(time.Now().Add(time.Minute)); err != nil {
+		t.Fatal(err)
+	}
+	b.Rewind(r)
+	if all, err := io.ReadAll(r.Body); err != nil || string(all) != "in pieces" {
+		t.Fatalf("%q, %v", all, err)
+	}
+	before := len(w.set)
+	b.Finish()
+	if len(w.set) != before+1 || !w.set[before].IsZero() {
+		t.Fatalf("deadlines set at its end: %v, want none but the zero time", w.set[before:])
+	}
+}
+
+// TestTheNextRequestAfterAStreamedBodyIsNotCancelled sends many requests whose bodies stream through an
+// attempt on one connection.
+func TestTheNextRequestAfterAStreamedBodyIsNotCancelled(t *testing.T) {
+	const requests = 20_000
+	var cancelled atomic.Int64
+	url := serve(t, time.Minute, func(b *body.Body, r *http.Request) {
+		out := &http.Request{}
+		b.Rewind(out)
+		_, _ = io.Copy(io.Discard, out.Body)
+		time.Sleep(time.Microsecond) // until net/http looks whether the caller is still there
+		if r.Context().Err() != nil {
+			cancelled.Add(1)
+		}
+	})
+	for range requests {
+		response, err := http.Post(url, "text/plain", io.MultiReader(strings.NewReader("a book")))
+		if err != nil {
+			t.Fatal(err)
+		}
+		_, _ = io.Copy(io.Discard, response.Body)
+		_ = response.Body.Close()
+	}
+	if n := cancelled.Load(); n > 0 {
+		t.Fatalf("%d of %d requests were cancelled", n, requests)
+	}
+}
