--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -1,4 +1,5 @@
-// Package serve opens the listeners of a daemon and ends them without losing a request.
+// Package serve opens the listeners of a daemon and ends each after the requests that it has taken.
+// A connection that waits to be accepted when its listener closes is reset by the kernel.
 //
 // There are four: callers and other daemons' hops, which a planned stop ends gently, operators, and control calls. A
 // host's own programs may be given others (Local).
