--- a/internal/body/body_test.go
+++ b/internal/body/body_test.go
@@ -29,6 +29,17 @@
 	return server.URL
 }
 
+// post sends a request with the body and reads its answer, so that the connection is used again.
+func post(t *testing.T, url string, content io.Reader) {
+	t.Helper()
+	response, err := http.Post(url, "text/plain", content)
+	if err != nil {
+		t.Fatal(err)
+	}
+	_, _ = io.Copy(io.Discard, response.Body)
+	_ = response.Body.Close()
+}
+
 // TestTheNextRequestOfAConnectionIsNotCancelled sends many requests with bodies on one
 // connection: what ends the reading of one body must not end the request after it.
 func TestTheNextRequestOfAConnectionIsNotCancelled(t *testing.T) {
@@ -41,12 +52,7 @@
 		}
 	})
 	for range requests {
-		response, err := http.Post(url, "text/plain", strings.NewReader("a book"))
-		if err != nil {
-			t.Fatal(err)
-		}
-		_, _ = io.Copy(io.Discard, response.Body)
-		_ = response.Body.Close()
+		post(t, url, strings.NewReader("a book"))
 	}
 	if n := cancelled.Load(); n > 0 {
 		t.Fatalf("%d of %d requests were cancelled", n, requests)
@@ -216,12 +222,7 @@
 		}
 	})
 	for range requests {
-		response, err := http.Post(url, "text/plain", io.MultiReader(strings.NewReader("a book")))
-		if err != nil {
-			t.Fatal(err)
-		}
-		_, _ = io.Copy(io.Discard, response.Body)
-		_ = response.Body.Close()
+		post(t, url, io.MultiReader(strings.NewReader("a book")))
 	}
 	if n := cancelled.Load(); n > 0 {
 		t.Fatalf("%d of %d requests were cancelled", n, requests)
--- a/test/backendserver/backendserver.go
+++ b/test/backendserver/backendserver.go
@@ -13,7 +13,6 @@
 
 import (
 	"cmp"
-	"context"
 	"encoding/json"
 	"io"
 	"math/rand/v2"
@@ -21,6 +20,8 @@
 	"strconv"
 	"sync"
 	"time"
+
+	"github.com/tideliftd/tidelift/internal/wait"
 )
 
 // The headers of a request and its answer.
@@ -74,7 +75,7 @@
 		<-r.Context().Done()
 		return
 	}
-	if !sleep(r.Context(), workTime(r)) {
+	if work := workTime(r); work > 0 && !wait.For(r.Context(), work) {
 		return
 	}
 	w.Header().Set(HeaderKey, key)
@@ -116,17 +117,3 @@
 	s.mu.Unlock()
 	w.WriteHeader(http.StatusNoContent)
 }
-
-func sleep(ctx context.Context, d time.Duration) bool {
-	if d <= 0 {
-		return true
-	}
-	timer := time.NewTimer(d)
-	defer timer.Stop()
-	select {
-	case <-ctx.Done():
-		return false
-	case <-timer.C:
-		return true
-	}
-}
--- /dev/null
+++ b/test/harness/tests.go
@@ -0,0 +1,31 @@
+package harness
+
+import (
+	"os"
+	"testing"
+)
+
+// RunTests builds the programs, runs the tests of a package with them and ends the process with
+// their verdict. It is all that such a package's TestMain does.
+func RunTests(m *testing.M, programs *Programs) {
+	built, cleanUp, err := Build()
+	if err != nil {
+		panic(err)
+	}
+	*programs = built
+	code := m.Run()
+	cleanUp()
+	os.Exit(code)
+}
+
+// StartForTest starts a fleet in a directory of the test's own, which ends with the test.
+func StartForTest(t *testing.T, spec Spec) *Fleet {
+	t.Helper()
+	spec.Dir = t.TempDir()
+	f, cleanUp, err := Start(spec)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(cleanUp)
+	return f
+}
--- a/test/hops/hops_test.go
+++ b/test/hops/hops_test.go
@@ -27,9 +27,9 @@
 )
 
 const (
-	// variableUpstream names what a bare hop passes requests on to. The test binary is a
+	// variableTarget names what a bare hop passes requests on to. The test binary is a
 	// bare hop where it is set.
-	variableUpstream = "BARE_HOP_UPSTREAM"
+	variableTarget = "BARE_HOP_TARGET"
 	// variableListen names where a bare hop takes requests.
 	variableListen = "BARE_HOP_LISTEN"
 	// processors is how many a bare hop uses at once, as a daemon does by default.
@@ -39,19 +39,19 @@
 )
 
 func TestMain(m *testing.M) {
-	if upstream := os.Getenv(variableUpstream); upstream != "" {
-		serveBareHop(os.Getenv(variableListen), upstream)
+	if target := os.Getenv(variableTarget); target != "" {
+		serveBareHop(os.Getenv(variableListen), target)
 	}
 	os.Exit(m.Run())
 }
 
 // serveBareHop passes each request on to one address: the least that a hop by net/http costs.
-func serveBareHop(listen, upstream string) {
+func serveBareHop(listen, target string) {
 	runtime.GOMAXPROCS(processors)
 	transport := &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 1024}
 	pass := func(w http.ResponseWriter, r *http.Request) {
 		out := r.Clone(r.Context())
-		out.URL.Scheme, out.URL.Host, out.RequestURI = "http", upstream, ""
+		out.URL.Scheme, out.URL.Host, out.RequestURI = "http", target, ""
 		response, err := transport.RoundTrip(out)
 		if err != nil {
 			w.WriteHeader(http.StatusBadGateway)
@@ -116,7 +116,7 @@
 
 // startBareHop starts a bare hop on a free port and returns where it takes requests and its
 // process.
-func startBareHop(b *testing.B, upstream string) (address string, pid int) {
+func startBareHop(b *testing.B, target string) (address string, pid int) {
 	b.Helper()
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -125,7 +125,7 @@
 	address = free.Addr().String()
 	_ = free.Close()
 	hop := exec.Command(os.Args[0])
-	hop.Env = append(os.Environ(), variableUpstream+"="+upstream, variableListen+"="+address)
+	hop.Env = append(os.Environ(), variableTarget+"="+target, variableListen+"="+address)
 	hop.Stderr = os.Stderr
 	if err := hop.Start(); err != nil {
 		b.Fatal(err)
--- a/test/integration/path_test.go
+++ b/test/integration/path_test.go
@@ -3,7 +3,6 @@
 import (
 	"io"
 	"net/http"
-	"os"
 	"strings"
 	"testing"
 
@@ -13,27 +12,12 @@
 
 var programs harness.Programs
 
-func TestMain(m *testing.M) {
-	built, cleanUp, err := harness.Build()
-	if err != nil {
-		panic(err)
-	}
-	programs = built
-	code := m.Run()
-	cleanUp()
-	os.Exit(code)
-}
+func TestMain(m *testing.M) { harness.RunTests(m, &programs) }
 
 func start(t *testing.T, spec harness.Spec) *harness.Fleet {
 	t.Helper()
 	spec.Programs = programs
-	spec.Dir = t.TempDir()
-	f, cleanUp, err := harness.Start(spec)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(cleanUp)
-	return f
+	return harness.StartForTest(t, spec)
 }
 
 // catalogue is the fleet of the library catalogue firm.
--- a/test/soak/injector_test.go
+++ b/test/soak/injector_test.go
@@ -8,6 +8,7 @@
 
 	"github.com/go-faster/errors"
 
+	"github.com/tideliftd/tidelift/internal/wait"
 	"github.com/tideliftd/tidelift/test/backendserver"
 	"github.com/tideliftd/tidelift/test/harness"
 )
@@ -69,11 +70,11 @@
 		{"kill-backend", w.killBackend},
 	}
 	w.random.Shuffle(len(kinds), func(i, j int) { kinds[i], kinds[j] = kinds[j], kinds[i] })
-	sleepUntil(ctx, time.Now().Add(2*time.Second))
+	wait.For(ctx, 2*time.Second)
 	for n := 0; ctx.Err() == nil; n++ {
 		kind := kinds[n%len(kinds)]
 		w.record(kind.name, kind.do())
-		sleepUntil(ctx, time.Now().Add(300*time.Millisecond))
+		wait.For(ctx, 300*time.Millisecond)
 	}
 }
 
--- a/test/soak/load_test.go
+++ b/test/soak/load_test.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"github.com/tideliftd/tidelift/internal/result"
+	"github.com/tideliftd/tidelift/internal/wait"
 	"github.com/tideliftd/tidelift/test/backendserver"
 )
 
@@ -70,7 +71,7 @@
 		wg      sync.WaitGroup
 	)
 	start := time.Now()
-	for n := 0; sleepUntil(ctx, start.Add(time.Duration(n)*s.interval)); n++ {
+	for n := 0; ctx.Err() == nil && wait.For(ctx, time.Until(start.Add(time.Duration(n)*s.interval))); n++ {
 		wg.Go(func() {
 			one := s.send(client, n)
 			mu.Lock()
@@ -82,22 +83,6 @@
 	return samples
 }
 
-// sleepUntil reports whether the time came before ctx ended.
-func sleepUntil(ctx context.Context, due time.Time) bool {
-	wait := time.Until(due)
-	if wait <= 0 {
-		return ctx.Err() == nil
-	}
-	timer := time.NewTimer(wait)
-	defer timer.Stop()
-	select {
-	case <-ctx.Done():
-		return false
-	case <-timer.C:
-		return true
-	}
-}
-
 func (s stream) send(client *http.Client, n int) sample {
 	one := sample{key: fmt.Sprintf("%s-%d", s.prefix, n), method: s.method}
 	var body io.Reader
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -16,13 +16,13 @@
 	"flag"
 	"fmt"
 	"net/http"
-	"os"
 	"strconv"
 	"strings"
 	"syscall"
 	"testing"
 	"time"
 
+	"github.com/tideliftd/tidelift/internal/wait"
 	"github.com/tideliftd/tidelift/test/backendserver"
 	"github.com/tideliftd/tidelift/test/harness"
 )
@@ -46,26 +46,13 @@
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	built, cleanUp, err := harness.Build()
-	if err != nil {
-		panic(err)
-	}
-	programs = built
-	code := m.Run()
-	cleanUp()
-	os.Exit(code)
+	harness.RunTests(m, &programs)
 }
 
 func start(t *testing.T, spec harness.Spec) *harness.Fleet {
 	t.Helper()
 	spec.Programs = programs
-	spec.Dir = t.TempDir()
-	f, cleanUp, err := harness.Start(spec)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(cleanUp)
-	return f
+	return harness.StartForTest(t, spec)
 }
 
 // TestStorm injects three kinds of fault at once while callers read and pay: daemons and
@@ -156,12 +143,12 @@
 // disagree turns one backend server after another sick, half a second apart, and then loses
 // the answers of control calls for a while.
 func disagree(ctx context.Context, f *harness.Fleet, sick int) error {
-	sleepUntil(ctx, time.Now().Add(warmUp))
+	wait.For(ctx, warmUp)
 	for _, b := range f.Backends[:sick] {
 		if err := b.SetMode(backendserver.Mode{Stall: 1}); err != nil {
 			return err
 		}
-		sleepUntil(ctx, time.Now().Add(500*time.Millisecond))
+		wait.For(ctx, 500*time.Millisecond)
 	}
 	links := make([]string, 0, len(f.Daemons))
 	for i, d := range f.Daemons {
@@ -172,7 +159,7 @@
 			return err
 		}
 	}
-	sleepUntil(ctx, time.Now().Add(4*time.Second))
+	wait.For(ctx, 4*time.Second)
 	for _, link := range links {
 		if err := f.Faults.Heal(link); err != nil {
 			return err
