--- a/Makefile
+++ b/Makefile
@@ -5,6 +5,7 @@
 GOLANGCI_VERSION := v2.15.0
 GOFUMPT_VERSION := v0.12.0
 DEADCODE_VERSION := v0.52.0
+GOPLS_VERSION := v0.23.0
 
 .PHONY: test build generate lint format-check generated-check tidy-check dead-check check
 
@@ -33,6 +34,13 @@
 	GOBIN=$(BIN) $(GO) install golang.org/x/tools/cmd/deadcode@$(DEADCODE_VERSION)
 	mv $(BIN)/deadcode $@
 
+$(BIN)/gopls-$(GOPLS_VERSION):
+	GOBIN=$(BIN) $(GO) install golang.org/x/tools/gopls@$(GOPLS_VERSION)
+	mv $(BIN)/gopls $@
+
+.PHONY: gopls
+gopls: $(BIN)/gopls-$(GOPLS_VERSION) ## Install the language server, which renames across the repository.
+
 lint: $(BIN)/golangci-lint-$(GOLANGCI_VERSION) ## Run the linter.
 	$< run ./...
 
