--- a/internal/attempts/attempts.go
+++ b/internal/attempts/attempts.go
@@ -66,8 +66,8 @@
 	NoHedges bool
 }
 
-// Terms are what holds for one request.
-type Terms struct {
+// Request are what holds for one request.
+type Request struct {
 	// Service is the service that it is for.
 	Service *Service
 	// NonIdempotent says that it must not run more than once.
--- a/internal/attempts/history.go
+++ b/internal/attempts/history.go
@@ -24,8 +24,8 @@
 	Sent int
 	// FullQueues is how many refused for a full queue.
 	FullQueues int
-	// NoRetries is how many refused since they have no room for what a retry calls.
-	NoRetries int
+	// RetryRefusals is how many refused since they have no room for what a retry calls.
+	RetryRefusals int
 	// Last is the last failure; nil if there was none.
 	Last *result.Error
 	// MayHaveRun is the last failure after which the request may have run; nil if there was none.
@@ -73,7 +73,7 @@
 	case failures.QueueFull:
 		h.FullQueues++
 	case failures.NoRetries:
-		h.NoRetries++
+		h.RetryRefusals++
 	case failures.Unchanged, failures.NoWork, failures.HostUnreachable, failures.HostSilent, failures.Unreachable:
 	}
 	h.Tried = append(h.Tried, target)
--- a/internal/ingress/admit.go
+++ b/internal/ingress/admit.go
@@ -26,7 +26,7 @@
 	deadline        time.Time
 	customer        string
 	queueCustomer   string // as which it waits in queues
-	terms           attempts.Terms
+	terms           attempts.Request
 	priority        int
 	body            *body.Body
 	route           route.Name
@@ -116,7 +116,7 @@
 		deadline:      now.Add(a.timeLeft),
 		customer:      a.caller.name,
 		queueCustomer: in.queueCustomer(a.state, a.caller),
-		terms: attempts.Terms{
+		terms: attempts.Request{
 			Service:       &service.attempts,
 			NonIdempotent: !a.match.Idempotent(r.Method),
 			MaxSent:       a.match.Attempts,
