--- a/internal/attempts/history.go
+++ b/internal/attempts/history.go
@@ -43,9 +43,9 @@
 // Record enters an attempt that failed at the target, which is far if it is in another data
 // centre.
 func (h *History) Record(target *balance.Target, failure *result.Error, far bool) {
-	meaning := failures.Of(failure.Code)
+	meaning := failures.Classify(failure.Code)
 	h.recordTarget(target, meaning.Target, failure.RetryAfter, far)
-	if meaning.Target == failures.NoRetries && h.Last != nil {
+	if meaning.Target == failures.NoRetryBudget && h.Last != nil {
 		return // the failure that asked for a retry is what the caller is told
 	}
 	h.Last = failure
@@ -58,7 +58,7 @@
 }
 
 // recordTarget enters what the failure says of the target, and whether it may be chosen again.
-func (h *History) recordTarget(target *balance.Target, state failures.Target, wait time.Duration, far bool) {
+func (h *History) recordTarget(target *balance.Target, state failures.TargetState, wait time.Duration, far bool) {
 	switch state {
 	case failures.Suspected: // may be chosen again once it is trusted, or if no other is left
 		return
@@ -72,9 +72,9 @@
 		}
 	case failures.QueueFull:
 		h.FullQueues++
-	case failures.NoRetries:
+	case failures.NoRetryBudget:
 		h.RetryRefusals++
-	case failures.Unchanged, failures.NoWork, failures.HostUnreachable, failures.HostSilent, failures.Unreachable:
+	case failures.Unchanged, failures.NotAccepting, failures.HostUnreachable, failures.HostUnresponsive, failures.Unreachable:
 	}
 	h.Tried = append(h.Tried, target)
 }
--- a/internal/attempts/retry.go
+++ b/internal/attempts/retry.go
@@ -22,7 +22,7 @@
 // MayRetry reports whether the request may be sent to another backend server after the last
 // failure. bodySpent says that its body cannot be sent again from its start.
 func (h *History) MayRetry(now time.Time, t Request, bodySpent bool) bool {
-	meaning := failures.Of(h.Last.Code)
+	meaning := failures.Classify(h.Last.Code)
 	switch {
 	case bodySpent || meaning.Final:
 		return false
@@ -55,7 +55,7 @@
 // known: the last failure, unless there was none or the last one asked takes no work.
 // passedOver says for which reasons some were passed over.
 func (h *History) NoTargetFailure(known int, passedOver string) *result.Error {
-	if h.Last == nil || failures.Of(h.Last.Code).TakesNoWork() {
+	if h.Last == nil || failures.Classify(h.Last.Code).TakesNoWork() {
 		return h.worstOf(result.New(result.NoneAble).WithRetryAfter(retryafter.NoneAble).
 			WithDetail("%d backend servers known, %d tried (%s)", known, len(h.Tried), passedOver))
 	}
--- a/internal/ingress/attempt.go
+++ b/internal/ingress/attempt.go
@@ -34,7 +34,7 @@
 // finish runs the attempt. One that retries the request has taken a retry, which ends here.
 func (a *attempt) finish(ctx context.Context) outcome {
 	o := a.runReserved(ctx)
-	reached := o.err == nil || failures.Of(result.From(o.err).Code).Reached
+	reached := o.err == nil || failures.Classify(result.From(o.err).Code).Reached
 	if reached {
 		a.request.reached.Store(true)
 	}
--- a/internal/ingress/attempts.go
+++ b/internal/ingress/attempts.go
@@ -63,7 +63,7 @@
 
 // logAttempt logs a failed attempt, unless it only sends the request on.
 func (in *Ingress) logAttempt(r *request, a *attempt, p *progress, failure *result.Error, retried bool) {
-	if retried && failures.Of(failure.Code).PassedOver() {
+	if retried && failures.Classify(failure.Code).PassedOver() {
 		p.passedOver.add(failure.Code)
 		return
 	}
--- a/internal/ingress/learn.go
+++ b/internal/ingress/learn.go
@@ -42,7 +42,7 @@
 
 // learnFromFailure records what a failure shows, and passes a target over for a while that refuses.
 func (a *attempt) learnFromFailure(failure *result.Error, took time.Duration) {
-	meaning := failures.Of(failure.Code)
+	meaning := failures.Classify(failure.Code)
 	if meaning.Reached {
 		a.Target.Fail()
 	}
@@ -54,19 +54,19 @@
 		pool.Looked(false)
 	case failures.Suspected:
 		pool.Suspect(a.Target, time.Now().Add(a.stayAway(failure)))
-	case failures.NoWork:
+	case failures.NotAccepting:
 		pool.Pause(a.Target, time.Now().Add(pauseFor(failure)))
-	case failures.HostUnreachable, failures.HostSilent:
+	case failures.HostUnreachable, failures.HostUnresponsive:
 		a.passOverHost(meaning.Target)
 	case failures.Unreachable:
 		pool.Pause(a.Target, time.Now().Add(unreachablePause))
-	case failures.Unchanged, failures.QueueFull, failures.Hanging, failures.NoRetries: // nothing that outlasts the request
+	case failures.Unchanged, failures.QueueFull, failures.Hanging, failures.NoRetryBudget: // nothing that outlasts the request
 	}
 }
 
 // passOverHost passes the backend servers of the target's host over, which could not be reached, until
 // it answers; without a way to ask it only this one, for a moment.
-func (a *attempt) passOverHost(state failures.Target) {
+func (a *attempt) passOverHost(state failures.TargetState) {
 	if a.in.config.Ping != nil {
 		a.in.reach.recordLost(a.Target.Placement().Host)
 		return
