--- a/internal/daemon/build.go
+++ b/internal/daemon/build.go
@@ -34,7 +34,7 @@
 	d.buildMetrics()
 	d.health = storehealth.New(storehealth.Config{Logger: d.config.Logger})
 	d.buildPeers()
-	d.budgets = retry.NewBudgets(retry.Config{Began: d.started, Borrows: true})
+	d.budgets = retry.NewBudgets(retry.Config{StartedAt: d.started, Borrows: true})
 	d.buildMembers()
 	d.quarantines = d.newQuarantines()
 	d.buildLedger()
@@ -86,7 +86,7 @@
 			FirstStart: s.FirstStart,
 			Health:     d.health,
 			Logger:     d.config.Logger,
-			Unused:     d.budgets.Clear,
+			Unused:     d.budgets.SetSlackUnused,
 		},
 		Plan:     func() *gossip.Plan { return d.declarations.Plan() },
 		Services: func() ([]fleet.Service, bool) { return d.declarations.Services() },
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -165,7 +165,7 @@
 		config.Runs = runs.New()
 	}
 	if config.Retries == nil {
-		config.Retries = retry.NewBudgets(retry.Config{Began: time.Now()})
+		config.Retries = retry.NewBudgets(retry.Config{StartedAt: time.Now()})
 	}
 	in := &Ingress{
 		config:   config,
--- a/internal/ingress/subrequest.go
+++ b/internal/ingress/subrequest.go
@@ -27,10 +27,10 @@
 func (in *Ingress) countForLimit(r *request, now time.Time) {
 	run, ok := in.config.Runs.Caller(now, in.requestID(r.Request))
 	if !ok {
-		in.config.Retries.Request(now, r.serviceName)
+		in.config.Retries.RecordRequest(now, r.serviceName)
 		return
 	}
-	r.countsAsRetry = in.config.Retries.Call(now, run, r.serviceName)
+	r.countsAsRetry = in.config.Retries.RecordCall(now, run, r.serviceName)
 	r.sentByRetry = run.Retry
 	if run.Retry {
 		r.service.calls.ofRetry.Inc(1)
--- a/internal/lend/lend_test.go
+++ b/internal/lend/lend_test.go
@@ -41,7 +41,7 @@
 			lender := lend.New(lend.Config{
 				Host:       self.Name,
 				DataCentre: self.DataCentre,
-				Budgets:    retry.NewBudgets(retry.Config{Began: time.Now(), Borrows: true}),
+				Budgets:    retry.NewBudgets(retry.Config{StartedAt: time.Now(), Borrows: true}),
 				Hosts:      func() ([]fleet.Host, bool) { return test.hosts, !test.undeclared },
 				Away:       func(host string) bool { return host == test.away },
 				Call: func(_ context.Context, host fleet.Host, method control.Method, _, answer any) error {
@@ -69,7 +69,7 @@
 	lender := lend.New(lend.Config{
 		Host:       "csepel-1",
 		DataCentre: "csepel",
-		Budgets:    retry.NewBudgets(retry.Config{Began: time.Now(), Borrows: true}),
+		Budgets:    retry.NewBudgets(retry.Config{StartedAt: time.Now(), Borrows: true}),
 		Hosts: func() ([]fleet.Host, bool) {
 			near := slices.Repeat([]fleet.Host{{Name: "csepel-2", DataCentre: "csepel"}}, 32)
 			return append(near, fleet.Host{Name: "obuda-1", DataCentre: "obuda"}), true
