--- a/internal/daemon/build.go
+++ b/internal/daemon/build.go
@@ -169,13 +169,13 @@
 
 func (d *daemon) buildLender() {
 	d.lender = lend.New(lend.Config{
-		Host:       d.config.Settings.Name,
-		DataCentre: d.config.Settings.DataCentre,
-		Budgets:    d.budgets,
-		Hosts:      d.declarations.Hosts,
-		Away:       d.isAway,
-		Call:       d.peers.CallHost,
-		Scope:      d.metrics.Scope,
+		Host:        d.config.Settings.Name,
+		DataCentre:  d.config.Settings.DataCentre,
+		Budgets:     d.budgets,
+		Hosts:       d.declarations.Hosts,
+		Unreachable: d.isAway,
+		Call:        d.peers.CallHost,
+		Scope:       d.metrics.Scope,
 	})
 }
 
