--- a/internal/failures/table.go
+++ b/internal/failures/table.go
@@ -53,19 +53,19 @@
 	result.Misdirected.Number:        {Reached: true, NeedsRetryAfter: true},
 
 	// The backend server or its daemon cannot be reached.
-	result.PeerUnreachable.Number:       {Target: HostUnreachable, Evidence: detect.Refused, NeedsRetryAfter: true},
+	result.PeerUnreachable.Number:       {Target: HostUnreachable, Evidence: detect.ConnectionRefused, NeedsRetryAfter: true},
 	result.ReservationUnanswered.Number: {Target: HostUnresponsive, Evidence: detect.TimedOut, NeedsRetryAfter: true},
-	result.ServerUnreachable.Number:     {Target: Unreachable, Evidence: detect.Refused, NeedsRetryAfter: true},
+	result.ServerUnreachable.Number:     {Target: Unreachable, Evidence: detect.ConnectionRefused, NeedsRetryAfter: true},
 
 	// The request may have run.
 	result.DeadlineWhileRunning.Number: {Final: true, Reached: true, Evidence: detect.TimedOut},
 	result.CallerGone.Number:           {Final: true, Reached: true},
 	result.StoppedWhileRunning.Number:  {Reached: true},
 	result.AttemptOverdue.Number:       {Reached: true, Evidence: detect.TimedOut},
-	result.ConnectionLost.Number:       {Reached: true, Evidence: detect.Lost},
-	result.UnframedAnswer.Number:       {Reached: true, Evidence: detect.Lost},
-	result.AnswerCut.Number:            {Reached: true, Evidence: detect.Lost},
-	result.SpoiltAnswer.Number:         {Reached: true, Evidence: detect.Lost},
+	result.ConnectionLost.Number:       {Reached: true, Evidence: detect.ConnectionLost},
+	result.UnframedAnswer.Number:       {Reached: true, Evidence: detect.ConnectionLost},
+	result.AnswerCut.Number:            {Reached: true, Evidence: detect.ConnectionLost},
+	result.SpoiltAnswer.Number:         {Reached: true, Evidence: detect.ConnectionLost},
 	result.ServerFailed.Number:         {Reached: true, Evidence: detect.Error},
 	result.ServerError.Number:          {Reached: true}, // the answer that it stands for was evidence already
 
--- a/internal/ingress/learn.go
+++ b/internal/ingress/learn.go
@@ -30,14 +30,14 @@
 	if a.RefuseIfBusy {
 		a.request.service.pool.Looked(true)
 	}
-	outcome, isEvidence := detect.FromAnswer(answer.Response)
+	outcome, isEvidence := detect.OutcomeFromResponse(answer.Response)
 	switch {
 	case isEvidence && outcome != detect.OK:
 		a.Target.Fail()
 	case isEvidence:
 		a.request.latency.Good(took)
 	}
-	a.report(detect.Observation{Outcome: outcome, Took: took, WasOverdue: a.overdue.Load()}, isEvidence)
+	a.report(detect.Observation{Outcome: outcome, Latency: took, WasOverdue: a.overdue.Load()}, isEvidence)
 }
 
 // learnFromFailure records what a failure shows, and passes a target over for a while that refuses.
@@ -46,7 +46,7 @@
 	if meaning.Reached {
 		a.Target.Fail()
 	}
-	a.report(detect.Observation{Outcome: meaning.Evidence, Took: took, WasOverdue: a.overdue.Load()}, meaning.Evidence != "")
+	a.report(detect.Observation{Outcome: meaning.Evidence, Latency: took, WasOverdue: a.overdue.Load()}, meaning.Evidence != "")
 	pool := a.request.service.pool
 	switch meaning.Target {
 	case failures.NoSlot:
--- a/internal/sidecar/eject.go
+++ b/internal/sidecar/eject.go
@@ -34,7 +34,7 @@
 	if t.ledger.MayStayEjected(now, t.declared.Service.Floor) {
 		return true
 	}
-	t.subject.Return(now)
+	t.subject.Reinstate(now)
 	t.backInService("the floor needs it")
 	return false
 }
@@ -50,7 +50,7 @@
 		return
 	}
 	verdict := t.subject.Verdict(now)
-	if !verdict.Sick {
+	if !verdict.Unhealthy {
 		t.stopAsking()
 		t.ejecting.keptBy = ""
 		return
@@ -69,7 +69,7 @@
 		t.renewLeases(now)
 		return
 	}
-	t.subject.Return(now)
+	t.subject.Reinstate(now)
 	t.backInService("the service is not steered here any more")
 }
 
@@ -120,8 +120,8 @@
 // the try once all have answered.
 func (t *task) ejectIfAllowed(now time.Time) {
 	verdict := t.subject.Verdict(now)
-	verdict.Sick = verdict.Sick && t.isOutlier()
-	if verdict.Sick && t.ledger.Eject(now, t.declared.Service.Floor) {
+	verdict.Unhealthy = verdict.Unhealthy && t.isOutlier()
+	if verdict.Unhealthy && t.ledger.Eject(now, t.declared.Service.Floor) {
 		t.ejecting.open = false
 		t.ejecting.keptBy = ""
 		t.subject.Eject(now)
@@ -139,7 +139,7 @@
 	t.ejecting.notBefore = now.Add(pause + rand.N(pause))
 	kept := fmt.Sprintf("%d leases to keep serving, floor %d", len(t.ledger.Holding(now)), t.declared.Service.Floor)
 	t.stopAsking()
-	if verdict.Sick {
+	if verdict.Unhealthy {
 		t.recordFloorHeld(kept, verdict)
 	}
 }
--- a/internal/sidecar/lease.go
+++ b/internal/sidecar/lease.go
@@ -128,7 +128,7 @@
 func (t *task) answerRequest(now time.Time, r floor.Request) LeaseAnswer {
 	t.isEjected(now)
 	dead := t.subject.Verdict(now).Cause == detect.CauseRefuses
-	cold := t.subject.Share(now) < 1
+	cold := t.subject.TrafficShare(now) < 1
 	t.ledger.SetUnable(t.isDraining(now) || dead || cold)
 	since := now.Add(-time.Duration(r.SuspectedFor) * time.Millisecond)
 	return LeaseAnswer{Refusal: t.ledger.Answer(now, r), Summary: t.subject.Summary(since)}
--- a/internal/sidecar/slots.go
+++ b/internal/sidecar/slots.go
@@ -11,7 +11,7 @@
 // size is the backend server's slots, fewer for a while after a return.
 func (t *task) size(now time.Time) admission.Config {
 	size := t.declared.size()
-	if share := t.subject.Share(now); share > 0 {
+	if share := t.subject.TrafficShare(now); share > 0 {
 		size.Slots = max(1, int(math.Ceil(float64(size.Slots)*share)))
 	}
 	return size
--- a/internal/sidecar/suspicion.go
+++ b/internal/sidecar/suspicion.go
@@ -21,11 +21,11 @@
 	switch saw.Outcome {
 	case detect.OK:
 		if !saw.WasOverdue && !saw.PastTarget {
-			t.recordGood(now, now.Add(-saw.Took))
+			t.recordGood(now, now.Add(-saw.Latency))
 			return
 		}
 		begins = t.suspicion.RecordSlowness(now, suspicion.Slow)
-	case detect.Refused, detect.Lost:
+	case detect.ConnectionRefused, detect.ConnectionLost:
 		begins = t.suspicion.RecordFailure(now, suspicion.Broken)
 	case detect.Error:
 		if weight := suspicion.FailureWeight(others.Failure); weight > 0 { // else the others fail as much
@@ -36,7 +36,7 @@
 	}
 	if begins {
 		t.log(event.ServerSuspected, "outcome", saw.Outcome, "mostly_late", t.suspicion.MostlySlow(),
-			"others_failing", others.Failure, "others_known", others.Typical > 0)
+			"others_failing", others.Failure, "others_known", others.TypicalLatency > 0)
 		t.refuseWaiting(now)
 	}
 }
@@ -78,7 +78,7 @@
 	t.config.Peer.Trusted(slices.Collect(maps.Keys(t.refusedHosts)), t.declared.BackendServer.Name)
 	clear(t.refusedHosts)
 	if t.subject.State(now) != detect.Serving {
-		t.subject.Restore(now)
+		t.subject.ReinstateFully(now)
 		t.backInService("answered well while it was suspected")
 	}
 }
