--- a/internal/sidecar/slots.go
+++ b/internal/sidecar/slots.go
@@ -39,11 +39,11 @@
 func (t *task) recordSlow(now time.Time, m slowMessage) {
 	if m.ended {
 		t.queue.Unstalled()
-		t.suspicion.SlowRequestEnded(now, m.began)
+		t.suspicion.RecordSlowRequestEnd(now, m.began)
 		return
 	}
 	t.queue.Stalled()
-	t.suspicion.SlowRequest(m.began)
+	t.suspicion.RecordSlowRequest(m.began)
 }
 
 // answerWaiting answers waiting requests: those that got a slot, and those whose deadline
