--- a/internal/sidecar/eject.go
+++ b/internal/sidecar/eject.go
@@ -82,7 +82,7 @@
 		t.recordFloorHeld("the floor needs every backend server", verdict)
 		return
 	}
-	if !t.ledger.BeginAsking(now, verdict.Severity) {
+	if !t.ledger.BeginRequesting(now, verdict.Severity) {
 		t.recordFloorHeld("it granted others leases to keep serving, or has just started", verdict)
 		return
 	}
@@ -93,11 +93,11 @@
 
 // renewLeases asks again for the leases that are needed to stay ejected.
 func (t *task) renewLeases(now time.Time) {
-	if now.Sub(t.ejecting.askedAt) < floor.RenewEvery {
+	if now.Sub(t.ejecting.askedAt) < floor.RenewInterval {
 		return
 	}
 	holding := make(map[string]bool)
-	for _, name := range t.ledger.Holding(now) {
+	for _, name := range t.ledger.Grantors(now) {
 		holding[name] = true
 	}
 	var needed []fleet.Placement
@@ -137,7 +137,7 @@
 		pause = suspectedTryPause
 	}
 	t.ejecting.notBefore = now.Add(pause + rand.N(pause))
-	kept := fmt.Sprintf("%d leases to keep serving, floor %d", len(t.ledger.Holding(now)), t.declared.Service.Floor)
+	kept := fmt.Sprintf("%d leases to keep serving, floor %d", len(t.ledger.Grantors(now)), t.declared.Service.Floor)
 	t.stopAsking()
 	if verdict.Unhealthy {
 		t.recordFloorHeld(kept, verdict)
@@ -172,7 +172,7 @@
 func (t *task) describeFloor(now time.Time) string {
 	need := t.declared.Service.Floor
 	if t.subject.State(now) != detect.Serving {
-		return fmt.Sprintf("floor %d: ejected with %d leases of others to serve", need, len(t.ledger.Holding(now)))
+		return fmt.Sprintf("floor %d: ejected with %d leases of others to serve", need, len(t.ledger.Grantors(now)))
 	}
 	if t.ejecting.keptBy != "" {
 		return fmt.Sprintf("floor %d: kept in service: %s", need, t.ejecting.keptBy)
--- a/internal/sidecar/lease.go
+++ b/internal/sidecar/lease.go
@@ -105,7 +105,7 @@
 // first.
 func (t *task) trimLeases(now time.Time) {
 	healthy := func(name string) bool { return !t.ejecting.summaries[name].Suspect }
-	t.giveBack(t.ledger.Trim(now, t.declared.Service.Floor, healthy))
+	t.giveBack(t.ledger.ReleaseSurplus(now, t.declared.Service.Floor, healthy))
 }
 
 // giveBack gives leases back to those who gave them.
