--- a/internal/ingress/admit.go
+++ b/internal/ingress/admit.go
@@ -47,7 +47,7 @@
 // usual returns how long an answer to the request usually takes; zero if that is not
 // known.
 func (r *request) usual() time.Duration {
-	usual, _ := r.latency.Usual()
+	usual, _ := r.latency.Median()
 	return usual
 }
 
--- a/internal/ingress/learn.go
+++ b/internal/ingress/learn.go
@@ -35,7 +35,7 @@
 	case isEvidence && outcome != detect.OK:
 		a.Target.Fail()
 	case isEvidence:
-		a.request.latency.Good(took)
+		a.request.latency.Observe(took)
 	}
 	a.report(detect.Observation{Outcome: outcome, Latency: took, WasOverdue: a.overdue.Load()}, isEvidence)
 }
