--- a/internal/sidecar/slots.go
+++ b/internal/sidecar/slots.go
@@ -38,11 +38,11 @@
 // has ended.
 func (t *task) recordSlow(now time.Time, m slowMessage) {
 	if m.ended {
-		t.queue.Unstalled()
+		t.queue.UnmarkStalled()
 		t.suspicion.RecordSlowRequestEnd(now, m.began)
 		return
 	}
-	t.queue.Stalled()
+	t.queue.MarkStalled()
 	t.suspicion.RecordSlowRequest(m.began)
 }
 
