--- a/internal/attempts/choose_test.go
+++ b/internal/attempts/choose_test.go
@@ -64,7 +64,7 @@
 	} {
 		s := newService(t, 9)
 		for range 100 {
-			s.Pool.Looked(!test.crowded)
+			s.Pool.RecordSlotCheck(!test.crowded)
 		}
 		terms := termsOf(s)
 		terms.Subrequest = test.subrequest
--- a/internal/ingress/avoid.go
+++ b/internal/ingress/avoid.go
@@ -22,7 +22,7 @@
 	if j.declared.AdoptionIn(j.config.DataCentre) == fleet.AdoptionSteer {
 		j.avoidSick(now, targets)
 	}
-	told := detect.NewReportedFailureRates(j.pool.Failing(now))
+	told := detect.NewReportedFailureRates(j.pool.FailureShares(now))
 	for _, target := range targets {
 		j.publish(now, target, told)
 	}
--- a/internal/ingress/learn.go
+++ b/internal/ingress/learn.go
@@ -25,15 +25,15 @@
 
 // learnFromAnswer records what the head of an answer shows.
 func (a *attempt) learnFromAnswer(answer sidecar.Answer, took time.Duration) {
-	a.request.service.pool.Report(a.Target, answer.Load, time.Now())
-	a.request.service.pool.ReportFailing(a.Target, answer.Failing, time.Now())
+	a.request.service.pool.RecordLoad(a.Target, answer.Load, time.Now())
+	a.request.service.pool.RecordFailureShare(a.Target, answer.Failing, time.Now())
 	if a.RefuseIfBusy {
-		a.request.service.pool.Looked(true)
+		a.request.service.pool.RecordSlotCheck(true)
 	}
 	outcome, isEvidence := detect.OutcomeFromResponse(answer.Response)
 	switch {
 	case isEvidence && outcome != detect.OK:
-		a.Target.Fail()
+		a.Target.RecordFailure()
 	case isEvidence:
 		a.request.latency.Observe(took)
 	}
@@ -44,14 +44,14 @@
 func (a *attempt) learnFromFailure(failure *result.Error, took time.Duration) {
 	meaning := failures.Classify(failure.Code)
 	if meaning.Reached {
-		a.Target.Fail()
+		a.Target.RecordFailure()
 	}
 	a.report(detect.Observation{Outcome: meaning.Evidence, Latency: took, WasOverdue: a.overdue.Load()}, meaning.Evidence != "")
 	pool := a.request.service.pool
 	switch meaning.Target {
 	case failures.NoSlot:
-		pool.Report(a.Target, 1, time.Now())
-		pool.Looked(false)
+		pool.RecordLoad(a.Target, 1, time.Now())
+		pool.RecordSlotCheck(false)
 	case failures.Suspected:
 		pool.Suspect(a.Target, time.Now().Add(a.stayAway(failure)))
 	case failures.NotAccepting:
--- a/internal/ingress/service.go
+++ b/internal/ingress/service.go
@@ -108,5 +108,5 @@
 // overdueLimit is how long an attempt at the target may take before it counts
 // as overdue; zero without others to compare with.
 func (s *service) overdueLimit(target *balance.Target) time.Duration {
-	return s.rules.OverdueLimit(target.Typical())
+	return s.rules.OverdueLimit(target.TypicalLatency())
 }
--- a/internal/ingress/targets.go
+++ b/internal/ingress/targets.go
@@ -48,7 +48,7 @@
 
 // Trusted records that backend servers are no longer suspected.
 func (in *Ingress) Trusted(names []string) {
-	in.eachTarget(names, func(pool *balance.Pool, target *balance.Target) { pool.Trust(target) })
+	in.eachTarget(names, func(pool *balance.Pool, target *balance.Target) { pool.ClearSuspicion(target) })
 }
 
 // eachTarget calls the function for the targets of those names.
