--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -131,5 +131,5 @@
 func (l *Limits) GiveBack(customer string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.gate.GiveBack(customer)
+	l.gate.Refund(customer)
 }
--- a/internal/limits/report.go
+++ b/internal/limits/report.go
@@ -56,7 +56,7 @@
 		return
 	}
 	counted := control.Counted{Urgent: l.gate.AwaitsVerdict()}
-	counted.Report = quota.Report{From: l.config.Host, Hosts: 1, Counts: l.gate.Drain(now), Follows: l.gate.HasVerdict()}
+	counted.Report = quota.Report{From: l.config.Host, Hosts: 1, Counts: l.gate.Drain(now), HadVerdict: l.gate.HasVerdict()}
 	to, remote := l.firstPresent(l.collectors, now)
 	l.mu.Unlock()
 	var verdict quota.Verdict
@@ -108,7 +108,7 @@
 	defer l.forwarding.Unlock()
 	l.mu.Lock()
 	now := time.Now()
-	if !l.collector.Added() {
+	if !l.collector.HasPending() {
 		l.mu.Unlock()
 		return // another report has taken it along
 	}
