--- a/internal/daemon/build.go
+++ b/internal/daemon/build.go
@@ -181,10 +181,10 @@
 
 func (d *daemon) buildLimits() {
 	d.limits = limits.New(limits.Config{
-		Host:       d.config.Settings.Name,
-		DataCentre: d.config.Settings.DataCentre,
-		Peers:      d.peers,
-		Away:       d.isAway,
+		Host:        d.config.Settings.Name,
+		DataCentre:  d.config.Settings.DataCentre,
+		Peers:       d.peers,
+		Unreachable: d.isAway,
 	})
 }
 
@@ -231,7 +231,7 @@
 		Silent:           d.members.CheckGone,
 		Subrequest:       d.tellSubrequest,
 		AdmitCustomer:    d.limits.Admit,
-		GiveBack:         d.limits.GiveBack,
+		GiveBack:         d.limits.Refund,
 	})
 	d.atEnd(cleanUp)
 }
--- a/internal/limits/report.go
+++ b/internal/limits/report.go
@@ -137,7 +137,7 @@
 		if h.Name == l.config.Host {
 			break
 		}
-		if now.After(l.silent[h.Name]) && !l.config.Away(h.Name) {
+		if now.After(l.silent[h.Name]) && !l.config.Unreachable(h.Name) {
 			return h, true
 		}
 	}
