--- a/internal/quarantinesync/quarantinesync_test.go
+++ b/internal/quarantinesync/quarantinesync_test.go
@@ -190,7 +190,7 @@
 	if g.syncers[0].StartTrial(context.Background(), id) {
 		t.Fatal("it is tried at once")
 	}
-	time.Sleep(quarantine.TrialAfter + 100*time.Millisecond)
+	time.Sleep(quarantine.TrialDelay + 100*time.Millisecond)
 	for round := range 2 {
 		var wg sync.WaitGroup
 		var mu sync.Mutex
@@ -216,7 +216,7 @@
 	g := newGroup(t, 2)
 	g.endEach("guilty", quarantine.Limit)
 	g.awaitAll(quarantine.Quarantined)
-	time.Sleep(quarantine.TrialAfter + 100*time.Millisecond)
+	time.Sleep(quarantine.TrialDelay + 100*time.Millisecond)
 	g.standin.SetOutage(true)
 	_, id := g.syncers[0].Status(request("guilty"))
 	if g.syncers[0].StartTrial(context.Background(), id) || g.syncers[1].StartTrial(context.Background(), id) {
@@ -364,7 +364,7 @@
 	g := newGroup(t, 1)
 	g.endEach("guilty", quarantine.Limit)
 	g.awaitAll(quarantine.Quarantined)
-	time.Sleep(quarantine.TrialAfter + 100*time.Millisecond)
+	time.Sleep(quarantine.TrialDelay + 100*time.Millisecond)
 	commit := g.kv.Commit
 	g.kv.Commit = func(context.Context, store.Change) (int64, error) { return 0, errors.New("away") }
 	late := g.add()
--- a/internal/quarantinesync/task.go
+++ b/internal/quarantinesync/task.go
@@ -153,7 +153,7 @@
 
 // forget drops what is no longer needed, here and in the store.
 func (t *task) forget(ctx context.Context, now time.Time) {
-	lapsed, dropped := t.table.Forget(now)
+	lapsed, dropped := t.table.Prune(now)
 	if len(lapsed)+len(dropped) == 0 {
 		return
 	}
