--- a/internal/quarantinesync/quarantinesync.go
+++ b/internal/quarantinesync/quarantinesync.go
@@ -60,10 +60,10 @@
 	// Store is the platform's, in which keys begin with Prefix.
 	Store  store.Store
 	Prefix string
-	// Tell tells the daemons that keep backend servers of the service, without waiting for them. Spread
+	// NotifyService tells the daemons that keep backend servers of the service, without waiting for them. Spread
 	// tells a few others, each of which tells a few in turn.
-	Tell   func(service string, records []quarantine.Record)
-	Spread func(records []quarantine.Record)
+	NotifyService func(service string, records []quarantine.Record)
+	Gossip        func(records []quarantine.Record)
 	// Watches reports whether this daemon is one that watches the store.
 	Watches func() bool
 	// Logger receives numbered events.
@@ -114,8 +114,8 @@
 	newTask(s).run(ctx)
 }
 
-// Quiet reports whether nothing is held against any request.
-func (s *Syncer) Quiet() bool { return s.view.Load().Empty() }
+// Empty reports whether nothing is held against any request.
+func (s *Syncer) Empty() bool { return s.view.Load().Empty() }
 
 // Status returns the status of the request and, unless that is quarantine.Clear, its id.
 func (s *Syncer) Status(r fingerprint.Request) (quarantine.Status, string) {
--- a/internal/quarantinesync/quarantinesync_test.go
+++ b/internal/quarantinesync/quarantinesync_test.go
@@ -74,14 +74,14 @@
 	number, deaf := len(g.syncers), g.deaf
 	k := quarantinesync.New(quarantinesync.Config{
 		Host: fmt.Sprintf("host-%d", number), Store: g.kv, Prefix: prefix,
-		Tell: func(_ string, records []quarantine.Record) {
+		NotifyService: func(_ string, records []quarantine.Record) {
 			for n, other := range g.all() {
 				if n != number && !g.cut.Load() {
 					go other.Merge(records)
 				}
 			}
 		},
-		Spread:  func([]quarantine.Record) {},
+		Gossip:  func([]quarantine.Record) {},
 		Watches: func() bool { return !deaf },
 		Logger:  slog.New(slog.NewTextHandler(g, nil)), Scope: tally.NoopScope,
 		OnError: func(error) {}, OnAnswer: func() {},
@@ -329,7 +329,7 @@
 func BenchmarkQuietStanding(b *testing.B) {
 	k := quarantinesync.New(quarantinesync.Config{Scope: tally.NoopScope})
 	for b.Loop() {
-		k.Quiet()
+		k.Empty()
 	}
 }
 
@@ -337,7 +337,7 @@
 func BenchmarkStanding(b *testing.B) {
 	k := quarantinesync.New(quarantinesync.Config{
 		Host: "host", Scope: tally.NoopScope, Logger: slog.New(slog.DiscardHandler), OnError: func(error) {}, OnAnswer: func() {},
-		Tell: func(string, []quarantine.Record) {},
+		NotifyService: func(string, []quarantine.Record) {},
 		Store: store.Store{
 			List: func(ctx context.Context, _ string) (store.Batch, error) {
 				<-ctx.Done()
--- a/internal/quarantinesync/task.go
+++ b/internal/quarantinesync/task.go
@@ -184,10 +184,10 @@
 	}
 	t.updates = nil
 	if len(t.spread) > 0 {
-		t.syncer.config.Spread(t.spread)
+		t.syncer.config.Gossip(t.spread)
 		t.spread = nil
 	}
 	for service, records := range byService {
-		t.syncer.config.Tell(service, records)
+		t.syncer.config.NotifyService(service, records)
 	}
 }
