--- a/internal/quarantinesync/quarantinesync.go
+++ b/internal/quarantinesync/quarantinesync.go
@@ -120,7 +120,7 @@
 // Status returns the status of the request and, unless that is quarantine.Clear, its id.
 func (s *Syncer) Status(r fingerprint.Request) (quarantine.Status, string) {
 	view := s.view.Load()
-	if view.Empty() || !view.MayContain(r.Head()) {
+	if view.Empty() || !view.MayContain(r.HeadHash()) {
 		return quarantine.Clear, ""
 	}
 	id, err := r.Digest()
@@ -139,7 +139,7 @@
 	}
 	known := make(chan struct{})
 	s.send(context.Background(), endedMessage{
-		sighting: quarantine.Request{ID: id, Head: r.Head(), Service: service, Method: r.Method, Host: r.Host, Path: r.Path},
+		sighting: quarantine.Request{ID: id, Head: r.HeadHash(), Service: service, Method: r.Method, Host: r.Host, Path: r.Path},
 		end:      end,
 		known:    known,
 	})
--- a/internal/quarantinesync/quarantinesync_test.go
+++ b/internal/quarantinesync/quarantinesync_test.go
@@ -287,7 +287,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.standin.Write(prefix+"/held/other", fmt.Appendf(nil, `{"id":%q,"head":%d,"ends":[{"server":"a"},{"server":"b"},{"server":"c"}]}`, others, request("").Head()))
+	g.standin.Write(prefix+"/held/other", fmt.Appendf(nil, `{"id":%q,"head":%d,"ends":[{"server":"a"},{"server":"b"},{"server":"c"}]}`, others, request("").HeadHash()))
 	g.endEach("guilty", quarantine.Limit)
 	late := g.add()
 	g.await("the good one is known", func() bool { return status(late, "guilty") == quarantine.Quarantined })
