--- a/internal/daemon/build.go
+++ b/internal/daemon/build.go
@@ -189,7 +189,7 @@
 }
 
 // isAway reports whether the host of that name does not answer the ingress.
-func (d *daemon) isAway(host string) bool { return d.ingress.Away(host) }
+func (d *daemon) isAway(host string) bool { return d.ingress.Unreachable(host) }
 
 func (d *daemon) buildSidecar() {
 	var cleanUp func()
@@ -212,26 +212,26 @@
 	s := d.config.Settings
 	var cleanUp func()
 	d.ingress, cleanUp = ingress.New(ingress.Config{
-		Host:             s.Name,
-		DataCentre:       s.DataCentre,
-		Service:          s.Service,
-		Off:              s.Experiments.Off,
-		TLS:              d.clientTLS(),
-		HeaderBytes:      s.Limits.HeaderBytes,
-		Logger:           d.config.Logger,
-		Scope:            d.metrics.Scope,
-		Runs:             d.runs,
-		Retries:          d.budgets,
-		BorrowRetry:      d.lender.Borrow,
-		HostsCounted:     d.members.HostsCounted,
-		Local:            d.sidecar.Do,
-		LocalReservation: d.sidecar.Reserve,
-		Far:              d.isFar,
-		Ping:             d.ping,
-		Silent:           d.members.CheckGone,
-		Subrequest:       d.tellSubrequest,
-		AdmitCustomer:    d.limits.Admit,
-		GiveBack:         d.limits.Refund,
+		Host:                 s.Name,
+		DataCentre:           s.DataCentre,
+		Service:              s.Service,
+		Off:                  s.Experiments.Off,
+		TLS:                  d.clientTLS(),
+		HeaderBytes:          s.Limits.HeaderBytes,
+		Logger:               d.config.Logger,
+		Scope:                d.metrics.Scope,
+		Runs:                 d.runs,
+		Retries:              d.budgets,
+		BorrowRetry:          d.lender.Borrow,
+		HostsCounted:         d.members.HostsCounted,
+		Local:                d.sidecar.Do,
+		LocalReservation:     d.sidecar.Reserve,
+		ShouldCompress:       d.isFar,
+		Ping:                 d.ping,
+		OnHostUnresponsive:   d.members.CheckGone,
+		OnSubrequestEvidence: d.tellSubrequest,
+		AdmitCustomer:        d.limits.Admit,
+		RefundCustomer:       d.limits.Refund,
 	})
 	d.atEnd(cleanUp)
 }
