--- a/internal/attempts/attempts.go
+++ b/internal/attempts/attempts.go
@@ -77,8 +77,8 @@
 	Subrequest bool
 	// MaxSent is how many backend servers it may reach.
 	MaxSent int
-	// Began is when it came.
-	Began time.Time
+	// StartedAt is when it came.
+	StartedAt time.Time
 	// TargetAt is until when an answer is worth most, and it may wait in a crowded queue.
 	TargetAt time.Time
 }
--- a/internal/attempts/choose.go
+++ b/internal/attempts/choose.go
@@ -131,6 +131,6 @@
 
 // mayLookAgain reports whether the request has the time for another look.
 func (t Request) mayLookAgain(now time.Time) bool {
-	patience := t.TargetAt.Sub(t.Began) / lookAgainDivisor
-	return patience-now.Sub(t.Began) > SelectionRetryDelay
+	patience := t.TargetAt.Sub(t.StartedAt) / lookAgainDivisor
+	return patience-now.Sub(t.StartedAt) > SelectionRetryDelay
 }
--- a/internal/attempts/choose_test.go
+++ b/internal/attempts/choose_test.go
@@ -32,7 +32,7 @@
 
 // termsOf returns the terms of an idempotent request that began at the start.
 func termsOf(s *attempts.Service) attempts.Request {
-	return attempts.Request{Service: s, MaxSent: 2, Began: start, TargetAt: start.Add(4 * time.Second)}
+	return attempts.Request{Service: s, MaxSent: 2, StartedAt: start, TargetAt: start.Add(4 * time.Second)}
 }
 
 // askAll has each choice refuse for want of a slot until one is asked to keep the request waiting,
--- a/internal/attempts/hedge.go
+++ b/internal/attempts/hedge.go
@@ -35,12 +35,12 @@
 type InFlight struct {
 	// Count is how many attempts run, one at least.
 	Count int
-	// NewestBegan is when the one of them that was sent last began.
-	NewestBegan time.Time
+	// LastStartedAt is when the one of them that was sent last began.
+	LastStartedAt time.Time
 	// Failed is how many have failed that the history does not have yet.
 	Failed int
-	// BodySpent says that the request's body cannot be sent again from its start.
-	BodySpent bool
+	// BodyConsumed says that the request's body cannot be sent again from its start.
+	BodyConsumed bool
 	// Stopping says that a planned stop has begun: others may not take the request any more.
 	Stopping bool
 }
@@ -72,13 +72,13 @@
 
 // mayHedge reports whether the request may have another hedge now.
 func (g *Hedging) mayHedge(now time.Time, h *History, running InFlight) bool {
-	if g.slowAfter == 0 || g.terms.NonIdempotent || running.Stopping || running.BodySpent {
+	if g.slowAfter == 0 || g.terms.NonIdempotent || running.Stopping || running.BodyConsumed {
 		return false
 	}
 	if h.Sent+running.Failed+running.Count >= g.terms.MaxSent {
 		return false // each that runs may reach a backend server yet
 	}
-	return now.Sub(running.NewestBegan) >= g.slowAfter
+	return now.Sub(running.LastStartedAt) >= g.slowAfter
 }
 
 // pick chooses where a hedge may be sent: one that has not refused one yet, and once all have, any
--- a/internal/attempts/hedge_test.go
+++ b/internal/attempts/hedge_test.go
@@ -11,7 +11,7 @@
 const slowAfter = time.Millisecond
 
 // slow is what runs of a request whose only attempt is slow a second after the start.
-var slow = attempts.InFlight{Count: 1, NewestBegan: start}
+var slow = attempts.InFlight{Count: 1, LastStartedAt: start}
 
 // TestNoHedgeInAPlannedStop leaves a request where it runs once a stop has begun, however
 // long it takes there.
@@ -39,9 +39,9 @@
 		"one attempt":   {terms: attempts.Request{MaxSent: 1}, running: slow, slowAfter: slowAfter},
 		"sent before":   {terms: attempts.Request{MaxSent: 2}, history: attempts.History{Sent: 1}, running: slow, slowAfter: slowAfter},
 		"not late yet":  {terms: attempts.Request{MaxSent: 2}, running: slow, slowAfter: time.Hour},
-		"failed beside": {terms: attempts.Request{MaxSent: 2}, running: attempts.InFlight{Count: 1, NewestBegan: start, Failed: 1}, slowAfter: slowAfter},
-		"two run":       {terms: attempts.Request{MaxSent: 2}, running: attempts.InFlight{Count: 2, NewestBegan: start}, slowAfter: slowAfter},
-		"body spent":    {terms: attempts.Request{MaxSent: 2}, running: attempts.InFlight{Count: 1, NewestBegan: start, BodySpent: true}, slowAfter: slowAfter},
+		"failed beside": {terms: attempts.Request{MaxSent: 2}, running: attempts.InFlight{Count: 1, LastStartedAt: start, Failed: 1}, slowAfter: slowAfter},
+		"two run":       {terms: attempts.Request{MaxSent: 2}, running: attempts.InFlight{Count: 2, LastStartedAt: start}, slowAfter: slowAfter},
+		"body spent":    {terms: attempts.Request{MaxSent: 2}, running: attempts.InFlight{Count: 1, LastStartedAt: start, BodyConsumed: true}, slowAfter: slowAfter},
 		"nothing known": {terms: attempts.Request{MaxSent: 2}, running: slow},
 	} {
 		test.terms.Service = newService(t, 2)
--- a/internal/ingress/admit.go
+++ b/internal/ingress/admit.go
@@ -120,7 +120,7 @@
 			Service:       &service.attempts,
 			NonIdempotent: !a.match.Idempotent(r.Method),
 			MaxSent:       a.match.Attempts,
-			Began:         now,
+			StartedAt:     now,
 			TargetAt:      now.Add(target),
 		},
 		priority: a.caller.priority,
--- a/internal/ingress/race.go
+++ b/internal/ingress/race.go
@@ -128,8 +128,8 @@
 // runs returns what runs of the request.
 func (r *race) runs() attempts.InFlight {
 	running := attempts.InFlight{
-		Count: len(r.running), NewestBegan: r.running[len(r.running)-1].startedAt,
-		BodySpent: r.request.body.Spent(), Stopping: r.in.settling.Load(),
+		Count: len(r.running), LastStartedAt: r.running[len(r.running)-1].startedAt,
+		BodyConsumed: r.request.body.Spent(), Stopping: r.in.settling.Load(),
 	}
 	if r.failed != nil {
 		running.Failed = 1
