--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -14,7 +14,7 @@
 
 // sighting returns a request that a backend server ran when it ended.
 func sighting(id string) quarantine.Request {
-	return quarantine.Request{ID: id, Head: uint64(len(id)), Service: "lookup", Method: "GET", Host: "a.example", Path: "/x"}
+	return quarantine.Request{ID: id, HeadHash: uint64(len(id)), Service: "lookup", Method: "GET", Host: "a.example", Path: "/x"}
 }
 
 // end ends so many backend servers under the request, a second apart.
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -20,8 +20,8 @@
 // Request is a request that a backend server ran when it ended.
 type Request struct {
 	// ID is its fingerprint's digest, Head the hash of all but its body.
-	ID   string
-	Head uint64
+	ID       string
+	HeadHash uint64
 	// Service ran it.
 	Service string
 	// Method, Host and Path are for operators.
@@ -62,7 +62,7 @@
 // newRecord returns the record of a request that was seen for the first time.
 func newRecord(s Request) Record {
 	return Record{
-		ID: s.ID, HeadHash: s.Head, Service: s.Service,
+		ID: s.ID, HeadHash: s.HeadHash, Service: s.Service,
 		Method: cut(s.Method), Host: cut(s.Host), Path: cut(s.Path),
 	}
 }
--- a/internal/quarantinesync/quarantinesync.go
+++ b/internal/quarantinesync/quarantinesync.go
@@ -139,7 +139,7 @@
 	}
 	known := make(chan struct{})
 	s.send(context.Background(), endedMessage{
-		sighting: quarantine.Request{ID: id, Head: r.HeadHash(), Service: service, Method: r.Method, Host: r.Host, Path: r.Path},
+		sighting: quarantine.Request{ID: id, HeadHash: r.HeadHash(), Service: service, Method: r.Method, Host: r.Host, Path: r.Path},
 		end:      end,
 		known:    known,
 	})
