--- a/internal/detect/baseline.go
+++ b/internal/detect/baseline.go
@@ -11,27 +11,25 @@
 )
 
 const (
-	// normalFailure and normalSlow are the least rates of bad observations that count as normal:
-	// where the others show none, one would otherwise weigh without bound. Measured together with
-	// Rules, not alone.
+	// normalFailure and normalSlow are the minimum baseline rates. Without them a single bad
+	// observation would weigh without bound where the other servers show none.
 	normalFailure = 0.01
 	normalSlow    = 0.05
-	// maxNormal is the greatest rate that counts as normal, so that there is room for a sick one
-	// above it. Not measured.
+	// maxNormal is the maximum baseline rate; it leaves room for an unhealthy server above it.
 	maxNormal = 0.9
-	// minSamples is how many observations make a subject fit to compare others with. Not measured:
-	// at ten requests a minute to each it takes less than a minute.
+	// minSamples is the number of observations from which a subject contributes to baselines.
 	minSamples = 8
 )
 
-// Baseline is how the service's other backend servers do of late. Beside a
-// request it travels from the ingress to the sidecar.
+// Baseline describes the recent behaviour of the service's other backend servers. The ingress
+// sends it to the sidecar along with a request.
 type Baseline struct {
-	// Failure and Slow are the middle of the others' recent rates.
+	// Failure and Slow are the medians of the other servers' recent rates.
 	Failure, Slow float64
-	// FailureSum and SlowSum are the middle of their cumulative sums.
+	// FailureSum and SlowSum are the medians of their cumulative sums.
 	FailureSum, SlowSum float64
-	// Typical is the middle of the times they take; zero if it is not known, and nothing but Failure is then.
+	// Typical is the median of their response times. It is zero if unknown; only Failure can be
+	// set then.
 	Typical time.Duration
 }
 
@@ -47,15 +45,15 @@
 	return math.Min(math.Max(r.Slow, normalSlow), maxNormal)
 }
 
-// thousand is the part in which rates and sums are written.
+// thousand is the scale at which rates and sums are encoded as integers.
 const thousand = 1000
 
-// baselineFields is how many numbers an encoded baseline has.
+// baselineFields is the number of fields of an encoded baseline.
 const baselineFields = 5
 
-// Encode returns the baseline as five numbers: failure, slow, failure sum and
-// slow sum in thousandths, and the typical time in microseconds. It returns ""
-// if nothing is known.
+// Encode returns the baseline as five comma-separated integers: failure rate, slow rate, failure
+// sum and slow sum in thousandths, and the typical latency in microseconds. It returns "" if
+// nothing is known.
 func (r Baseline) Encode() string {
 	if !r.known() && r.Failure == 0 {
 		return ""
@@ -68,7 +66,7 @@
 	return string(strconv.AppendInt(text, r.Typical.Microseconds(), 10))
 }
 
-// ParseBaseline reads what Encode wrote.
+// ParseBaseline parses the output of Baseline.Encode.
 func ParseBaseline(text string) (Baseline, error) {
 	if text == "" {
 		return Baseline{}, nil
@@ -78,13 +76,13 @@
 	for field := range strings.SplitSeq(text, ",") {
 		number, err := strconv.ParseInt(field, 10, 32)
 		if err != nil || number < 0 || fields == baselineFields {
-			return Baseline{}, errors.Errorf("reference %q: want %d numbers of 0 or more", text, baselineFields)
+			return Baseline{}, errors.Errorf("baseline %q: want %d non-negative integers", text, baselineFields)
 		}
 		numbers[fields] = number
 		fields++
 	}
 	if fields != baselineFields {
-		return Baseline{}, errors.Errorf("reference %q: want %d numbers, not %d", text, baselineFields, fields)
+		return Baseline{}, errors.Errorf("baseline %q: want %d fields, got %d", text, baselineFields, fields)
 	}
 	share := func(i int) float64 { return float64(numbers[i]) / thousand }
 	return Baseline{
@@ -96,7 +94,7 @@
 	}, nil
 }
 
-// Group is the backend servers of one service as one observer sees them.
+// Group is the set of backend servers of one service as one observer sees them.
 type Group struct {
 	rules    Rules
 	subjects map[string]*Subject
@@ -108,8 +106,8 @@
 	return &Group{rules: rules, subjects: make(map[string]*Subject), others: make(map[string]Baseline)}
 }
 
-// Reconfigure takes the rules and the names of the backend servers. Those that
-// were there keep what was observed.
+// Reconfigure sets the rules and the names of the backend servers. Servers that remain keep
+// their observations.
 func (g *Group) Reconfigure(rules Rules, names []string) {
 	g.rules = rules
 	next := make(map[string]*Subject, len(names))
@@ -125,16 +123,16 @@
 	g.Compare()
 }
 
-// Subject returns the backend server of that name.
+// Subject returns the subject of the backend server with the given name.
 func (g *Group) Subject(name string) (*Subject, bool) {
 	s, ok := g.subjects[name]
 	return s, ok
 }
 
-// Baseline returns how the others than the one named did at the last Compare.
+// Baseline returns the baseline of the named backend server as of the last Compare.
 func (g *Group) Baseline(name string) Baseline { return g.others[name] }
 
-// IsOutlier reports whether the backend server named does worse than the others; see
+// IsOutlier reports whether the named backend server performs worse than the others; see
 // Subject.IsOutlier.
 func (g *Group) IsOutlier(name string) bool {
 	suspected, ok := g.subjects[name]
@@ -151,8 +149,8 @@
 	return suspected.IsOutlier(others)
 }
 
-// Compare works out for each backend server how the others do. It is called a
-// few times a second; in between the last result stands.
+// Compare recalculates the baseline of each backend server from the others. It is called a few
+// times per second; Baseline returns the last result in between.
 func (g *Group) Compare() {
 	table := newComparison(g.subjects, g.rules)
 	clear(g.others)
@@ -161,7 +159,7 @@
 	}
 }
 
-// comparison is the sorted figures of the subjects that are known well enough.
+// comparison holds the sorted figures of all subjects that have enough observations.
 type comparison struct {
 	failure, slow, failureSum, slowSum, logTime []float64
 }
@@ -184,12 +182,12 @@
 	return c
 }
 
-// comparable reports whether enough is known of the subject to hold others to it.
+// comparable reports whether the subject has enough observations to contribute to baselines.
 func (s *Subject) comparable() bool {
 	return s.observed >= minSamples && s.latency.samples > 0
 }
 
-// without returns the middle of each figure, the subject's own left out.
+// without returns the median of each figure, excluding the subject's own.
 func (c comparison) without(s *Subject, rules Rules) Baseline {
 	own := s.comparable()
 	if len(c.logTime) == 0 || own && len(c.logTime) == 1 {
@@ -204,8 +202,8 @@
 	}
 }
 
-// middleWithout returns the median, the upper one of two, of the sorted values
-// without the one given, if it is among them.
+// middleWithout returns the median of the sorted values, the upper one of two, excluding the given
+// value if it is among them.
 func middleWithout(sorted []float64, value float64, among bool) float64 {
 	if !among {
 		return sorted[len(sorted)/2]
@@ -218,19 +216,18 @@
 	return sorted[middle]
 }
 
-// latency follows the middle of the times taken, as a logarithm that each time
-// taken moves by one step.
+// latency estimates the median response time. Each sample moves the estimate by a bounded step on
+// a logarithmic scale.
 type latency struct {
 	samples   int64
 	logMiddle float64
 }
 
 const (
-	// latencyStep is how far one time taken moves the middle at most, as a natural logarithm: 3%.
-	// Measured together with Rules, not alone.
+	// latencyStep is the maximum step per sample, as a natural logarithm: 3%.
 	latencyStep = 0.03
-	// firstStep is the step for the first firstSamples times, so that the middle is found soon:
-	// 35% each. Measured together with Rules, not alone.
+	// firstStep is the maximum step, 35%, for the first firstSamples samples, so that the estimate
+	// converges quickly.
 	firstStep    = 0.3
 	firstSamples = 16
 )
@@ -250,7 +247,7 @@
 	l.logMiddle += math.Max(-step, math.Min(step, distance))
 }
 
-// Typical returns the middle of the times taken.
+// typical returns the estimated median response time, or zero without samples.
 func (l *latency) typical() time.Duration {
 	if l.samples == 0 {
 		return 0
--- a/internal/detect/baseline_test.go
+++ b/internal/detect/baseline_test.go
@@ -9,8 +9,7 @@
 	"github.com/tideliftd/tidelift/internal/detect"
 )
 
-// FuzzParseBaseline reads what a peer may send: no input may panic or give a
-// rate beyond its bounds.
+// FuzzParseBaseline guards against input from a peer that causes a panic or rates out of bounds.
 func FuzzParseBaseline(f *testing.F) {
 	f.Add("10,50,0,0,25000")
 	f.Add("")
@@ -22,17 +21,16 @@
 			return
 		}
 		if r.Failure < 0 || r.Failure > 1 || r.Slow < 0 || r.Slow > 1 || r.Typical < 0 {
-			t.Fatalf("%q gave %+v", text, r)
+			t.Fatalf("%q parsed as %+v", text, r)
 		}
 		if again, err := detect.ParseBaseline(r.Encode()); err != nil || r.Typical > 0 && again != r {
-			t.Fatalf("%q gave %+v, and encoded again %+v, %v", text, r, again, err)
+			t.Fatalf("%q parsed as %+v, re-encoded and parsed as %+v, %v", text, r, again, err)
 		}
 	})
 }
 
-// TestHoldGrowsAndDecays ejects a subject again and again: each time within
-// memory is held longer than the one before, never beyond the longest, and a
-// long time of service shortens the next.
+// TestHoldGrowsAndDecays guards against ejection times outside their bounds, and against one that does
+// not double if the subject is ejected again immediately after its reinstatement.
 func TestHoldGrowsAndDecays(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rules := detect.Swift()
@@ -45,14 +43,14 @@
 			s.Eject(now)
 			held := s.EjectedFor(now)
 			if held < rules.EjectionTime || held > rules.EjectionTimeMax {
-				t.Fatalf("held for %s", held)
+				t.Fatalf("ejected for %s", held)
 			}
 			if served == 0 && last > 0 && held < min(2*last, rules.EjectionTimeMax) {
-				t.Fatalf("held for %s after %s", held, last)
+				t.Fatalf("ejected for %s after %s", held, last)
 			}
 			now = now.Add(held)
 			if s.State(now) != detect.Probation {
-				t.Fatalf("%s after its hold", s.State(now))
+				t.Fatalf("state %s after the ejection time", s.State(now))
 			}
 			s.Return(now)
 			last = held
@@ -60,8 +58,8 @@
 	})
 }
 
-// TestTrial ends a probation by good answers in a row and lengthens the ejection time by a
-// bad one.
+// TestTrial guards against a probation that ends too early, or that a failed or slow response does not
+// turn into a longer ejection.
 func TestTrial(t *testing.T) {
 	rules := detect.Swift()
 	others := detect.Baseline{Typical: median}
@@ -73,7 +71,7 @@
 	}{
 		{"good", good, true},
 		{"an error", detect.Observation{Outcome: detect.Error, Took: median}, false},
-		{"no answer", detect.Observation{Outcome: detect.TimedOut, Took: deadline}, false},
+		{"no response", detect.Observation{Outcome: detect.TimedOut, Took: deadline}, false},
 		{"slow", detect.Observation{Outcome: detect.OK, Took: 10 * median}, false},
 	}
 	for _, test := range tests {
@@ -83,15 +81,15 @@
 			now := epoch.Add(rules.EjectionTime)
 			for range rules.ProbationPasses - 1 {
 				if s.ObserveProbation(now, good, others) {
-					t.Fatal("it came back too soon")
+					t.Fatal("reinstated too early")
 				}
 			}
 			back := s.ObserveProbation(now, test.saw, others)
 			if back != test.back {
-				t.Fatalf("came back: %t", back)
+				t.Fatalf("reinstated: %t", back)
 			}
 			if !back && s.EjectedFor(now) < 2*rules.EjectionTime {
-				t.Fatalf("held for %s after a failed trial", s.EjectedFor(now))
+				t.Fatalf("ejected for %s after a failed probation", s.EjectedFor(now))
 			}
 		})
 	}
--- a/internal/detect/curve_test.go
+++ b/internal/detect/curve_test.go
@@ -10,17 +10,17 @@
 	"github.com/tideliftd/tidelift/internal/detect"
 )
 
-// judgement is when a way to detect first called the sick server, from the fault
-// on, and how often it called a healthy one.
+// judgement is the result of one detection method: the time from the fault to the detection of the
+// unhealthy server and the number of false verdicts.
 type judgement struct {
-	after time.Duration // the length of the run if never
+	after time.Duration // length of the run if the server was not detected
 	wrong int
 }
 
-// baseline is one of the usual ways to detect, on the same events.
+// baseline is a common detection method, applied to the same events.
 type baseline func(events []seen, fault time.Time, x experiment) judgement
 
-// consecutive calls a server after five failures in a row.
+// consecutive detects a server after five consecutive failures.
 func consecutive(events []seen, fault time.Time, x experiment) judgement {
 	const inARow = 5
 	result := judgement{after: x.after}
@@ -41,8 +41,8 @@
 	return result
 }
 
-// outlier calls the servers whose success rate over 10 s is below the mean less
-// 1.9 standard deviations.
+// outlier detects servers whose success rate over 10 s is more than 1.9 standard deviations below the
+// mean.
 func outlier(events []seen, fault time.Time, x experiment) judgement {
 	const window, deviations, least = 10 * time.Second, 1.9, 5
 	result := judgement{after: x.after}
@@ -97,8 +97,8 @@
 	}
 }
 
-// judge runs the experiment over seeds and returns the middle of the times and
-// the sum of what was wrong.
+// judge runs the experiment for the seeds and returns the median detection time and the total number
+// of false verdicts.
 func (x experiment) judge(seeds int, how baseline) judgement {
 	times := make([]time.Duration, 0, seeds)
 	wrong := 0
@@ -113,8 +113,8 @@
 	return judgement{after: times[len(times)/2], wrong: wrong}
 }
 
-// TestAheadOfTheBaselines holds both settings to be faster than the usual ways at
-// no more false verdicts, where a server fails.
+// TestAheadOfTheBaselines guards against settings that detect a failing server more slowly than
+// common methods, and against false verdicts of the careful setting.
 func TestAheadOfTheBaselines(t *testing.T) {
 	const seeds = 10
 	tests := []struct {
@@ -141,20 +141,20 @@
 			careful, _, carefulWrong := x.times(seeds)
 			x.rules = detect.Swift()
 			swift, _, swiftWrong := x.times(seeds)
-			t.Logf("swift %s (%d wrong), careful %s (%d), five in a row %s (%d), success rate %s (%d)",
+			t.Logf("swift %s (%d false), careful %s (%d), five consecutive failures %s (%d), success rate %s (%d)",
 				swift, swiftWrong, careful, carefulWrong, five.after, five.wrong, success.after, success.wrong)
 			if careful > five.after || careful > success.after || swift > careful {
-				t.Error("slower than a baseline")
+				t.Error("slower than a common detection method, or swift slower than careful")
 			}
 			if carefulWrong > 0 {
-				t.Errorf("%d false verdicts at careful", carefulWrong)
+				t.Errorf("%d false verdicts of the careful setting", carefulWrong)
 			}
 		})
 	}
 }
 
-// TestCurve logs detection time against false verdicts as the threshold moves. It
-// holds that a higher threshold is never more often wrong by much.
+// TestCurve guards against a higher threshold that causes clearly more false verdicts. It logs
+// detection time against false verdicts for each threshold.
 func TestCurve(t *testing.T) {
 	const seeds = 10
 	last := seeds * servers
@@ -168,10 +168,10 @@
 		noisy := experiment{rules: rules, perSec: 300, normal: healthy(1), warm: time.Second, after: time.Minute}
 		after, worst, _ := faulty.times(seeds)
 		_, _, wrong := noisy.times(seeds)
-		t.Logf("threshold %4.1f: a third timing out after %s, worst %s; %d of %d servers wrongly called in a minute of heavy tails",
+		t.Logf("threshold %4.1f: a third timing out detected after %s, worst %s; %d false verdicts on %d servers in a minute of heavy tails",
 			threshold, after.Round(time.Millisecond), worst.Round(time.Millisecond), wrong, seeds*servers)
 		if wrong > last+seeds {
-			t.Errorf("threshold %g: %d wrong, more than %d at the one before", threshold, wrong, last)
+			t.Errorf("threshold %g: %d false verdicts, more than %d at the previous threshold", threshold, wrong, last)
 		}
 		last = wrong
 	}
--- a/internal/detect/detect.go
+++ b/internal/detect/detect.go
@@ -1,87 +1,90 @@
-// Package detect decides from real traffic whether a backend server is sick.
+// Package detect decides from live traffic whether a backend server is unhealthy.
 //
-// A Subject is the aggregate of one backend server as one observer sees it. It
-// takes observations and the time and gives verdicts; it has no clock,
-// goroutine or socket. The sidecar keeps one for each of its backend servers
-// (what it does to everyone), the ingress a Group of them for each service (how
-// it looks on the path from here). Both run the same rules.
+// A Subject holds what one observer knows of one backend server. It takes observations and the
+// time and returns verdicts; it has no clock, goroutine or socket. The sidecar keeps a Subject
+// for each of its backend servers, which covers all traffic to that server. The ingress keeps a
+// Group of Subjects for each service, which covers the traffic on its own network path. Both
+// apply the same rules.
 //
 // # Usage
 //
 //	s := detect.NewSubject(detect.RulesOf(fleet.DetectionSwift))
-//	s.Observe(now, detect.Observation{Outcome: detect.OK, Took: 24 * time.Millisecond}, baseline)
+//	s.Observe(now, detect.Observation{Outcome: detect.OK, Latency: 24 * time.Millisecond}, baseline)
 //	verdict := s.Verdict(now)
-//	if verdict.Sick { s.Eject(now) }
+//	if verdict.Unhealthy { s.Eject(now) }
 //
 // # From an observation to an ejection and back
 //
-//  1. Observation (FromAnswer, FromResult, Subject.Observe). Each is a failure or not, and slow
-//     or not. A request that is overdue counts as a failure before it ends.
-//  2. Evidence (evidence.go). For failures and slowness apart a cumulative sum of
-//     log-likelihood ratios weighs "as sick as SickFailure or SickSlow" against "like the
-//     service's others", whose recent rates are the Baseline. It never falls below zero.
-//  3. Verdict (Subject.Verdict). Sick is whose sum passes Threshold, unless a guard below says
-//     otherwise.
-//  4. Confirmation (Subject.IsOutlier). The sidecar asks all other backend servers of the service
-//     for leases to keep serving, and learns how they do since the suspicion began. More did
-//     well than are suspects themselves, or the cause is taken for one that they share.
-//  5. Ejection (Subject.Eject). With leases from as many others as the floor says (package
-//     floor) it takes no work for EjectionTime, longer if it was ejected of late. Leases are
-//     renewed; if too few are left it returns at once (Subject.Return).
-//  6. Probation (Subject.ObserveProbation). Then it gets one idempotent request at a time. A failed or slow
-//     one ejects it again; ProbationPasses good ones in a row return it.
-//  7. Return (Subject.Return, Subject.Share). It begins without evidence, and gets a growing
-//     part of its slots during Ramp. One that answers well while suspected (package suspicion)
-//     returns at once with all of them (Subject.Restore).
+//  1. Observation (OutcomeFromResponse, Subject.Observe). Each request is classified as failed
+//     or not, and as slow or not. An overdue request counts as a failure before it ends.
+//  2. Evidence (evidence.go). Two cumulative sums of log-likelihood ratios, one for failures and
+//     one for slowness, compare two hypotheses: the backend server is unhealthy
+//     (Rules.UnhealthyFailureRate, Rules.UnhealthySlowRate), or it behaves like the service's
+//     other backend servers, whose recent rates are the Baseline. A sum never drops below zero.
+//  3. Verdict (Subject.Verdict). The backend server is unhealthy if a sum reaches
+//     Rules.Threshold, unless one of the guards below applies.
+//  4. Confirmation (Subject.IsOutlier). The sidecar requests leases to keep serving from all
+//     other backend servers of the service. Each reply carries a Summary of that server since
+//     the suspicion began. The verdict is confirmed only if more servers did well than are
+//     suspected themselves; otherwise the cause is assumed to be shared.
+//  5. Ejection (Subject.Eject). With leases from as many other servers as the floor requires
+//     (package floor), the server receives no work for Rules.EjectionTime, or longer if it was
+//     ejected recently. The leases are renewed; if too few remain, the server is reinstated
+//     immediately (Subject.Reinstate).
+//  6. Probation (Subject.ObserveProbation). After the ejection time the server receives one
+//     idempotent request at a time. A failed or slow one ejects it again;
+//     Rules.ProbationPasses consecutive good ones reinstate it.
+//  7. Reinstatement (Subject.Reinstate, Subject.TrafficShare). The server starts without
+//     evidence and receives a growing share of its slots during Rules.Ramp. A server that
+//     responds well while suspected (package suspicion) is reinstated immediately with all of
+//     its slots (Subject.ReinstateFully).
 //
-// What the sidecar does at each step is in internal/sidecar: slot.go observes, eject.go asks
-// and decides, lease.go keeps the leases, slots.go has the probation. An ingress takes the same
-// steps without 4 and 5: it ejects nobody, but sends a backend server that looks sick on its
-// path less.
+// The sidecar's part of each step is in internal/sidecar: slot.go makes observations, eject.go
+// decides, lease.go manages the leases, and slots.go runs the probation. An ingress performs
+// the same steps except 4 and 5: it ejects no server, but sends less traffic to one that is
+// unhealthy on its path.
 //
-// No window has to fill: at ten requests a minute three failures in a row are enough, and at
-// two thousand a second the same sum fills within the shortest time allowed. Guards against
-// deciding too soon:
+// There is no window to fill: at ten requests per minute three consecutive failures suffice,
+// and at two thousand per second the same sum is reached within the minimum time span. The
+// following guards prevent premature verdicts:
 //
-//   - What one Interval adds is bounded by IntervalCap, so that a short pause of the backend
-//     server under much traffic counts as one event, not as many.
-//   - The evidence must span MinSpan and MinBad observations, and be Deviations away from
-//     chance.
-//   - The sum must pass Threshold by as much as the others' sums have risen, and the recent
-//     rate must be above theirs by Margin, so that a cause that all share ejects nobody.
+//   - Rules.IntervalCap bounds what one Rules.Interval adds, so that a short pause of the backend
+//     server under high traffic counts as one event.
+//   - The evidence must span Rules.MinSpan and Rules.MinBad bad observations, and exceed the
+//     expected number by Rules.Deviations standard deviations.
+//   - The sum must exceed the median sum of the other servers by Rules.Threshold, and the recent
+//     rate must exceed theirs by Rules.Margin, so that a shared cause ejects no server.
 //
-// The figures, with the measurements behind them, are in rules.go.
-//
-// Units: rates are shares from 0 to 1; sums are natural logarithms. Source of
-// the method: E. S. Page, Continuous inspection schemes, Biometrika 41 (1954).
+// Rates are fractions from 0 to 1; sums are natural logarithms. The method is the cumulative
+// sum test of E. S. Page, Continuous inspection schemes, Biometrika 41 (1954).
 package detect
 
 import "time"
 
-// Outcome is how a request ended, as an observer sees it.
+// Outcome is the result of a request as an observer sees it.
 type Outcome string
 
-// The outcomes.
+// Outcomes of a request.
 const (
-	// OK is an answer, whatever it says to the caller.
+	// OK is a response that does not indicate a failure of the backend server.
 	OK Outcome = "ok"
-	// Error is an answer that says that the backend server failed.
+	// Error is a response that indicates a failure of the backend server.
 	Error Outcome = "error"
-	// TimedOut is no answer by the deadline.
+	// TimedOut means that no response arrived before the deadline.
 	TimedOut Outcome = "timed-out"
-	// Overdue is no answer yet, long after others would have given one. The
-	// request's end is observed too, with WasOverdue set.
+	// Overdue means that a running request has exceeded Rules.OverdueLimit. Its end is observed
+	// separately, with WasOverdue set.
 	Overdue Outcome = "overdue"
-	// Refused is a refused connection.
+	// Refused means that the connection was refused.
 	Refused Outcome = "refused"
-	// Lost is a connection that broke before the answer was whole.
+	// Lost means that the connection broke before the response was complete.
 	Lost Outcome = "lost"
 )
 
-// Cause says what a sick backend server does.
+// Cause is the main symptom of an unhealthy backend server.
 type Cause string
 
-// The causes.
+// Causes of an unhealthy verdict.
 const (
 	CauseNone        Cause = ""
 	CauseTimesOut    Cause = "times-out"
@@ -91,29 +94,29 @@
 	CauseUnreachable Cause = "unreachable"
 )
 
-// Observation is one request's end, or that it is overdue.
+// Observation is the end of one request, or the moment at which it becomes overdue.
 type Observation struct {
 	Outcome Outcome
-	// Took is how long the answer took, without the wait for a slot.
+	// Took is the response time, without the wait for a slot.
 	Took time.Duration
-	// WasOverdue says that the request was observed as overdue before.
+	// WasOverdue reports that the request was already observed as overdue.
 	WasOverdue bool
-	// PastTarget says that the answer took longer than the route's target.
+	// PastTarget reports that the response took longer than the route's latency target.
 	PastTarget bool
 }
 
-// failed reports whether the observation is a failure that was not counted yet.
+// failed reports whether the observation is a failure that has not been counted yet.
 func (o Observation) failed() bool {
 	return o.Outcome != OK && !o.WasOverdue
 }
 
-// Verdict is what an observer concludes.
+// Verdict is an observer's conclusion about a backend server.
 type Verdict struct {
-	// Sick says that the rules would eject the backend server.
+	// Sick reports that the rules call for ejecting the backend server.
 	Sick bool
-	// Cause says what it does; CauseNone unless Sick.
+	// Cause is the main symptom; CauseNone unless Sick.
 	Cause Cause
-	// Severity orders the sick, the worst with the highest; 0 to 2.
+	// Severity ranks unhealthy backend servers from 0 to 2, the worst highest.
 	Severity float64
 }
 
@@ -127,19 +130,19 @@
 	baseline Baseline
 	observed int64
 	failures int64
-	lastGood time.Time // when it last gave an answer in good time
+	lastGood time.Time // time of the last response that was not slow
 	ejection ejection
 }
 
-// NewSubject returns a subject of which nothing is known.
+// NewSubject returns a subject without observations.
 func NewSubject(rules Rules) *Subject {
 	return &Subject{rules: rules, baseline: unknownBaseline}
 }
 
-// SetRules changes the rules. What was observed stays.
+// SetRules replaces the rules and keeps the observations.
 func (s *Subject) SetRules(rules Rules) { s.rules = rules }
 
-// Observe takes one observation and how the service's others do.
+// Observe records one observation. The baseline describes the service's other backend servers.
 func (s *Subject) Observe(now time.Time, o Observation, others Baseline) {
 	if others.known() {
 		s.baseline = others
@@ -161,7 +164,7 @@
 	}
 }
 
-// FailureRate returns the share of the recent requests that failed.
+// FailureRate returns the fraction of recent requests that failed.
 func (s *Subject) FailureRate() float64 { return s.failure.normal() }
 
 func (s *Subject) observeLatency(now time.Time, took time.Duration) {
@@ -177,7 +180,7 @@
 	s.slow.add(now, slow, s.baseline.slow(), s.rules.SickSlow, s.rules)
 }
 
-// Verdict returns what the observations so far amount to.
+// Verdict returns the conclusion from the observations so far.
 func (s *Subject) Verdict(now time.Time) Verdict {
 	severity := s.failure.rate + s.slow.rate
 	switch {
@@ -190,14 +193,14 @@
 	}
 }
 
-// forget drops the evidence, for a new start after an absence.
+// forget discards the evidence, so that the subject starts anew after an absence.
 func (s *Subject) forget() {
 	s.failure = evidence{}
 	s.slow = evidence{}
 	s.causes = [causeCount]int{}
 }
 
-// causes are counted by kind, in the order of their names below.
+// causeCount is the number of causes that failures are counted by, in the order of causeNames.
 const causeCount = 4
 
 var causeNames = [causeCount]Cause{CauseTimesOut, CauseErrors, CauseRefuses, CauseUnreachable}
@@ -216,7 +219,7 @@
 	return 0
 }
 
-// mainCause returns what most of the failures were.
+// mainCause returns the most frequent cause of the failures.
 func (s *Subject) mainCause() Cause {
 	most := 0
 	for i, n := range s.causes {
--- a/internal/detect/detect_test.go
+++ b/internal/detect/detect_test.go
@@ -20,11 +20,11 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// behaviour says how a backend server answers one request.
+// behaviour determines how a backend server responds to one request.
 type behaviour func(random *rand.Rand) (detect.Outcome, time.Duration)
 
-// healthy answers in a log-normal time around the median, and fails one
-// request in a thousand.
+// healthy responds in a log-normally distributed time around the median and fails one request in a
+// thousand.
 func healthy(spread float64) behaviour {
 	return func(random *rand.Rand) (detect.Outcome, time.Duration) {
 		took := time.Duration(float64(median) * math.Exp(spread*random.NormFloat64()))
@@ -51,27 +51,27 @@
 	}
 }
 
-// experiment is one service under load, seen by one observer.
+// experiment simulates one service under load with a single observer.
 type experiment struct {
 	rules  detect.Rules
 	perSec float64
 	normal behaviour
 	sick   behaviour
-	sickN  int // how many turn sick
+	sickN  int // number of servers that become unhealthy
 	warm   time.Duration
 	after  time.Duration
 	seed   uint64
 }
 
-// seen is something that the observer sees at a time.
+// seen is an observation with its time and server.
 type seen struct {
 	at          time.Time
 	server      int
 	observation detect.Observation
 }
 
-// verdicts is when each server was first called sick, from the fault on, and
-// after how many of its failures.
+// verdicts holds, for each server, the time from the fault to the first unhealthy verdict and the
+// number of failures until then.
 type verdicts struct {
 	after    map[int]time.Duration
 	failures map[int]int
@@ -117,8 +117,8 @@
 	return result
 }
 
-// events draws the requests and sorts what is seen of them by time. The limit
-// for overdue ones is that of a warm observer.
+// events generates the observations of all requests in order of time. Overdue requests are judged by
+// the median, as an observer that knows the typical latency does.
 func (x experiment) events(random *rand.Rand, fault time.Time) []seen {
 	limit := x.rules.OverdueLimit(median)
 	var all []seen
@@ -143,7 +143,8 @@
 	return all
 }
 
-// worst and median of the times over the seeds; never called counts as after.
+// times returns the median and the worst detection time over the seeds, where x.after stands for no
+// detection, and the number of false verdicts.
 func (x experiment) times(seeds int) (middle, worst time.Duration, wrong int) {
 	times := make([]time.Duration, 0, seeds)
 	for seed := range seeds {
@@ -165,7 +166,7 @@
 	return times[len(times)/2], times[len(times)-1], wrong
 }
 
-// TestDetectionTime holds detection to the times that the settings promise.
+// TestDetectionTime guards against detection that is slower than the settings promise.
 func TestDetectionTime(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -194,17 +195,17 @@
 					warm: 10 * time.Second, after: 10 * time.Second,
 				}
 				middle, worst, wrong := x.times(seeds)
-				t.Logf("median %s, worst %s, false %d", middle, worst, wrong)
+				t.Logf("median %s, worst %s, %d false verdicts", middle, worst, wrong)
 				if worst > limit || wrong > 0 {
-					t.Errorf("median %s, worst %s, limit %s, false %d", middle, worst, limit, wrong)
+					t.Errorf("median %s, worst %s, limit %s, %d false verdicts", middle, worst, limit, wrong)
 				}
 			})
 		}
 	}
 }
 
-// TestNobodyIsCalledSick holds the settings to no false verdict where nobody,
-// or everybody, is worse than the others.
+// TestNobodyIsCalledSick guards against verdicts where no server, or every server, is worse than the
+// others.
 func TestNobodyIsCalledSick(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -223,7 +224,7 @@
 		{"half of all time out at 5/s", healthy(0.4), stalled(0.5), 5},
 	}
 	for _, test := range tests {
-		seeds := 10 // a minute each
+		seeds := 10 // one minute each
 		if test.perSec > 1000 {
 			seeds = 2
 		}
@@ -249,7 +250,7 @@
 	}
 }
 
-// TestLowRate holds detection at ten requests a minute to three failures.
+// TestLowRate guards against detection that needs more than three failures at ten requests per minute.
 func TestLowRate(t *testing.T) {
 	for _, setting := range []fleet.Detection{fleet.DetectionSwift, fleet.DetectionCareful} {
 		x := experiment{
@@ -261,13 +262,13 @@
 			x.seed = uint64(seed)
 			v := x.run()
 			if _, ok := v.after[0]; !ok || v.failures[0] > 4 {
-				t.Errorf("%s, seed %d: %d failures, called after %s", setting, seed, v.failures[0], v.after[0])
+				t.Errorf("%s, seed %d: %d failures, detected after %s", setting, seed, v.failures[0], v.after[0])
 			}
 			if v.failures[0] > 3 {
 				more++
 			}
 		}
-		if more > 1 { // a fourth is needed when no other was asked meanwhile
+		if more > 1 { // a fourth failure is needed if no other server received a request in between
 			t.Errorf("%s: more than three failures in %d of 20 runs", setting, more)
 		}
 	}
--- a/internal/detect/ejection.go
+++ b/internal/detect/ejection.go
@@ -5,37 +5,37 @@
 	"time"
 )
 
-// State is where a subject stands.
+// State is the service state of a subject.
 type State string
 
-// The states.
+// States of a subject.
 const (
-	// Serving gets work; after a return at first a growing share.
+	// Serving receives work, a growing share of it after a reinstatement.
 	Serving State = "serving"
-	// Ejected gets none until its ejection time ends.
+	// Ejected receives no work until its ejection time ends.
 	Ejected State = "ejected"
-	// Probation gets one idempotent request at a time.
+	// Probation receives one idempotent request at a time.
 	Probation State = "trial"
 )
 
-// leastShare is the share of its work that a subject gets right after its return. Not measured:
-// a tenth of the slots, and at least one, is enough to show how it does.
+// leastShare is the traffic share of a subject immediately after its reinstatement.
 const leastShare = 0.1
 
-// ejection is whether and for how long a subject is ejected, and how it comes back.
+// ejection is the ejection state of a subject and its history.
 type ejection struct {
 	ejected  bool
-	began    time.Time // when it was ejected
-	until    time.Time // when its probation begins
-	level    float64   // how often the ejection time doubles, less what EjectionMemory took back
-	passes   int       // good answers of its probation
-	returned time.Time // when it last came back with a growing share
-	serving  time.Time // from when on it has served since it was ejected
+	began    time.Time // start of the ejection
+	until    time.Time // start of the probation
+	level    float64   // doublings of the ejection time, reduced by time in service
+	passes   int       // consecutive good responses during probation
+	returned time.Time // last reinstatement with a growing share
+	serving  time.Time // start of service after the last ejection; zero if never ejected
 	cause    Cause
-	decided  Explanation // the evidence on which it was ejected
+	decided  Explanation // evidence that caused the ejection
 }
 
-// Eject takes the subject out of service for its ejection time.
+// Eject takes the subject out of service for its ejection time. The time doubles with each
+// further ejection.
 func (s *Subject) Eject(now time.Time) {
 	x := &s.ejection
 	if !x.ejected {
@@ -54,8 +54,8 @@
 	s.forget()
 }
 
-// forgetLevel takes back one doubling of the ejection time for each time of that length in service. A failed
-// probation takes nothing back: the subject has not served since its ejection.
+// forgetLevel removes one doubling of the ejection time for each memory period in service. A failed
+// probation removes nothing: the subject has not served since its ejection.
 func (x *ejection) forgetLevel(now time.Time, memory time.Duration) {
 	if x.serving.IsZero() {
 		return
@@ -63,7 +63,7 @@
 	x.level = math.Max(0, x.level-float64(now.Sub(x.serving))/float64(memory))
 }
 
-// State returns where the subject stands.
+// State returns the subject's state.
 func (s *Subject) State(now time.Time) State {
 	switch {
 	case !s.ejection.ejected:
@@ -75,13 +75,13 @@
 	}
 }
 
-// EjectedFor returns how long the subject still stays ejected before its probation.
+// EjectedFor returns the remaining ejection time before the probation.
 func (s *Subject) EjectedFor(now time.Time) time.Duration {
 	return max(0, s.ejection.until.Sub(now))
 }
 
-// ObserveProbation takes the outcome of a probation request and reports whether the subject has
-// returned. A failure, or a slow answer, ejects it again.
+// ObserveProbation records the outcome of a probation request and reports whether the subject was
+// reinstated. A failure or a slow response ejects it again.
 func (s *Subject) ObserveProbation(now time.Time, o Observation, others Baseline) bool {
 	if others.known() {
 		s.baseline = others
@@ -99,7 +99,7 @@
 	return true
 }
 
-// Return puts the subject back in service.
+// Return puts the subject back in service with a growing traffic share.
 func (s *Subject) Return(now time.Time) {
 	s.ejection.ejected = false
 	s.ejection.returned = now
@@ -108,8 +108,8 @@
 	s.forget()
 }
 
-// Restore puts the subject back in service with its whole share, on proof from
-// elsewhere that it is well.
+// Restore puts the subject back in service with its full traffic share, after other evidence has
+// shown that it is healthy.
 func (s *Subject) Restore(now time.Time) {
 	s.ejection.ejected = false
 	s.ejection.serving = now
@@ -117,8 +117,8 @@
 	s.forget()
 }
 
-// Share returns the part of its work that the subject should get, from 0 to 1:
-// after a return it grows to 1 over the ramp.
+// Share returns the fraction of its work that the subject should receive, from 0 to 1. After a
+// reinstatement it grows to 1 over Rules.Ramp.
 func (s *Subject) Share(now time.Time) float64 {
 	if s.ejection.ejected {
 		return 0
--- a/internal/detect/ejection_test.go
+++ b/internal/detect/ejection_test.go
@@ -7,14 +7,14 @@
 	"github.com/tideliftd/tidelift/internal/detect"
 )
 
-// TestFailedProbationsLengthenTheEjection guards against a sick backend server that comes back every few seconds:
-// an earlier return, however long ago, shortens the first ejection after it alone.
+// TestFailedProbationsLengthenTheEjection guards against an unhealthy backend server that returns every
+// few seconds because an earlier reinstatement keeps shortening its ejections.
 func TestFailedProbationsLengthenTheEjection(t *testing.T) {
 	rules := detect.Careful()
 	failed := detect.Observation{Outcome: detect.TimedOut, Took: deadline}
 	tests := []struct {
 		name   string
-		before func(*detect.Subject) time.Time // returns when it is ejected anew
+		before func(*detect.Subject) time.Time // returns the time of the next ejection
 	}{
 		{"it was never ejected", func(*detect.Subject) time.Time { return epoch }},
 		{"it returned two minutes ago", func(s *detect.Subject) time.Time {
@@ -44,8 +44,8 @@
 	}
 }
 
-// TestTimeInServiceShortensTheEjection guards against an ejection that stays long after a backend server has been
-// well: each minute in service takes one doubling back, and time that it spent ejected none.
+// TestTimeInServiceShortensTheEjection guards against long ejections of a backend server that has been
+// healthy: each minute in service removes one doubling, time spent ejected removes none.
 func TestTimeInServiceShortensTheEjection(t *testing.T) {
 	rules := detect.Careful()
 	s := detect.NewSubject(rules)
@@ -63,6 +63,6 @@
 	s.Restore(now)
 	s.Eject(now)
 	if got, want := s.EjectedFor(now), 4*rules.EjectionTime; got != want {
-		t.Fatalf("at once after that for %s, want %s", got, want)
+		t.Fatalf("immediately after that ejected for %s, want %s", got, want)
 	}
 }
--- a/internal/detect/evidence.go
+++ b/internal/detect/evidence.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// evidence is the cumulative sum for one kind of badness.
+// evidence is the cumulative sum for one kind of bad observation: failures or slow responses.
 type evidence struct {
-	sum      float64   // up to the interval before the present one
-	net      float64   // what the present interval adds, not below -sum
-	interval time.Time // when the present interval began
+	sum      float64   // sum up to the start of the current interval
+	net      float64   // contribution of the current interval, at least -sum
+	interval time.Time // start of the current interval
 	since    time.Time // when the sum last left zero
 	count    float64   // observations since then
-	bad      float64   // the bad ones among them
-	expected float64   // how many would be bad if the subject were like the others
+	bad      float64   // bad observations since then
+	expected float64   // bad observations expected since then at the baseline rate
 	seen     float64   // all observations
-	rate     float64   // share of bad observations in the recent past
-	longRate float64   // the same, further back
+	rate     float64   // recent rate of bad observations
+	longRate float64   // rate of bad observations over a longer period
 }
 
-// rateWeight and longRateWeight are the weight of the newest observation in the recent and in
-// the longer rate, as one part in so many. Measured together with Rules, not alone.
+// rateWeight and longRateWeight are the divisors of the exponential moving averages rate and
+// longRate: a new observation has a weight of 1/rateWeight or 1/longRateWeight.
 const (
 	rateWeight     = 10
 	longRateWeight = 100
 )
 
-// add takes one observation. The rate normal is the others'.
+// add records one observation. normal is the baseline rate.
 func (e *evidence) add(now time.Time, bad bool, normal, sickShare float64, rules Rules) {
 	e.seen++
 	e.rate += (indicator(bad) - e.rate) / math.Min(e.seen, rateWeight)
@@ -46,18 +46,17 @@
 	e.net = math.Max(e.net+logRatio(bad, normal, sickShare), -e.sum)
 }
 
-// total is the cumulative sum with the present interval's part.
+// total returns the cumulative sum including the current interval, whose part is capped.
 func (e *evidence) total(rules Rules) float64 {
 	return math.Max(0, e.sum+math.Min(e.net, rules.IntervalCap))
 }
 
-// normal is what the rate says to others about what is normal: the higher of
-// the recent past, in which a cause that all share shows first, and of further
-// back, which is steadier.
+// normal returns the rate that the subject contributes to the baseline of others: the higher of the
+// recent rate, which shows a shared cause first, and the longer-term rate, which is more stable.
 func (e *evidence) normal() float64 { return math.Max(e.rate, e.longRate) }
 
-// convinces reports whether the evidence is enough to call the subject sick. The
-// others' sum is taken off: what they all show is no fault of the subject.
+// convinces reports whether the evidence suffices for an unhealthy verdict. The median sum of the
+// other servers is subtracted, since a shared cause is not a fault of the subject.
 func (e *evidence) convinces(now time.Time, normal, othersSum float64, rules Rules) bool {
 	return e.total(rules)-othersSum >= rules.Threshold &&
 		e.bad >= rules.MinBad &&
@@ -66,8 +65,8 @@
 		e.deviates(rules)
 }
 
-// deviates reports whether there are more bad observations than chance would put
-// there, by the deviations that the rules ask for.
+// deviates reports whether the bad observations exceed the expected number by Rules.Deviations
+// standard deviations.
 func (e *evidence) deviates(rules Rules) bool {
 	return e.deviatesFrom(e.expected/e.count, rules)
 }
@@ -84,8 +83,7 @@
 	return 0
 }
 
-// logRatio is the logarithm of how much likelier the observation is if the
-// subject is sick than if it is like the others.
+// logRatio returns the log-likelihood ratio of the observation: unhealthy against baseline.
 func logRatio(bad bool, normal, sickShare float64) float64 {
 	sick := normal + (1-normal)*sickShare
 	if bad {
--- a/internal/detect/explain.go
+++ b/internal/detect/explain.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Explanation is the evidence behind a subject's state, for operators.
+// Explanation describes a subject's state and the evidence for it, for operators.
 type Explanation struct {
 	State    State         `json:"state"`
 	Cause    Cause         `json:"cause"`
@@ -13,23 +13,23 @@
 	Since    time.Duration `json:"since"`
 	Observed int64         `json:"observed"`
 	Failures int64         `json:"failures"`
-	// FailureRate and SlowRate are recent shares; OthersFailure and OthersSlow
-	// are the service's others'.
+	// FailureRate and SlowRate are the subject's recent rates; OthersFailure and OthersSlow are
+	// the baseline rates.
 	FailureRate   float64 `json:"failure_rate"`
 	OthersFailure float64 `json:"others_failure"`
 	SlowRate      float64 `json:"slow_rate"`
 	OthersSlow    float64 `json:"others_slow"`
-	// Typical is the time the subject takes, OthersTypical the others'.
+	// Typical is the subject's median response time, OthersTypical that of the baseline.
 	Typical       time.Duration `json:"typical"`
 	OthersTypical time.Duration `json:"others_typical"`
-	// FailureSum and SlowSum are the cumulative sums; Threshold is the rule's.
+	// FailureSum and SlowSum are the cumulative sums; Threshold is that of the rules.
 	FailureSum float64 `json:"failure_sum"`
 	SlowSum    float64 `json:"slow_sum"`
 	Threshold  float64 `json:"threshold"`
 }
 
-// Explain returns the evidence: what decided, for a subject that is ejected, or
-// what there is now.
+// Explain returns the evidence that caused the ejection if the subject is ejected, and the current
+// evidence otherwise.
 func (s *Subject) Explain(now time.Time) Explanation {
 	x := s.evidenceNow()
 	if s.ejection.ejected {
@@ -47,7 +47,7 @@
 	return x
 }
 
-// evidenceNow returns the rates, times and sums as they stand.
+// evidenceNow returns the current rates, latencies and sums.
 func (s *Subject) evidenceNow() Explanation {
 	return Explanation{
 		FailureRate:   s.failure.rate,
@@ -62,7 +62,7 @@
 	}
 }
 
-// rule names the rule that decided the state.
+// rule describes the rule that determines the state.
 func (s *Subject) rule(now time.Time, x Explanation) string {
 	switch x.State {
 	case Ejected:
--- a/internal/detect/outcome.go
+++ b/internal/detect/outcome.go
@@ -2,8 +2,8 @@
 
 import "net/http"
 
-// FromAnswer returns what an answer's head says of the backend server. It says
-// false if it says nothing: a 503 with Retry-After sheds load.
+// FromAnswer returns the outcome that the status and header of a response indicate. It returns
+// false if they are no evidence about the backend server: a 503 with Retry-After is load shedding.
 func FromAnswer(response *http.Response) (Outcome, bool) {
 	switch response.StatusCode {
 	case http.StatusInternalServerError, http.StatusBadGateway, http.StatusGatewayTimeout:
--- a/internal/detect/summary.go
+++ b/internal/detect/summary.go
@@ -5,20 +5,19 @@
 	"time"
 )
 
-// Summary is how one backend server does while another is suspected.
+// Summary describes one backend server while another is suspected.
 type Summary struct {
-	// Good says that it gave an answer in good time since the suspicion began.
+	// Good reports that the server gave a response that was not slow since the suspicion began.
 	Good bool `json:"good"`
-	// Suspect says that it has gathered half the evidence to be called sick
-	// itself.
+	// Suspect reports that the server's own evidence has reached half the threshold.
 	Suspect bool `json:"suspect"`
-	// Count and Bad are its own observations, and the bad ones among them, for
-	// as long as it has been under any suspicion.
+	// Count and Bad are the numbers of the server's observations, and of the bad ones among them,
+	// since its own evidence last left zero.
 	Count float64 `json:"count"`
 	Bad   float64 `json:"bad"`
 }
 
-// suspicion returns the stronger evidence against the subject.
+// suspicion returns the stronger of the two kinds of evidence.
 func (s *Subject) suspicion() *evidence {
 	if s.slow.total(s.rules) > s.failure.total(s.rules) {
 		return &s.slow
@@ -26,10 +25,10 @@
 	return &s.failure
 }
 
-// SuspectedSince returns since when the subject is under suspicion.
+// SuspectedSince returns when the current suspicion of the subject began.
 func (s *Subject) SuspectedSince() time.Time { return s.suspicion().since }
 
-// Summary returns how the subject has done since then.
+// Summary returns how the subject has performed since the given time.
 func (s *Subject) Summary(since time.Time) Summary {
 	e := s.suspicion()
 	summary := Summary{Good: s.lastGood.After(since)}
@@ -41,14 +40,13 @@
 	return summary
 }
 
-// idleFactor is how many times the usual evidence is needed if none of the others was asked
-// anything meanwhile. Source: at ten requests a minute that took a fourth failure in 1 of 20
-// simulated runs (docs/design/0002-detection.md).
+// idleFactor multiplies the required evidence if none of the other servers received a request
+// during the suspicion, so that there is nothing to compare with.
 const idleFactor = 2
 
-// IsOutlier reports whether the subject does worse than the others since it came under suspicion:
-// at least one of them did well, more did well than are suspects themselves, and the bad answers
-// that they gave would not make the subject's likely.
+// IsOutlier reports whether the subject performs worse than the others since its suspicion began:
+// at least one of them did well, more did well than are suspected themselves, and the subject's bad
+// observations are not explained by the rate of theirs.
 func (s *Subject) IsOutlier(others []Summary) bool {
 	e := s.suspicion()
 	good, suspect := 0, 0
@@ -61,7 +59,7 @@
 			suspect++
 		case other.Good:
 			good++
-			count += e.count / 2 // it is taken to have given half as many answers, all good
+			count += e.count / 2 // assumes half as many responses as the subject gave, all good
 		}
 	}
 	if good+suspect == 0 && count == 0 {
--- a/internal/detect/told.go
+++ b/internal/detect/told.go
@@ -2,19 +2,19 @@
 
 import "slices"
 
-// minTold is of how many others something has to be told. Not measured: the middle of three is not decided by one
-// that is sick.
+// minTold is the minimum number of other servers with a reported rate: the median of three is not
+// decided by a single unhealthy one.
 const minTold = 3
 
-// Told is what the sidecars of a service's backend servers say of these: the share of the recent requests that
-// failed, whoever sent them. An observer that sends each of many backend servers few requests sees too little to
-// compare them by itself.
+// Told holds the failure rates of a service's backend servers as their sidecars report them: the
+// fraction of recent requests, from all senders, that failed. It serves observers that send each of
+// many backend servers too few requests to compare them.
 type Told struct {
 	byName map[string]float64
 	sorted []float64
 }
 
-// NewTold returns what was told, by the name of the backend server.
+// NewTold returns the reported rates for a map keyed by the name of the backend server.
 func NewTold(shares map[string]float64) Told {
 	t := Told{byName: shares, sorted: make([]float64, 0, len(shares))}
 	for _, share := range shares {
@@ -24,8 +24,8 @@
 	return t
 }
 
-// Complete returns the baseline of that backend server, with the share of failures that is told of the others in
-// place of one that the observer does not know. The rest stays unknown.
+// Complete returns the baseline of the named backend server. If the observer does not know it, the
+// failure rate is the median of those reported for the others; the other fields stay unknown.
 func (t Told) Complete(name string, b Baseline) Baseline {
 	own, among := t.byName[name]
 	others := len(t.sorted)
--- a/internal/detect/told_test.go
+++ b/internal/detect/told_test.go
@@ -7,8 +7,8 @@
 	"github.com/tideliftd/tidelift/internal/detect"
 )
 
-// TestToldFailuresCompleteABaseline guards against failures that all backend servers share and that are held
-// against each, since the observer has seen too little of them itself.
+// TestToldFailuresCompleteABaseline guards against a shared failure rate that is attributed to each
+// backend server because the observer has too few observations of its own.
 func TestToldFailuresCompleteABaseline(t *testing.T) {
 	shared := map[string]float64{"a": 0.9, "b": 0.3, "c": 0.25, "d": 0.2, "e": 0}
 	known := detect.Baseline{Failure: 0.01, Typical: time.Second}
@@ -18,10 +18,10 @@
 		own  detect.Baseline
 		want detect.Baseline
 	}{
-		{"nothing is told", nil, detect.Baseline{}, detect.Baseline{}},
-		{"too few are told of", map[string]float64{"a": 0.5, "b": 0.5, "c": 0.5}, detect.Baseline{}, detect.Baseline{}},
-		{"the middle of the others is told", shared, detect.Baseline{}, detect.Baseline{Failure: 0.25}},
-		{"the observer knows by itself", shared, known, known},
+		{"no reports", nil, detect.Baseline{}, detect.Baseline{}},
+		{"too few reports", map[string]float64{"a": 0.5, "b": 0.5, "c": 0.5}, detect.Baseline{}, detect.Baseline{}},
+		{"median of the other reports", shared, detect.Baseline{}, detect.Baseline{Failure: 0.25}},
+		{"own observations suffice", shared, known, known},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -31,7 +31,7 @@
 			}
 			read, err := detect.ParseBaseline(got.Encode())
 			if err != nil || read != got {
-				t.Fatalf("written and read it is %+v, %v", read, err)
+				t.Fatalf("encoded and parsed: %+v, %v", read, err)
 			}
 		})
 	}
