--- a/internal/suspicion/hanging.go
+++ b/internal/suspicion/hanging.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// hanging is what the requests of a backend server show while they run: whether any takes
-// longer than it should, and no later one has been answered well.
+// hanging tracks whether a backend server appears to hang: a request runs for longer than it
+// should, and no later request has succeeded.
 type hanging struct {
-	slowRunning  int       // slow requests that still run
-	slowUntil    time.Time // until when a slow one that has ended counts
-	lastSlowFrom time.Time // when the latest request that was slow began
-	lastGoodFrom time.Time // when the latest request that was answered well began
+	slowRunning  int       // slow requests still running
+	slowUntil    time.Time // end of the period in which an ended slow request still counts
+	lastSlowFrom time.Time // start of the latest slow request
+	lastGoodFrom time.Time // start of the latest successful request
 }
 
-// SlowRequest records that a running request which began then has outlasted nearly all others
-// of its route.
+// SlowRequest records that a running request, started at the given time, has exceeded its route's
+// slow limit.
 func (s *Suspicion) SlowRequest(began time.Time) {
 	s.hanging.slowRunning++
 	if began.After(s.hanging.lastSlowFrom) {
@@ -20,8 +20,9 @@
 	}
 }
 
-// SlowRequestEnded records that a slow request which began then has ended. It counts for as
-// long again as it ran: after that a request has to find out, where nothing else does.
+// SlowRequestEnded records the end of a slow request that started at the given time. It continues
+// to count for as long as it ran; after that a new request may determine whether the backend server
+// still hangs.
 func (s *Suspicion) SlowRequestEnded(now, began time.Time) {
 	s.hanging.slowRunning--
 	if until := now.Add(now.Sub(began)); until.After(s.hanging.slowUntil) {
@@ -29,15 +30,14 @@
 	}
 }
 
-// Hanging reports whether a request is slow, or was a moment ago, and no later one has been
-// answered well. A request that hangs shows that long before it ends; whatever is sent after
-// it may hang too.
+// Hanging reports whether a request is slow, or was recently, and no later request has succeeded. It
+// detects a hang long before the slow request ends; requests sent after it may hang as well.
 func (s *Suspicion) Hanging(now time.Time) bool {
 	counts := s.hanging.slowRunning > 0 || now.Before(s.hanging.slowUntil)
 	return counts && s.hanging.lastSlowFrom.After(s.hanging.lastGoodFrom)
 }
 
-// recordGood records that a request which began then was answered well.
+// recordGood records the success of a request that started at the given time.
 func (h *hanging) recordGood(began time.Time) {
 	if began.After(h.lastGoodFrom) {
 		h.lastGoodFrom = began
--- a/internal/suspicion/suspicion.go
+++ b/internal/suspicion/suspicion.go
@@ -1,133 +1,126 @@
-// Package suspicion decides whether a backend server is passed over for a moment, at the first
-// sign of failing.
+// Package suspicion decides whether a backend server is avoided for a short time at the first sign
+// of failure.
 //
-// Package detect weighs evidence and takes seconds, since what it decides takes a backend
-// server out of service. Suspicion takes nothing out of service: requests go where one has
-// just succeeded, a few idempotent ones find out whether the backend server is well again, and
-// a request that nobody else takes is sent all the same.
+// Package detect collects evidence for seconds, since its verdict takes a backend server out of
+// service. Suspicion takes none out of service: requests prefer backend servers that have recently
+// succeeded, a few idempotent requests probe the suspected one, and a request that no other backend
+// server accepts is sent to it anyway.
 //
-// It also knows whether the backend server seems to hang. Requests that must not run twice
-// are best sent elsewhere then, long before the slow one ends.
+// The package also detects a backend server that appears to hang, long before the slow request
+// ends. Non-idempotent requests should then be sent elsewhere.
 //
-// A Suspicion is what is held against one backend server. It is given outcomes and the time; it
-// has no clock, goroutine or socket. The sidecar's task owns it; which requests a suspected
-// backend server takes is in package admission.
+// A Suspicion holds the state of one backend server. It takes outcomes and the time; it has no
+// clock, goroutine or socket. The sidecar's task owns it. Package admission decides which requests
+// a suspected backend server accepts.
 //
 // # Usage
 //
 //	s := suspicion.New()
-//	s.RecordFailure(now, suspicion.Broken)
-//	if s.Suspected() && s.MayProbe(now) { s.ProbeSent(now) }
-//	s.RecordGood(now, began)
+//	s.RecordFailure(now, suspicion.BrokenConnectionWeight)
+//	if s.Suspected() && s.MayProbe(now) { s.RecordProbe(now) }
+//	s.RecordSuccess(now, startedAt)
 //
 // # Rules
 //
-//   - Bad outcomes add their weights, a good answer takes most of the sum away. From a sum of 1
-//     on the backend server is suspected.
-//   - While it is suspected, an idempotent request is sent as a probe 200 ms after it began, and
-//     after a failed probe twice as long as before it, up to a second. A good one is followed
-//     by the next at once. Where no idempotent request comes, another is sent after two seconds.
-//   - Three good probes in a row end the suspicion. After a broken connection a probe counts as
-//     good once it has run for 40 ms.
-//   - The backend server seems to hang (hanging.go) while a request is slow there, or was a
-//     moment ago, and no later one has been answered well.
+//   - Each bad outcome adds its weight to a sum, and each success removes most of the sum. The
+//     backend server is suspected once the sum reaches 1.
+//   - During suspicion an idempotent request is sent as a probe after 200 ms. Each failed probe
+//     doubles the pause before the next one, up to one second; a successful probe is followed by
+//     the next one without a pause. If no idempotent request arrives, any other request may probe
+//     after two seconds.
+//   - Three consecutive successful probes end the suspicion. After a broken connection a probe
+//     counts as successful once it has run for 40 ms.
+//   - The backend server appears to hang (hanging.go) while a request is slow, or was recently, and
+//     no later request has succeeded.
 package suspicion
 
 import "time"
 
-// The weights of bad outcomes; a sum of suspectedFrom makes a backend server suspected.
+// Weights of bad outcomes. A backend server is suspected once their sum reaches suspectedFrom.
 const (
-	// Broken is the weight of a connection that broke or an answer that was spoilt: one is
-	// enough. Source: a backend server that is well breaks less than one in a thousand. Of
-	// 2,750 requests 585 met one that broke six in seven connections for nine seconds, while
-	// the evidence of package detect took seconds.
+	// Broken is the weight of a broken connection or a corrupt response. One suffices: healthy
+	// backend servers almost never cause it.
 	Broken = 1.0
-	// Failed is the weight of an answer that says that the backend server failed. Source:
-	// about one in eighty does at one that is well, so that two in a row are chance once in
-	// six thousand.
+	// Failed is the weight of a response that indicates a failure of the backend server. Healthy
+	// backend servers fail occasionally, but rarely twice in a row.
 	Failed = 0.5
-	// Overdue is the weight of a request that takes far longer than others. Not measured: as
-	// much as a failed answer, so that two are enough.
+	// Overdue is the weight of an overdue request.
 	Overdue = 0.5
-	// Slow is the weight of a good answer that took longer than its route's target, or to a
-	// request that was overdue before. Source: at a backend server that is well a few in a
-	// hundred take that long, three in a row hardly ever.
+	// Slow is the weight of a success that exceeded its route's latency target, or of a success
+	// after the request was overdue.
 	Slow = 0.4
 
 	// suspectedFrom is the sum from which a backend server is suspected.
 	suspectedFrom = 1.0
-	// keptByGood is the part of the sum that a good answer leaves. Not measured: a failed
-	// answer counts 0.2 after a good one, so that failures count only close to each other.
+	// keptByGood is the factor that a success applies to the sum, so that failures add up only if
+	// they are close to each other.
 	keptByGood = 0.4
 )
 
-// The shares of failed answers of the other backend servers up to which one here has its whole
-// weight, and from which it has none. Source: a backend server that is well fails about one
-// answer in eighty; where a called service fails for two requests in three and a third of the
-// requests call it, the share of all is a fifth.
+// Failure rates of the other backend servers. Up to usualFailing an error has its full weight; from
+// commonFailing on it has none, since the cause is likely shared.
 const (
 	usualFailing  = 0.03
 	commonFailing = 0.15
 )
 
 const (
-	// goodProbes is how many good probes in a row end the suspicion. Source: a backend server
-	// that fails six in seven for nine seconds is probed some ten times; with two in a row one
-	// such time in four ended the suspicion too early, with three one in thirty.
+	// goodProbes is the number of consecutive successful probes that end the suspicion. A backend
+	// server that fails most requests passes two by chance too often.
 	goodProbes = 3
-	// survivedAfter is how long a probe has to run to outlive connections that break. Source:
-	// one that a failing backend server breaks is broken within milliseconds; a reservation's
-	// request comes a round trip after its slot was granted.
+	// survivedAfter is how long a probe has to run to count as successful after a broken
+	// connection. A failing backend server breaks connections within milliseconds; a reservation's
+	// request arrives one round trip after its slot was granted.
 	survivedAfter = 40 * time.Millisecond
-	// firstPause and longestPause bound the time between probes; each that fails doubles it.
-	// Source: failing probes are retries, which are a fifth of the requests at most; a server
-	// that is well again should not wait for seconds.
+	// firstPause and longestPause bound the time between probes; each failed probe doubles it. Failed
+	// probes consume the retry budget, and a recovered server should not wait for seconds.
 	firstPause   = 200 * time.Millisecond
 	longestPause = time.Second
-	// probeLasts is how long one probe keeps others from being sent. Not measured: most
-	// requests are answered within it, and it is no longer than longestPause.
+	// probeLasts is how long a probe prevents further probes from being sent. It must not exceed
+	// longestPause.
 	probeLasts = time.Second
-	// anyProbeAfter is how long a probe may be due before one that must not run twice makes it,
-	// anyProbeAgain the same after a good probe. Source: a service of which all requests are
-	// such must get its backend servers back; where some are idempotent one comes within it.
+	// anyProbeAfter is how long a probe may be due before a non-idempotent request may be the
+	// probe; anyProbeAgain is the same after a successful probe. Without it a service that has only
+	// non-idempotent requests would never regain its backend servers.
 	anyProbeAfter = 2 * time.Second
 	anyProbeAgain = 500 * time.Millisecond
 )
 
-// FailureWeight is the weight of an answer that says that the backend server failed where that
-// share of the others' answers says so too. What fails everywhere is a service that they all
-// call, or the requests; suspecting them all would leave nobody to serve.
+// FailureWeight returns the weight of a response that indicates a failure of the backend server,
+// given the failure rate of the others. A failure that all backend servers share is caused by the
+// requests or by a service that they all call; suspecting every backend server would leave none to
+// serve.
 func FailureWeight(othersFailing float64) float64 {
 	own := (commonFailing - othersFailing) / (commonFailing - usualFailing)
 	return Failed * max(0, min(1, own))
 }
 
-// Suspicion is what is held against one backend server.
+// Suspicion is the suspicion state of one backend server.
 type Suspicion struct {
 	sum       float64
-	slow      float64 // the part of the sum that is of slow outcomes
+	slow      float64 // part of the sum from slow outcomes
 	broke     bool    // the last bad outcome was a broken connection
 	suspected bool
-	good      int // good probes in a row
+	good      int // consecutive successful probes
 	pause     time.Duration
-	probeAt   time.Time // from when on the next probe may be sent
-	probed    time.Time // when a probe was sent of which nothing is known yet; else zero
-	survived  int       // probes that were counted before their answers came
+	probeAt   time.Time // earliest time of the next probe
+	probed    time.Time // time of the last probe while its outcome is unknown; zero otherwise
+	survived  int       // probes counted as successful before their responses arrived
 	hanging   hanging
 }
 
-// New returns the suspicion of a backend server that nothing is held against.
+// New returns a Suspicion without recorded outcomes.
 func New() *Suspicion { return &Suspicion{} }
 
-// RecordSlowness records an outcome of that weight which came late or not at all, and reports
-// whether suspicion begins with it.
+// RecordSlowness records a late or missing response with the given weight and reports whether
+// suspicion begins with it.
 func (s *Suspicion) RecordSlowness(now time.Time, weight float64) bool {
 	s.slow += weight
 	return s.RecordFailure(now, weight)
 }
 
-// RecordFailure records a bad outcome of that weight and reports whether suspicion begins with
-// it.
+// RecordFailure records a bad outcome with the given weight and reports whether suspicion begins
+// with it.
 func (s *Suspicion) RecordFailure(now time.Time, weight float64) bool {
 	s.sum += weight
 	s.broke = weight >= Broken
@@ -145,15 +138,15 @@
 	return true
 }
 
-// pauseProbes puts the next probe off, after which good ones are counted anew.
+// pauseProbes delays the next probe and resets the count of successful ones.
 func (s *Suspicion) pauseProbes(now time.Time, pause time.Duration) {
 	s.good = 0
 	s.pause = pause
 	s.probeAt = now.Add(pause)
 }
 
-// RecordGood records a good answer to a request that began then and reports whether suspicion
-// ends with it.
+// RecordGood records a success of a request that started at the given time and reports whether
+// suspicion ends with it.
 func (s *Suspicion) RecordGood(now, began time.Time) bool {
 	s.sum *= keptByGood
 	s.slow *= keptByGood
@@ -162,14 +155,14 @@
 		return false
 	}
 	if s.survived > 0 {
-		s.survived-- // it was counted when it had survived
+		s.survived-- // already counted by ProbeSurvived
 		return false
 	}
 	return s.countGood(now)
 }
 
-// ProbeSurvived counts a probe that has run for long enough, if the last bad outcome was a
-// broken connection, and reports whether suspicion ends with it.
+// ProbeSurvived counts the current probe as successful if it has run for long enough and the last bad
+// outcome was a broken connection. It reports whether suspicion ends with it.
 func (s *Suspicion) ProbeSurvived(now time.Time) bool {
 	if !s.suspected || !s.broke || s.probed.IsZero() || now.Sub(s.probed) < survivedAfter {
 		return false
@@ -178,7 +171,7 @@
 	return s.countGood(now)
 }
 
-// countGood counts a good probe and reports whether suspicion ends with it.
+// countGood counts a successful probe and reports whether suspicion ends with it.
 func (s *Suspicion) countGood(now time.Time) bool {
 	s.probed = time.Time{}
 	s.good++
@@ -195,19 +188,19 @@
 // Suspected reports whether the backend server is suspected.
 func (s *Suspicion) Suspected() bool { return s.suspected }
 
-// MostlySlow reports whether most of what is held against the backend server came late or not
-// at all. An idempotent request loses little there, since a hedge of it is sent elsewhere
-// before it is too late; where requests fail at once each costs a retry.
+// MostlySlow reports whether most of the sum is from late or missing responses. An idempotent
+// request loses little at such a backend server, since it is hedged elsewhere in time; where
+// requests fail immediately, each failure costs a retry.
 func (s *Suspicion) MostlySlow() bool { return 2*s.slow > s.sum }
 
-// GoodInARow returns how many good probes in a row there were.
+// GoodInARow returns the number of consecutive successful probes.
 func (s *Suspicion) GoodInARow() int { return s.good }
 
 // MayProbe reports whether an idempotent request may be sent as a probe.
 func (s *Suspicion) MayProbe(now time.Time) bool { return !now.Before(s.probeAt) }
 
-// MayProbeWithAny reports whether no idempotent request has come for so long that any other may
-// be the probe.
+// MayProbeWithAny reports whether a probe has been due for so long without an idempotent request
+// that any request may be the probe.
 func (s *Suspicion) MayProbeWithAny(now time.Time) bool {
 	after := anyProbeAfter
 	if s.good > 0 {
@@ -216,13 +209,13 @@
 	return !now.Before(s.probeAt.Add(after))
 }
 
-// ProbeSent records that a probe was given a slot.
+// ProbeSent records that a probe received a slot.
 func (s *Suspicion) ProbeSent(now time.Time) {
 	s.probeAt = now.Add(probeLasts)
 	s.probed = now
 }
 
-// RetryAfter returns when whoever is refused for the suspicion may come back.
+// RetryAfter returns how long a caller that is refused because of the suspicion should wait.
 func (s *Suspicion) RetryAfter(now time.Time) time.Duration {
 	return max(firstPause, s.probeAt.Sub(now))
 }
--- a/internal/suspicion/suspicion_test.go
+++ b/internal/suspicion/suspicion_test.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// TestProbesAreFewAndNeverStop sends a probe whenever one may be sent, to a
-// backend server that fails all of them.
+// TestProbesAreFewAndNeverStop guards against probes that follow a failed one too soon, and against a
+// backend server that is no longer probed after many failures.
 func TestProbesAreFewAndNeverStop(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := suspicion.New()
@@ -59,12 +59,12 @@
 			now = now.Add(time.Duration(rapid.IntRange(1, 50).Draw(t, "ms")) * time.Millisecond)
 			if !s.MayProbe(now) {
 				if now.Sub(last) > 2*time.Second {
-					t.Fatalf("no probe for %s", now.Sub(last))
+					t.Fatalf("no probe allowed for %s", now.Sub(last))
 				}
 				continue
 			}
 			if last != epoch && now.Sub(last) < 200*time.Millisecond {
-				t.Fatalf("two probes within %s", now.Sub(last))
+				t.Fatalf("two probes sent within %s", now.Sub(last))
 			}
 			last = now
 			s.ProbeSent(now)
@@ -73,8 +73,8 @@
 	})
 }
 
-// TestAProbeThatRunsIsCountedOnce counts a probe when it was not broken at once,
-// and not again when its answer comes.
+// TestAProbeThatRunsIsCountedOnce guards against a probe that is counted when it has outlived broken
+// connections and again when its response arrives.
 func TestAProbeThatRunsIsCountedOnce(t *testing.T) {
 	s := suspicion.New()
 	s.RecordFailure(epoch, suspicion.Broken)
@@ -82,7 +82,7 @@
 	for range 2 {
 		s.ProbeSent(now)
 		if s.ProbeSurvived(now.Add(10 * time.Millisecond)) {
-			t.Fatal("a probe counts before it has survived")
+			t.Fatal("probe counted before its minimum run time")
 		}
 		now = now.Add(50 * time.Millisecond)
 		s.ProbeSurvived(now)
@@ -90,16 +90,16 @@
 	s.RecordGood(now, now)
 	s.RecordGood(now, now)
 	if !s.Suspected() {
-		t.Fatal("two probes were counted as four")
+		t.Fatal("two probes counted as four")
 	}
 	s.ProbeSent(now)
 	if !s.ProbeSurvived(now.Add(50 * time.Millisecond)) {
-		t.Fatal("the third probe does not end the suspicion")
+		t.Fatal("third probe did not end the suspicion")
 	}
 }
 
-// TestOnlyBreakingIsOutlived leaves a failure that comes as an answer to the
-// answers: a probe that runs proves nothing of it.
+// TestOnlyBreakingIsOutlived guards against ending a suspicion that failed responses caused because
+// probes run for some time; only a response shows success then.
 func TestOnlyBreakingIsOutlived(t *testing.T) {
 	s := suspicion.New()
 	s.RecordFailure(epoch, suspicion.Failed)
@@ -108,91 +108,91 @@
 		now := epoch.Add(time.Duration(i) * time.Second)
 		s.ProbeSent(now)
 		if s.ProbeSurvived(now.Add(time.Second)) {
-			t.Fatal("trusted without an answer")
+			t.Fatal("suspicion ended without a response")
 		}
 	}
 }
 
-// TestHanging holds that a slow request shows hanging at once, and that a good answer to a
-// later one alone takes it back.
+// TestHanging guards against a slow request that does not show hanging immediately, and against a
+// success other than that of a later request ending it.
 func TestHanging(t *testing.T) {
 	s := suspicion.New()
 	if s.Hanging(epoch) {
-		t.Fatal("it hangs without a late request")
+		t.Fatal("hanging without a slow request")
 	}
 	began := epoch.Add(time.Second)
 	s.SlowRequest(began)
 	s.RecordGood(began.Add(time.Second), began.Add(-time.Millisecond))
 	now := began.Add(2 * time.Second)
 	if !s.Hanging(now) {
-		t.Fatal("a good answer to an earlier request takes it back")
+		t.Fatal("not hanging after the success of an earlier request")
 	}
 	s.RecordGood(began.Add(2*time.Second), began.Add(time.Millisecond))
 	if s.Hanging(now) {
-		t.Fatal("it hangs after a good answer to a later request")
+		t.Fatal("hanging after the success of a later request")
 	}
 	s.SlowRequest(began)
 	if s.Hanging(now) {
-		t.Fatal("an old request that is late at last shows hanging")
+		t.Fatal("hanging because of a slow request older than the last success")
 	}
 }
 
-// TestWithoutRepeatableRequestsOthersFindOut leaves a service with requests alone
-// that must not run twice.
+// TestWithoutRepeatableRequestsOthersFindOut guards against a permanent suspicion of a backend server
+// whose service has only non-idempotent requests.
 func TestWithoutRepeatableRequestsOthersFindOut(t *testing.T) {
 	s := suspicion.New()
 	s.RecordFailure(epoch, suspicion.Broken)
 	if s.MayProbeWithAny(epoch.Add(time.Second)) {
-		t.Fatal("the first second is not for them")
+		t.Fatal("a non-idempotent request may probe within the first second")
 	}
 	now := epoch
 	for range 3 {
 		now = now.Add(5 * time.Second)
 		if !s.MayProbeWithAny(now) {
-			t.Fatal("nobody may find out")
+			t.Fatal("no request may probe")
 		}
 		s.ProbeSent(now)
 		s.RecordGood(now, now)
 	}
 	if s.Suspected() {
-		t.Fatal("three good answers are not enough")
+		t.Fatal("still suspected after three successes")
 	}
 }
 
-// TestMostlyLate tells a backend server that hangs from one that fails at once.
+// TestMostlyLate guards against confusing a backend server that hangs with one that fails immediately.
 func TestMostlyLate(t *testing.T) {
 	hangs := suspicion.New()
 	hangs.RecordSlowness(epoch, suspicion.Overdue)
 	hangs.RecordSlowness(epoch, suspicion.Overdue)
 	if !hangs.Suspected() || !hangs.MostlySlow() {
-		t.Fatal("one that hangs twice is taken for one that fails at once")
+		t.Fatal("two overdue requests: not suspected or not mostly slow")
 	}
 	hangs.RecordFailure(epoch, suspicion.Broken)
 	if hangs.MostlySlow() {
-		t.Fatal("one that breaks connections as well is taken for one that only hangs")
+		t.Fatal("mostly slow although connections break as well")
 	}
 	fails := suspicion.New()
 	fails.RecordFailure(epoch, suspicion.Failed)
 	fails.RecordFailure(epoch, suspicion.Failed)
 	if !fails.Suspected() || fails.MostlySlow() {
-		t.Fatal("one that fails at once is taken for one that hangs")
+		t.Fatal("two failures: not suspected or mostly slow")
 	}
 }
 
-// TestHangingDoesNotLast ends a slow request without a good answer after it: nobody but one
-// that must not run twice may be there to find out.
+// TestHangingDoesNotLast guards against a backend server that counts as hanging forever because only
+// non-idempotent requests, which are sent elsewhere, could show otherwise.
 func TestHangingDoesNotLast(t *testing.T) {
 	s := suspicion.New()
 	s.SlowRequest(epoch)
 	ended := epoch.Add(3 * time.Second)
 	if !s.Hanging(ended) {
-		t.Fatal("a request that is late shows nothing")
+		t.Fatal("not hanging while a slow request runs")
 	}
 	s.SlowRequestEnded(ended, epoch)
 	if !s.Hanging(ended.Add(2 * time.Second)) {
-		t.Fatal("it counts for less than it ran")
+		t.Fatal("an ended slow request counted for less time than it ran")
 	}
 	if s.Hanging(ended.Add(4 * time.Second)) {
-		t.Fatal("it counts for longer than it ran")
+		t.Fatal("an ended slow request counted for longer than it ran")
 	}
 }
