--- a/internal/floor/floor.go
+++ b/internal/floor/floor.go
@@ -1,36 +1,38 @@
-// Package floor keeps a service's floor while backend servers are ejected.
+// Package floor keeps the minimum number of a service's backend servers in service while others are
+// ejected.
 //
-// Only a backend server's own sidecar ejects it. Before it does, it must hold leases to keep
-// serving from at least as many other backend servers of the service as the floor says. A backend
-// server that granted one is not ejected itself until the lease has run out. So those that are not
-// ejected are never fewer than the floor, in whatever order they ask, whichever messages are lost,
-// and whether the platform answers or not. What is lost is speed: a backend server that cannot
-// collect leases stays in service.
+// A backend server is ejected only by its own sidecar. Before that, the sidecar must hold leases to
+// keep serving from at least as many other backend servers of the service as the floor requires. A
+// backend server that granted a lease is not ejected itself until the lease has expired. The number
+// of servers that are not ejected therefore never falls below the floor, whatever the order of
+// requests, whichever messages are lost, and whether or not the platform is available. The cost is
+// speed: a backend server that cannot collect leases stays in service.
 //
-// When a backend server is ejected and when it comes back is told in package detect; this
-// package has the step between a verdict and the ejection. A Ledger is the leases of one backend
-// server, owned by its sidecar's task. It is given messages and the time; it has no clock,
-// goroutine or socket.
+// Package detect decides when a backend server is ejected and reinstated; this package covers the
+// step between a verdict and the ejection. A Ledger holds the leases of one backend server and is
+// owned by its sidecar's task. It takes messages and the time; it has no clock, goroutine or socket.
 //
 // # Usage
 //
 //	l := floor.NewLedger(floor.Config{Name: "csepel/lookup-1", Start: start, FirstNumber: rand.Uint64()})
-//	refusal := l.Answer(now, floor.Request{Asker: "csepel/lookup-2", Number: 7})
-//	l.BeginAsking(now, severity)                             // this one wants to be ejected
-//	request := l.NewRequest("obuda/lookup-3")                // to be sent
-//	l.RecordGrant(request.Number, "obuda/lookup-3", askedAt) // the answer
-//	if l.Eject(now, floor) { ... }                           // ejected
-//	if !l.MayStayEjected(now, floor) { ... }                 // at each use: back in service
+//	refusal := l.Answer(now, floor.Request{Requester: "csepel/lookup-2", Number: 7})
+//	l.BeginRequesting(now, severity)                             // before an ejection
+//	request := l.NewRequest("obuda/lookup-3")                    // to be sent to that server
+//	l.RecordGrant(request.Number, "obuda/lookup-3", requestedAt) // if it granted the lease
+//	if l.Eject(now, floor) { ... }                               // ejected
+//	if !l.MayStayEjected(now, floor) { ... }                     // checked at each use: back in service
 //
-// Clocks: each side counts a lease by its own monotonic clock, the holder from
-// before it asked, the giver from when it answered, so the holder's runs out
-// first. DriftPart is left for clocks that run at different speeds. A sidecar
-// that has just started may have given leases before, so it keeps to itself
-// for one lease.
+// # Clocks
 //
-// Messages may be late, doubled or out of order. Each request has a number of
-// its own; an answer counts only for the latest request, and a release undoes
-// only the lease of the request it names.
+// Each side measures a lease with its own monotonic clock, the holder from before it sent the
+// request, the grantor from when it replied, so that the holder's lease expires first. DriftPart
+// allows for clocks that run at different speeds. A sidecar that has just started may have granted
+// leases before the restart, so it requests none for the length of one lease.
+//
+// # Messages
+//
+// Messages may be delayed, duplicated or reordered. Each request has a unique number; a reply counts
+// only for the latest request, and a release applies only to the lease of the request it names.
 package floor
 
 import (
@@ -39,64 +41,63 @@
 )
 
 const (
-	// Lease is how long a lease binds who granted it. Not measured: one who granted a lease and
-	// is lost counts towards the floor for as long, and a sidecar that has just started is not
-	// ejected for as long.
+	// Lease is how long a lease binds its grantor. A grantor that is lost counts towards the floor
+	// for this long, and a sidecar that has just started is not ejected for this long.
 	Lease = 2 * time.Second
-	// RenewEvery is how often a holder asks again. Not measured: two renewals may be lost
-	// before a lease runs out; each costs as many calls as the floor.
+	// RenewEvery is the interval at which a holder renews its leases. Two consecutive renewals may
+	// be lost before a lease expires; each costs as many calls as the floor.
 	RenewEvery = 500 * time.Millisecond
-	// DriftPart is the part of a lease that a holder leaves unused, as one part in so many: 100 ms,
-	// 5%. Not measured: clocks differ by far less over two seconds.
+	// DriftPart is the divisor for the part of a lease that the holder leaves unused to allow for
+	// clock drift: a twentieth, 100 ms.
 	DriftPart = 20
 )
 
-// Refusal says why a lease was not given.
+// Refusal is the reason why a lease was refused.
 type Refusal string
 
-// The refusals.
+// Reasons for a refusal.
 const (
-	// Granted means that the lease was given.
+	// Granted means that the lease was granted.
 	Granted Refusal = ""
-	// RefusedEjected means that the one asked is ejected itself.
+	// RefusedEjected means that the backend server is ejected itself.
 	RefusedEjected Refusal = "ejected"
 	// RefusedUnable means that it is draining, dead or cold.
 	RefusedUnable Refusal = "unable"
-	// RefusedWorse means that it is asking for itself and is worse off.
+	// RefusedWorse means that it requests leases for its own ejection and has precedence.
 	RefusedWorse Refusal = "worse"
 )
 
-// Request asks a backend server for a lease.
+// Request requests a lease from a backend server.
 type Request struct {
-	// Asker is the backend server that wants to be ejected.
+	// Asker is the backend server that requests the lease.
 	Asker string `json:"asker"`
-	// Number tells the asker's requests apart.
+	// Number identifies the request among those of the same requester.
 	Number uint64 `json:"number"`
-	// Severity is how badly it does; see detect.Verdict.
+	// Severity is the requester's severity; see detect.Verdict.
 	Severity float64 `json:"severity"`
-	// SuspectedFor is how long it has been under suspicion, in milliseconds.
+	// SuspectedFor is how long the requester has been under suspicion, in milliseconds.
 	SuspectedFor int64 `json:"suspected_for_ms"`
 }
 
-// Release gives a lease back.
+// Release returns a lease to its grantor.
 type Release struct {
-	// Asker is who held it, Number the request it was given for.
+	// Asker is the holder of the lease, Number that of the request it was granted for.
 	Asker  string `json:"asker"`
 	Number uint64 `json:"number"`
 }
 
-// Config says whose ledger it is.
+// Config configures a Ledger.
 type Config struct {
-	// Name is the backend server's.
+	// Name is the name of the backend server.
 	Name string
 	// Start is when its sidecar started.
 	Start time.Time
-	// FirstNumber is where the numbers of requests begin. It differs from one
-	// start of the sidecar to the next, as a random number does.
+	// FirstNumber is where the numbers of requests begin. It must differ between starts of the
+	// sidecar, for instance by being random.
 	FirstNumber uint64
 }
 
-// Ledger is the leases that one backend server gave and holds.
+// Ledger holds the leases that one backend server has granted and those that it holds.
 type Ledger struct {
 	config   Config
 	next     uint64
@@ -104,12 +105,12 @@
 	ejected  bool
 	asking   bool
 	severity float64
-	given    map[string]given     // by who holds it
-	held     map[string]time.Time // by who gave it: until when it counts
-	asked    map[string]uint64    // by who was asked: the number of the latest request
+	given    map[string]given     // by holder
+	held     map[string]time.Time // expiry by grantor
+	asked    map[string]uint64    // number of the latest request by its recipient
 }
 
-// given is a lease that was given.
+// given is a lease that was granted.
 type given struct {
 	number uint64
 	until  time.Time
@@ -126,11 +127,11 @@
 	}
 }
 
-// SetUnable reports whether the backend server is draining, dead or cold, and so
-// can grant nothing. Leases granted before stay binding.
+// SetUnable sets whether the backend server is draining, dead or cold, and therefore refuses
+// requests. Leases already granted remain binding.
 func (l *Ledger) SetUnable(unable bool) { l.unable = unable }
 
-// Answer answers another backend server that asks for a lease.
+// Answer grants or refuses a lease to another backend server.
 func (l *Ledger) Answer(now time.Time, r Request) Refusal {
 	switch {
 	case l.ejected:
@@ -144,8 +145,8 @@
 	return Granted
 }
 
-// worseThan orders two that ask for themselves at once, so that they do not
-// grant each other leases and both fail.
+// worseThan reports whether the backend server has precedence over a concurrent requester. The order
+// prevents two servers from granting each other leases so that neither can be ejected.
 func (l *Ledger) worseThan(r Request) bool {
 	if l.severity != r.Severity {
 		return l.severity > r.Severity
@@ -153,37 +154,37 @@
 	return l.config.Name < r.Asker
 }
 
-// RecordRelease records that the holder of a lease no longer needs it.
+// RecordRelease records that the holder has released a lease.
 func (l *Ledger) RecordRelease(r Release) {
 	if l.given[r.Asker].number == r.Number {
 		delete(l.given, r.Asker)
 	}
 }
 
-// BeginAsking records that the backend server wants to be ejected and reports whether it may
-// ask for leases now.
+// BeginAsking records that the backend server should be ejected and reports whether it may request
+// leases now. It may not within one lease of its start or while a lease it granted is binding.
 func (l *Ledger) BeginAsking(now time.Time, severity float64) bool {
 	l.asking = now.Sub(l.config.Start) >= Lease && !l.bound(now)
 	l.severity = severity
 	return l.asking
 }
 
-// NewRequest returns the request for a lease to send to the backend server named.
+// NewRequest returns a new lease request to be sent to the named backend server.
 func (l *Ledger) NewRequest(name string) Request {
 	l.next++
 	l.asked[name] = l.next
 	return Request{Asker: l.config.Name, Number: l.next, Severity: l.severity}
 }
 
-// ReleaseAll ends the asking, or the ejection, and returns the leases to give back by the name of
-// the backend server that granted each.
+// ReleaseAll ends the ejection or the attempt at it and returns the releases to send, by the name of
+// the grantor.
 func (l *Ledger) ReleaseAll() map[string]Release {
 	l.asking = false
 	l.ejected = false
 	return l.release(l.asked)
 }
 
-// bound reports whether a lease given still binds.
+// bound reports whether a lease granted to another backend server is still binding.
 func (l *Ledger) bound(now time.Time) bool {
 	for asker, g := range l.given {
 		if now.Before(g.until) {
@@ -194,25 +195,24 @@
 	return false
 }
 
-// RecordGrant records that the backend server named gave the lease asked for by the
-// request of that number, which was made then.
+// RecordGrant records that the named backend server granted the numbered request, which was sent at
+// the given time.
 func (l *Ledger) RecordGrant(number uint64, from string, asked time.Time) {
 	if l.asked[from] == number {
 		l.held[from] = asked.Add(Lease - Lease/DriftPart)
 	}
 }
 
-// RecordRefusal records that the backend server named refused the request of that
-// number. What it granted before counts until it runs out, since it binds
-// until then.
+// RecordRefusal records that the named backend server refused the numbered request. A lease that it
+// granted before counts until it expires, since it is binding until then.
 func (l *Ledger) RecordRefusal(number uint64, from string) {
 	if l.asked[from] == number && l.held[from].IsZero() {
 		delete(l.asked, from)
 	}
 }
 
-// Eject ejects the backend server if it holds leases from as many others as the floor says and is
-// bound by none, and reports whether it did.
+// Eject ejects the backend server if it holds as many leases as the floor requires and no lease that
+// it granted is binding. It reports whether it did.
 func (l *Ledger) Eject(now time.Time, floor int) bool {
 	if l.ejected || !l.asking || l.bound(now) || l.count(now) < floor {
 		return false
@@ -222,8 +222,8 @@
 	return true
 }
 
-// MayStayEjected reports whether the backend server still holds enough leases to be ejected. Once it
-// does not, the ejection has ended.
+// MayStayEjected reports whether the backend server is ejected and still holds enough leases. If it
+// does not, the ejection ends.
 func (l *Ledger) MayStayEjected(now time.Time, floor int) bool {
 	if !l.ejected {
 		return false
@@ -234,8 +234,8 @@
 	return l.ejected
 }
 
-// Restrict drops the leases of those who are not among the names: a backend
-// server that is no longer declared keeps no floor.
+// Restrict drops the leases of all grantors that are not among the names, so that a backend server
+// that is no longer declared does not count towards the floor.
 func (l *Ledger) Restrict(names []string) {
 	for from := range l.asked {
 		if !slices.Contains(names, from) {
@@ -245,8 +245,8 @@
 	}
 }
 
-// Trim keeps as many leases as the floor needs, the preferred first, and returns the others to give
-// back by the name of the backend server that granted each.
+// Trim keeps as many leases as the floor requires, preferred grantors first, and returns the releases
+// to send for the others, by the name of the grantor.
 func (l *Ledger) Trim(now time.Time, floor int, preferred func(name string) bool) map[string]Release {
 	names := l.Holding(now)
 	if len(names) <= floor {
@@ -262,8 +262,8 @@
 	return l.release(spare)
 }
 
-// release drops the leases and returns their releases. Answers to these requests that come later no
-// longer count.
+// release drops the leases of the requests and returns their releases. Later replies to these
+// requests are ignored.
 func (l *Ledger) release(requests map[string]uint64) map[string]Release {
 	releases := make(map[string]Release, len(requests))
 	for name, number := range requests {
@@ -283,7 +283,7 @@
 	return 1
 }
 
-// Holding returns who gave the leases that count now, sorted.
+// Holding returns the sorted names of the grantors of all current leases.
 func (l *Ledger) Holding(now time.Time) []string {
 	names := make([]string, 0, len(l.held))
 	for name, until := range l.held {
--- a/internal/floor/floor_test.go
+++ b/internal/floor/floor_test.go
@@ -12,7 +12,7 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// message is a request, an answer or a release on its way.
+// message is a request, a reply or a release in transit.
 type message struct {
 	to, from string
 	request  *floor.Request
@@ -26,8 +26,8 @@
 	refusal floor.Refusal
 }
 
-// model is a service whose messages are lost, late, doubled and reordered, and
-// whose sidecars restart and stand still.
+// model simulates a service whose messages are lost, delayed, duplicated and reordered, and whose
+// sidecars restart and freeze.
 type model struct {
 	floorSize int
 	ledgers   map[string]*floor.Ledger
@@ -64,7 +64,7 @@
 
 func (m *model) one(t *rapid.T) string { return rapid.SampledFrom(m.names).Draw(t, "who") }
 
-// awake returns one that is not standing still, if the one drawn is.
+// awake draws a backend server and reports whether it is not frozen.
 func (m *model) awake(t *rapid.T) (string, *floor.Ledger, bool) {
 	name := m.one(t)
 	return name, m.ledgers[name], !m.frozen[name]
@@ -121,8 +121,7 @@
 	}
 }
 
-// deliver hands over some of the messages on their way, in any order, and
-// leaves a copy of some.
+// deliver delivers some of the messages in transit in any order and duplicates some of them.
 func (m *model) deliver(t *rapid.T) {
 	for range rapid.IntRange(0, 2*len(m.wire)).Draw(t, "messages") {
 		m.deliverOne(t)
@@ -136,7 +135,7 @@
 	i := rapid.IntRange(0, len(m.wire)-1).Draw(t, "message")
 	msg := m.wire[i]
 	if m.frozen[msg.to] {
-		return // it waits in the socket's buffer
+		return // remains in the socket buffer
 	}
 	const doubledOneIn = 8
 	if rapid.IntRange(1, doubledOneIn).Draw(t, "doubled") > 1 {
@@ -145,8 +144,7 @@
 	m.receive(msg)
 }
 
-// attempt asks, hands over messages, and enters: what a sidecar does when all
-// goes well.
+// attempt runs an ejection without faults: requests, deliveries, ejection.
 func (m *model) attempt(t *rapid.T) {
 	m.wantEjected(t)
 	m.deliver(t)
@@ -187,15 +185,15 @@
 func (m *model) freeze(t *rapid.T) { m.frozen[m.one(t)] = true }
 func (m *model) thaw(t *rapid.T)   { m.frozen[m.one(t)] = false }
 
-// restart loses everything that one sidecar knew.
+// restart discards the state of one sidecar.
 func (m *model) restart(t *rapid.T) {
 	name := m.one(t)
 	m.frozen[name] = false
 	m.start(name)
 }
 
-// check counts who is in service. One that stands still refuses nothing, so it
-// is asked as it would be by the next request.
+// check counts the backend servers in service. A frozen one cannot update its own state, so it is
+// checked as its next request would do.
 func (m *model) check(t *rapid.T) {
 	serving := 0
 	for _, name := range m.names {
@@ -208,9 +206,8 @@
 	}
 }
 
-// TestFloorHolds drives a service through lost, late, doubled and reordered
-// messages, restarts and standstills: those not ejected are never fewer than the
-// floor.
+// TestFloorHolds guards against fewer backend servers in service than the floor when messages are
+// lost, delayed, duplicated or reordered and sidecars restart or freeze.
 func TestFloorHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
@@ -233,7 +230,7 @@
 	})
 }
 
-// settle asks everyone at once and hands over every answer.
+// settle requests leases from all other backend servers and delivers all replies.
 func settle(now time.Time, name string, ledgers map[string]*floor.Ledger) {
 	l := ledgers[name]
 	for other, peer := range ledgers {
@@ -249,8 +246,8 @@
 	}
 }
 
-// TestBudgetIsUsed shows that with good messages as many as the floor leaves
-// are ejected, one after another, and no more.
+// TestBudgetIsUsed guards against fewer or more consecutive ejections than the floor permits when no
+// messages are lost.
 func TestBudgetIsUsed(t *testing.T) {
 	const count, floorSize = 6, 4
 	ledgers := make(map[string]*floor.Ledger)
@@ -276,12 +273,12 @@
 		}
 	}
 	if ejected != count-floorSize {
-		t.Fatalf("%d are ejected, want %d", ejected, count-floorSize)
+		t.Fatalf("%d ejected, want %d", ejected, count-floorSize)
 	}
 }
 
-// TestUndeclaredKeepNoFloor drops the lease of one that is not declared any
-// more.
+// TestUndeclaredKeepNoFloor guards against counting the lease of a backend server that is no longer
+// declared.
 func TestUndeclaredKeepNoFloor(t *testing.T) {
 	ledgers := make(map[string]*floor.Ledger)
 	for _, name := range []string{"a", "b", "c"} {
@@ -296,11 +293,11 @@
 	}
 	a.Restrict([]string{"b"})
 	if a.MayStayEjected(now, 2) {
-		t.Fatal("a is ejected with the lease of one that is gone")
+		t.Fatal("a is ejected with the lease of an undeclared backend server")
 	}
 }
 
-// TestLeaseRunsOut shows that one that hears from nobody comes back by itself.
+// TestLeaseRunsOut guards against an ejection that outlives its leases if no messages arrive.
 func TestLeaseRunsOut(t *testing.T) {
 	ledgers := map[string]*floor.Ledger{
 		"a": floor.NewLedger(floor.Config{Name: "a", Start: epoch}),
@@ -314,13 +311,13 @@
 		t.Fatal("a is not ejected")
 	}
 	if ledgers["b"].BeginAsking(now, 2) {
-		t.Fatal("b may ask although it granted a lease")
+		t.Fatal("b may request leases although it granted one")
 	}
 	later := now.Add(floor.Lease)
 	if a.MayStayEjected(later, 1) {
-		t.Fatal("a is ejected with a lease that ran out")
+		t.Fatal("a is ejected with an expired lease")
 	}
 	if !ledgers["b"].BeginAsking(later, 2) {
-		t.Fatal("b is bound by a lease that ran out")
+		t.Fatal("b is bound by an expired lease")
 	}
 }
--- a/internal/floor/main_test.go
+++ b/internal/floor/main_test.go
@@ -6,6 +6,6 @@
 	"github.com/tideliftd/tidelift/test/property"
 )
 
-// TestMain raises the number of checks: the faults that matter need several
-// events in a row.
+// TestMain raises the number of checks, since the relevant faults need several consecutive
+// events.
 func TestMain(m *testing.M) { property.Main(m, "5000") }
