--- a/internal/latency/latency.go
+++ b/internal/latency/latency.go
@@ -1,29 +1,28 @@
-// Package latency learns how long good answers of one kind of request take, and says from
-// when on a running one is slow.
+// Package latency estimates the response times of a route and decides when a running request is
+// slow.
 //
-// Requests of one service differ more by what they ask for than by who answers: a call of
-// a tenth of a second and a search of half a second may run side by side. So what is
-// usual is learned for each route, from its own good answers, and no part of it is a
-// constant of one fleet.
+// Within one service, response times depend more on the kind of request than on the backend server:
+// a call of a tenth of a second and a search of half a second may run side by side. The typical
+// latency is therefore estimated for each route from its own successful responses.
 //
-// An Estimate is the aggregate of one route at one daemon. It takes durations and gives
-// durations; it has no clock, goroutine or socket. It is safe for concurrent use.
+// An Estimate belongs to one route at one daemon. It takes and returns durations; it has no clock,
+// goroutine or socket. It is safe for concurrent use.
 //
 // # Usage
 //
 //	estimate := latency.New()
-//	estimate.Good(180 * time.Millisecond)         // for each good answer
+//	estimate.Observe(180 * time.Millisecond)           // for each successful response
 //	slow := estimate.SlowAfter(400 * time.Millisecond) // the route's latency target
 //
 // # Rules
 //
-//   - Durations are counted in classes that grow by an eighth each, so that a quantile is
-//     known to that precision in a fixed space. Old counts fade: of Memory answers the
-//     half that came first weighs half.
-//   - A request is slow once it has run longer than nearly all good answers did. It is
-//     slow earlier if a hedge could otherwise not be back within the target, but
-//     not before it has run longer than most.
-//   - Until enough answers are known, a request is slow after half of its target.
+//   - Durations are counted in a histogram whose bucket bounds grow by an eighth each, which bounds
+//     the error of a quantile in constant space. Counts decay: they are halved each time their sum
+//     reaches Memory.
+//   - A request is slow once it has run longer than nearly all successful ones. It is slow earlier
+//     if a hedge could otherwise not finish within the target, but not before it has run longer
+//     than most.
+//   - While there are too few observations, a request is slow after half of its target.
 package latency
 
 import (
@@ -33,42 +32,40 @@
 )
 
 const (
-	// firstBound is the upper bound of the first class.
+	// firstBound is the upper bound of the first bucket.
 	firstBound = time.Millisecond
-	// classes is how many there are; the last counts what is longer. Source: 1 ms times
-	// 1.125 to the 120th is 23 minutes.
+	// classes is the number of buckets; the last one, with a bound of about 20 minutes, also counts
+	// everything longer.
 	classes = 120
-	// growth is how much longer the bound of a class is than that of the one before.
+	// growth is the ratio of the bounds of consecutive buckets.
 	growth = 1.125
-	// Memory is how many answers are counted before all counts are halved. Source: some
-	// minutes of a route at one daemon of a small fleet.
+	// Memory is the sum of counts at which all counts are halved.
 	Memory = 200
-	// minAnswers is how many answers have to be known for a quantile to say something.
+	// minAnswers is the minimum sum of counts for a meaningful quantile.
 	minAnswers = 8
-	// earliestQuantile and slowQuantile are the shares of good answers that a request has outlasted when it
-	// may be slow and when it is. Source: of requests that run as long as nearly all, one
-	// in twenty would have been answered in a moment; a hedge for these is a
-	// quarter of what a service's retry limit usually allows.
+	// earliestQuantile and slowQuantile bound the quantile of successful responses from which a
+	// request is slow. At slowQuantile, one request in twenty is hedged although it is about to
+	// succeed, which fits into the usual retry budget.
 	earliestQuantile = 0.75
 	slowQuantile     = 0.95
-	// median is the quantile that a hedge is expected to take.
+	// median is the expected quantile of a hedge's response time.
 	median = 0.5
-	// shareOfTarget is the part of the target after which a request is slow while too little
-	// is known: the other half is for a hedge.
+	// shareOfTarget is the part of the target after which a request is slow while there are too few
+	// observations; the rest is left for a hedge.
 	shareOfTarget = 0.5
 )
 
-// Estimate is what is known of one route's good answers.
+// Estimate is a decaying histogram of the response times of one route.
 type Estimate struct {
 	mu     sync.Mutex
 	counts [classes]float64
 	sum    float64
 }
 
-// New returns an estimate of which nothing is known.
+// New returns an estimate without observations.
 func New() *Estimate { return &Estimate{} }
 
-// Good records how long a good answer took.
+// Good records the duration of a successful response.
 func (e *Estimate) Good(took time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -87,8 +84,8 @@
 	e.sum /= 2
 }
 
-// SlowAfter returns how long a request of the route runs before it is slow. Without a target
-// and with too little known it returns zero: nothing is slow.
+// SlowAfter returns how long a request of the route may run before it is slow. It returns zero, for
+// no limit, if there is no target and too few observations.
 func (e *Estimate) SlowAfter(target time.Duration) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -102,8 +99,8 @@
 	return slowAfter
 }
 
-// Usual returns how long a good answer of the route usually takes, and false while too
-// little is known.
+// Usual returns the median duration of a successful response. It returns false while there are too
+// few observations.
 func (e *Estimate) Usual() (time.Duration, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -113,7 +110,7 @@
 	return e.quantile(median), true
 }
 
-// quantile returns the bound below which that share of the answers lies.
+// quantile returns the upper bound of the bucket that contains the given quantile.
 func (e *Estimate) quantile(share float64) time.Duration {
 	below := 0.0
 	for class, count := range e.counts {
@@ -125,7 +122,7 @@
 	return boundOf(classes - 1)
 }
 
-// classOf returns the class of a duration.
+// classOf returns the bucket index of a duration.
 func classOf(took time.Duration) int {
 	if took <= firstBound {
 		return 0
@@ -134,7 +131,7 @@
 	return min(classes-1, int(class))
 }
 
-// boundOf returns the longest duration of a class.
+// boundOf returns the upper bound of a bucket.
 func boundOf(class int) time.Duration {
 	return time.Duration(float64(firstBound) * math.Pow(growth, float64(class)))
 }
--- a/internal/latency/latency_test.go
+++ b/internal/latency/latency_test.go
@@ -9,7 +9,7 @@
 	"github.com/tideliftd/tidelift/internal/latency"
 )
 
-// taught returns a estimate that has seen those durations, in milliseconds.
+// taught returns an estimate with the given observations in milliseconds.
 func taught(millis ...int) *latency.Estimate {
 	p := latency.New()
 	for _, m := range millis {
@@ -18,7 +18,7 @@
 	return p
 }
 
-// times repeats a duration.
+// times returns count copies of a duration.
 func times(count, millis int) []int {
 	all := make([]int, count)
 	for i := range all {
@@ -43,7 +43,7 @@
 	}
 	for _, c := range cases {
 		if slowAfter := c.estimate.SlowAfter(c.target); slowAfter < c.least || slowAfter > c.atMost {
-			t.Errorf("%s: late after %v, want %v to %v", c.name, slowAfter, c.least, c.atMost)
+			t.Errorf("%s: slow after %v, want %v to %v", c.name, slowAfter, c.least, c.atMost)
 		}
 	}
 }
@@ -54,12 +54,12 @@
 		p.Good(500 * time.Millisecond)
 	}
 	if usual, known := p.Usual(); !known || usual < 500*time.Millisecond {
-		t.Fatalf("usual %v, %v", usual, known)
+		t.Fatalf("median %v, known %v", usual, known)
 	}
 }
 
-// TestLateLiesAmongTheAnswers holds that a request is never slow before the shortest good
-// answer nor after the longest, whatever was seen.
+// TestLateLiesAmongTheAnswers guards against a slow limit below the shortest or above the longest
+// observed duration.
 func TestLateLiesAmongTheAnswers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		millis := rapid.SliceOfN(rapid.IntRange(1, 60_000), 8, 150).Draw(t, "millis")
@@ -69,9 +69,9 @@
 			shortest, longest = min(shortest, m), max(longest, m)
 		}
 		slowAfter := taught(millis...).SlowAfter(target)
-		const class = 1.13 // answers are known to a class
+		const class = 1.13 // bucket precision
 		if slowAfter < time.Duration(shortest)*time.Millisecond || slowAfter > time.Duration(float64(longest)*class)*time.Millisecond {
-			t.Fatalf("late after %v, answers took %d to %d ms, target %v", slowAfter, shortest, longest, target)
+			t.Fatalf("slow after %v, responses took %d to %d ms, target %v", slowAfter, shortest, longest, target)
 		}
 	})
 }
