--- a/internal/detect/baseline.go
+++ b/internal/detect/baseline.go
@@ -35,14 +35,14 @@
 
 var unknownBaseline = Baseline{Failure: normalFailure, Slow: normalSlow}
 
-func (r Baseline) known() bool { return r.Typical > 0 }
+func (b Baseline) known() bool { return b.Typical > 0 }
 
-func (r Baseline) failure() float64 {
-	return math.Min(math.Max(r.Failure, normalFailure), maxNormal)
+func (b Baseline) failure() float64 {
+	return math.Min(math.Max(b.Failure, normalFailure), maxNormal)
 }
 
-func (r Baseline) slow() float64 {
-	return math.Min(math.Max(r.Slow, normalSlow), maxNormal)
+func (b Baseline) slow() float64 {
+	return math.Min(math.Max(b.Slow, normalSlow), maxNormal)
 }
 
 // thousand is the scale at which rates and sums are encoded as integers.
@@ -54,16 +54,16 @@
 // Encode returns the baseline as five comma-separated integers: failure rate, slow rate, failure
 // sum and slow sum in thousandths, and the typical latency in microseconds. It returns "" if
 // nothing is known.
-func (r Baseline) Encode() string {
-	if !r.known() && r.Failure == 0 {
+func (b Baseline) Encode() string {
+	if !b.known() && b.Failure == 0 {
 		return ""
 	}
 	var text []byte
-	for _, value := range []float64{r.Failure, r.Slow, r.FailureSum, r.SlowSum} {
+	for _, value := range []float64{b.Failure, b.Slow, b.FailureSum, b.SlowSum} {
 		text = strconv.AppendInt(text, int64(value*thousand), 10)
 		text = append(text, ',')
 	}
-	return string(strconv.AppendInt(text, r.Typical.Microseconds(), 10))
+	return string(strconv.AppendInt(text, b.Typical.Microseconds(), 10))
 }
 
 // ParseBaseline parses the output of Baseline.Encode.
@@ -84,12 +84,12 @@
 	if fields != baselineFields {
 		return Baseline{}, errors.Errorf("baseline %q: want %d fields, got %d", text, baselineFields, fields)
 	}
-	share := func(i int) float64 { return float64(numbers[i]) / thousand }
+	scaled := func(i int) float64 { return float64(numbers[i]) / thousand }
 	return Baseline{
-		Failure:    math.Min(1, share(0)),
-		Slow:       math.Min(1, share(1)),
-		FailureSum: share(2),
-		SlowSum:    share(3),
+		Failure:    math.Min(1, scaled(0)),
+		Slow:       math.Min(1, scaled(1)),
+		FailureSum: scaled(2),
+		SlowSum:    scaled(3),
 		Typical:    time.Duration(numbers[4]) * time.Microsecond,
 	}, nil
 }
@@ -110,16 +110,16 @@
 // their observations.
 func (g *Group) Reconfigure(rules Rules, names []string) {
 	g.rules = rules
-	next := make(map[string]*Subject, len(names))
+	subjects := make(map[string]*Subject, len(names))
 	for _, name := range names {
 		s, ok := g.subjects[name]
 		if !ok {
 			s = NewSubject(rules)
 		}
 		s.SetRules(rules)
-		next[name] = s
+		subjects[name] = s
 	}
-	g.subjects = next
+	g.subjects = subjects
 	g.Compare()
 }
 
@@ -135,27 +135,27 @@
 // IsOutlier reports whether the named backend server performs worse than the others; see
 // Subject.IsOutlier.
 func (g *Group) IsOutlier(name string) bool {
-	suspected, ok := g.subjects[name]
+	subject, ok := g.subjects[name]
 	if !ok {
 		return false
 	}
-	since := suspected.SuspectedSince()
+	since := subject.SuspectedSince()
 	var others []Summary
 	for other, s := range g.subjects {
 		if other != name {
 			others = append(others, s.Summary(since))
 		}
 	}
-	return suspected.IsOutlier(others)
+	return subject.IsOutlier(others)
 }
 
 // Compare recalculates the baseline of each backend server from the others. It is called a few
 // times per second; Baseline returns the last result in between.
 func (g *Group) Compare() {
-	table := newComparison(g.subjects, g.rules)
+	figures := newComparison(g.subjects, g.rules)
 	clear(g.others)
 	for name, s := range g.subjects {
-		g.others[name] = table.without(s, g.rules)
+		g.others[name] = figures.without(s, g.rules)
 	}
 }
 
@@ -189,31 +189,31 @@
 
 // without returns the median of each figure, excluding the subject's own.
 func (c comparison) without(s *Subject, rules Rules) Baseline {
-	own := s.comparable()
-	if len(c.logTime) == 0 || own && len(c.logTime) == 1 {
+	included := s.comparable()
+	if len(c.logTime) == 0 || included && len(c.logTime) == 1 {
 		return Baseline{}
 	}
 	return Baseline{
-		Failure:    middleWithout(c.failure, s.failure.normal(), own),
-		Slow:       middleWithout(c.slow, s.slow.normal(), own),
-		FailureSum: middleWithout(c.failureSum, s.failure.total(rules), own),
-		SlowSum:    middleWithout(c.slowSum, s.slow.total(rules), own),
-		Typical:    time.Duration(math.Exp(middleWithout(c.logTime, s.latency.logMiddle, own))),
+		Failure:    middleWithout(c.failure, s.failure.normal(), included),
+		Slow:       middleWithout(c.slow, s.slow.normal(), included),
+		FailureSum: middleWithout(c.failureSum, s.failure.total(rules), included),
+		SlowSum:    middleWithout(c.slowSum, s.slow.total(rules), included),
+		Typical:    time.Duration(math.Exp(middleWithout(c.logTime, s.latency.logMiddle, included))),
 	}
 }
 
 // middleWithout returns the median of the sorted values, the upper one of two, excluding the given
 // value if it is among them.
-func middleWithout(sorted []float64, value float64, among bool) float64 {
-	if !among {
+func middleWithout(sorted []float64, value float64, included bool) float64 {
+	if !included {
 		return sorted[len(sorted)/2]
 	}
-	place, _ := slices.BinarySearch(sorted, value)
-	middle := (len(sorted) - 1) / 2
-	if middle >= place {
-		middle++
+	index, _ := slices.BinarySearch(sorted, value)
+	median := (len(sorted) - 1) / 2
+	if median >= index {
+		median++
 	}
-	return sorted[middle]
+	return sorted[median]
 }
 
 // latency estimates the median response time. Each sample moves the estimate by a bounded step on
@@ -232,18 +232,18 @@
 	firstSamples = 16
 )
 
-func (l *latency) add(took time.Duration) {
-	value := math.Log(math.Max(float64(took), 1))
+func (l *latency) add(sample time.Duration) {
+	logSample := math.Log(math.Max(float64(sample), 1))
 	l.samples++
 	if l.samples == 1 {
-		l.logMiddle = value
+		l.logMiddle = logSample
 		return
 	}
 	step := latencyStep
 	if l.samples < firstSamples {
 		step = firstStep
 	}
-	distance := value - l.logMiddle
+	distance := logSample - l.logMiddle
 	l.logMiddle += math.Max(-step, math.Min(step, distance))
 }
 
--- a/internal/detect/baseline_test.go
+++ b/internal/detect/baseline_test.go
@@ -16,15 +16,15 @@
 	f.Add("1,2,3,4,5,6")
 	f.Add("-1,,,,")
 	f.Fuzz(func(t *testing.T, text string) {
-		r, err := detect.ParseBaseline(text)
+		baseline, err := detect.ParseBaseline(text)
 		if err != nil {
 			return
 		}
-		if r.Failure < 0 || r.Failure > 1 || r.Slow < 0 || r.Slow > 1 || r.Typical < 0 {
-			t.Fatalf("%q parsed as %+v", text, r)
+		if baseline.Failure < 0 || baseline.Failure > 1 || baseline.Slow < 0 || baseline.Slow > 1 || baseline.Typical < 0 {
+			t.Fatalf("%q parsed as %+v", text, baseline)
 		}
-		if again, err := detect.ParseBaseline(r.Encode()); err != nil || r.Typical > 0 && again != r {
-			t.Fatalf("%q parsed as %+v, re-encoded and parsed as %+v, %v", text, r, again, err)
+		if reparsed, err := detect.ParseBaseline(baseline.Encode()); err != nil || baseline.Typical > 0 && reparsed != baseline {
+			t.Fatalf("%q parsed as %+v, re-encoded and parsed as %+v, %v", text, baseline, reparsed, err)
 		}
 	})
 }
@@ -41,19 +41,19 @@
 			served := time.Duration(rapid.IntRange(0, 1200).Draw(t, "served")) * time.Second
 			now = now.Add(served)
 			s.Eject(now)
-			held := s.EjectedFor(now)
-			if held < rules.EjectionTime || held > rules.EjectionTimeMax {
-				t.Fatalf("ejected for %s", held)
+			ejectedFor := s.EjectedFor(now)
+			if ejectedFor < rules.EjectionTime || ejectedFor > rules.EjectionTimeMax {
+				t.Fatalf("ejected for %s", ejectedFor)
 			}
-			if served == 0 && last > 0 && held < min(2*last, rules.EjectionTimeMax) {
-				t.Fatalf("ejected for %s after %s", held, last)
+			if served == 0 && last > 0 && ejectedFor < min(2*last, rules.EjectionTimeMax) {
+				t.Fatalf("ejected for %s after %s", ejectedFor, last)
 			}
-			now = now.Add(held)
+			now = now.Add(ejectedFor)
 			if s.State(now) != detect.Probation {
 				t.Fatalf("state %s after the ejection time", s.State(now))
 			}
 			s.Return(now)
-			last = held
+			last = ejectedFor
 		}
 	})
 }
@@ -65,9 +65,9 @@
 	others := detect.Baseline{Typical: median}
 	good := detect.Observation{Outcome: detect.OK, Took: median}
 	tests := []struct {
-		name string
-		saw  detect.Observation
-		back bool
+		name       string
+		saw        detect.Observation
+		reinstated bool
 	}{
 		{"good", good, true},
 		{"an error", detect.Observation{Outcome: detect.Error, Took: median}, false},
@@ -84,11 +84,11 @@
 					t.Fatal("reinstated too early")
 				}
 			}
-			back := s.ObserveProbation(now, test.saw, others)
-			if back != test.back {
-				t.Fatalf("reinstated: %t", back)
+			reinstated := s.ObserveProbation(now, test.saw, others)
+			if reinstated != test.reinstated {
+				t.Fatalf("reinstated: %t", reinstated)
 			}
-			if !back && s.EjectedFor(now) < 2*rules.EjectionTime {
+			if !reinstated && s.EjectedFor(now) < 2*rules.EjectionTime {
 				t.Fatalf("ejected for %s after a failed probation", s.EjectedFor(now))
 			}
 		})
--- a/internal/detect/curve_test.go
+++ b/internal/detect/curve_test.go
@@ -22,7 +22,7 @@
 
 // consecutive detects a server after five consecutive failures.
 func consecutive(events []seen, fault time.Time, x experiment) judgement {
-	const inARow = 5
+	const limit = 5
 	result := judgement{after: x.after}
 	failures := make(map[int]int)
 	for _, s := range events {
@@ -34,7 +34,7 @@
 			continue
 		}
 		failures[s.server]++
-		if failures[s.server] == inARow {
+		if failures[s.server] == limit {
 			result.call(s.server, s.at, fault, x)
 		}
 	}
@@ -44,25 +44,25 @@
 // outlier detects servers whose success rate over 10 s is more than 1.9 standard deviations below the
 // mean.
 func outlier(events []seen, fault time.Time, x experiment) judgement {
-	const window, deviations, least = 10 * time.Second, 1.9, 5
+	const window, deviations, minRequests = 10 * time.Second, 1.9, 5
 	result := judgement{after: x.after}
-	var asked, bad [servers]float64
-	began := epoch
+	var requests, bad [servers]float64
+	windowStart := epoch
 	for _, s := range events {
 		if s.observation.Outcome == detect.Overdue {
 			continue
 		}
-		if s.at.Sub(began) >= window {
-			limit := meanLess(asked, bad, deviations, least)
+		if s.at.Sub(windowStart) >= window {
+			limit := meanLess(requests, bad, deviations, minRequests)
 			for server := range servers {
-				if asked[server] >= least && 1-bad[server]/asked[server] < limit {
+				if requests[server] >= minRequests && 1-bad[server]/requests[server] < limit {
 					result.call(server, s.at, fault, x)
 				}
 			}
-			asked, bad = [servers]float64{}, [servers]float64{}
-			began = s.at
+			requests, bad = [servers]float64{}, [servers]float64{}
+			windowStart = s.at
 		}
-		asked[s.server]++
+		requests[s.server]++
 		if s.observation.Outcome != detect.OK {
 			bad[s.server]++
 		}
@@ -70,13 +70,13 @@
 	return result
 }
 
-func meanLess(asked, bad [servers]float64, deviations, least float64) float64 {
+func meanLess(requests, bad [servers]float64, deviations, minRequests float64) float64 {
 	var sum, squares, count float64
 	for server := range servers {
-		if asked[server] < least {
+		if requests[server] < minRequests {
 			continue
 		}
-		rate := 1 - bad[server]/asked[server]
+		rate := 1 - bad[server]/requests[server]
 		sum += rate
 		squares += rate * rate
 		count++
@@ -99,15 +99,15 @@
 
 // judge runs the experiment for the seeds and returns the median detection time and the total number
 // of false verdicts.
-func (x experiment) judge(seeds int, how baseline) judgement {
+func (x experiment) judge(seeds int, apply baseline) judgement {
 	times := make([]time.Duration, 0, seeds)
 	wrong := 0
 	for seed := range seeds {
 		x.seed = uint64(seed)
 		fault := epoch.Add(x.warm)
-		one := how(x.events(rand.New(rand.NewPCG(x.seed, 1)), fault), fault, x)
-		times = append(times, one.after)
-		wrong += one.wrong
+		result := apply(x.events(rand.New(rand.NewPCG(x.seed, 1)), fault), fault, x)
+		times = append(times, result.after)
+		wrong += result.wrong
 	}
 	slices.Sort(times)
 	return judgement{after: times[len(times)/2], wrong: wrong}
@@ -136,14 +136,14 @@
 				rules: detect.Careful(), perSec: test.perSec, normal: healthy(0.4), sick: test.sick, sickN: 1,
 				warm: 30 * time.Second, after: 60 * time.Second,
 			}
-			five := x.judge(seeds, consecutive)
-			success := x.judge(seeds, outlier)
+			consecutiveResult := x.judge(seeds, consecutive)
+			outlierResult := x.judge(seeds, outlier)
 			careful, _, carefulWrong := x.times(seeds)
 			x.rules = detect.Swift()
 			swift, _, swiftWrong := x.times(seeds)
 			t.Logf("swift %s (%d false), careful %s (%d), five consecutive failures %s (%d), success rate %s (%d)",
-				swift, swiftWrong, careful, carefulWrong, five.after, five.wrong, success.after, success.wrong)
-			if careful > five.after || careful > success.after || swift > careful {
+				swift, swiftWrong, careful, carefulWrong, consecutiveResult.after, consecutiveResult.wrong, outlierResult.after, outlierResult.wrong)
+			if careful > consecutiveResult.after || careful > outlierResult.after || swift > careful {
 				t.Error("slower than a common detection method, or swift slower than careful")
 			}
 			if carefulWrong > 0 {
--- a/internal/detect/detect.go
+++ b/internal/detect/detect.go
@@ -143,9 +143,9 @@
 func (s *Subject) SetRules(rules Rules) { s.rules = rules }
 
 // Observe records one observation. The baseline describes the service's other backend servers.
-func (s *Subject) Observe(now time.Time, o Observation, others Baseline) {
-	if others.known() {
-		s.baseline = others
+func (s *Subject) Observe(now time.Time, o Observation, baseline Baseline) {
+	if baseline.known() {
+		s.baseline = baseline
 	}
 	s.observed++
 	failed := o.failed()
@@ -167,13 +167,13 @@
 // FailureRate returns the fraction of recent requests that failed.
 func (s *Subject) FailureRate() float64 { return s.failure.normal() }
 
-func (s *Subject) observeLatency(now time.Time, took time.Duration) {
-	s.latency.add(took)
+func (s *Subject) observeLatency(now time.Time, responseTime time.Duration) {
+	s.latency.add(responseTime)
 	if s.baseline.Typical == 0 {
 		s.lastGood = now
 		return
 	}
-	slow := took > s.rules.slowLimit(s.baseline.Typical)
+	slow := responseTime > s.rules.slowLimit(s.baseline.Typical)
 	if !slow {
 		s.lastGood = now
 	}
@@ -221,11 +221,11 @@
 
 // mainCause returns the most frequent cause of the failures.
 func (s *Subject) mainCause() Cause {
-	most := 0
+	mostFrequent := 0
 	for i, n := range s.causes {
-		if n > s.causes[most] {
-			most = i
+		if n > s.causes[mostFrequent] {
+			mostFrequent = i
 		}
 	}
-	return causeNames[most]
+	return causeNames[mostFrequent]
 }
--- a/internal/detect/detect_test.go
+++ b/internal/detect/detect_test.go
@@ -88,11 +88,11 @@
 	group.Reconfigure(x.rules, names)
 	result := verdicts{after: make(map[int]time.Duration), failures: make(map[int]int)}
 	fault := epoch.Add(x.warm)
-	compared := epoch
+	lastUpdate := epoch
 	for _, s := range x.events(random, fault) {
-		if s.at.Sub(compared) >= 100*time.Millisecond {
+		if s.at.Sub(lastUpdate) >= 100*time.Millisecond {
 			group.Compare()
-			compared = s.at
+			lastUpdate = s.at
 		}
 		subject, _ := group.Subject(names[s.server])
 		subject.Observe(s.at, s.observation, group.Baseline(names[s.server]))
@@ -145,7 +145,7 @@
 
 // times returns the median and the worst detection time over the seeds, where x.after stands for no
 // detection, and the number of false verdicts.
-func (x experiment) times(seeds int) (middle, worst time.Duration, wrong int) {
+func (x experiment) times(seeds int) (medianTime, worst time.Duration, wrong int) {
 	times := make([]time.Duration, 0, seeds)
 	for seed := range seeds {
 		x.seed = uint64(seed)
@@ -194,10 +194,10 @@
 					rules: detect.RulesOf(setting), perSec: test.perSec, normal: healthy(0.4), sick: test.sick, sickN: 1,
 					warm: 10 * time.Second, after: 10 * time.Second,
 				}
-				middle, worst, wrong := x.times(seeds)
-				t.Logf("median %s, worst %s, %d false verdicts", middle, worst, wrong)
+				typical, worst, wrong := x.times(seeds)
+				t.Logf("median %s, worst %s, %d false verdicts", typical, worst, wrong)
 				if worst > limit || wrong > 0 {
-					t.Errorf("median %s, worst %s, limit %s, %d false verdicts", middle, worst, limit, wrong)
+					t.Errorf("median %s, worst %s, limit %s, %d false verdicts", typical, worst, limit, wrong)
 				}
 			})
 		}
@@ -235,15 +235,15 @@
 					rules: detect.RulesOf(setting), perSec: test.perSec, normal: test.normal, sick: test.sick, sickN: servers,
 					warm: 30 * time.Second, after: 30 * time.Second,
 				}
-				called := 0
+				falseVerdicts := 0
 				for seed := range seeds {
 					x.seed = uint64(seed)
 					v := x.run()
-					called += v.early + len(v.after)
+					falseVerdicts += v.early + len(v.after)
 				}
-				t.Logf("%d false verdicts in %d minutes of %d servers", called, seeds, servers)
-				if called > 0 && setting == fleet.DetectionCareful {
-					t.Errorf("%d false verdicts", called)
+				t.Logf("%d false verdicts in %d minutes of %d servers", falseVerdicts, seeds, servers)
+				if falseVerdicts > 0 && setting == fleet.DetectionCareful {
+					t.Errorf("%d false verdicts", falseVerdicts)
 				}
 			})
 		}
@@ -257,7 +257,7 @@
 			rules: detect.RulesOf(setting), perSec: 10.0 / 60, normal: healthy(0.4), sick: stalled(1), sickN: 1,
 			warm: time.Hour, after: time.Hour,
 		}
-		more := 0
+		moreThanThree := 0
 		for seed := range 20 {
 			x.seed = uint64(seed)
 			v := x.run()
@@ -265,11 +265,11 @@
 				t.Errorf("%s, seed %d: %d failures, detected after %s", setting, seed, v.failures[0], v.after[0])
 			}
 			if v.failures[0] > 3 {
-				more++
+				moreThanThree++
 			}
 		}
-		if more > 1 { // a fourth failure is needed if no other server received a request in between
-			t.Errorf("%s: more than three failures in %d of 20 runs", setting, more)
+		if moreThanThree > 1 { // a fourth failure is needed if no other server received a request in between
+			t.Errorf("%s: more than three failures in %d of 20 runs", setting, moreThanThree)
 		}
 	}
 }
--- a/internal/detect/ejection.go
+++ b/internal/detect/ejection.go
@@ -42,10 +42,10 @@
 		x.forgetLevel(now, s.rules.EjectionMemory)
 		x.decided = s.evidenceNow()
 	}
-	length := time.Duration(float64(s.rules.EjectionTime) * math.Exp2(x.level))
+	duration := time.Duration(float64(s.rules.EjectionTime) * math.Exp2(x.level))
 	x.ejected = true
 	x.began = now
-	x.until = now.Add(min(length, s.rules.EjectionTimeMax))
+	x.until = now.Add(min(duration, s.rules.EjectionTimeMax))
 	x.level++
 	x.passes = 0
 	if verdict := s.Verdict(now); verdict.Sick {
@@ -82,9 +82,9 @@
 
 // ObserveProbation records the outcome of a probation request and reports whether the subject was
 // reinstated. A failure or a slow response ejects it again.
-func (s *Subject) ObserveProbation(now time.Time, o Observation, others Baseline) bool {
-	if others.known() {
-		s.baseline = others
+func (s *Subject) ObserveProbation(now time.Time, o Observation, baseline Baseline) bool {
+	if baseline.known() {
+		s.baseline = baseline
 	}
 	slow := s.baseline.Typical > 0 && o.Took > s.rules.slowLimit(s.baseline.Typical)
 	if o.Outcome != OK || slow {
@@ -126,6 +126,6 @@
 	if s.ejection.returned.IsZero() {
 		return 1
 	}
-	grown := float64(now.Sub(s.ejection.returned)) / float64(s.rules.Ramp)
-	return math.Min(1, math.Max(leastShare, grown))
+	share := float64(now.Sub(s.ejection.returned)) / float64(s.rules.Ramp)
+	return math.Min(1, math.Max(leastShare, share))
 }
--- a/internal/detect/evidence.go
+++ b/internal/detect/evidence.go
@@ -26,8 +26,8 @@
 	longRateWeight = 100
 )
 
-// add records one observation. normal is the baseline rate.
-func (e *evidence) add(now time.Time, bad bool, normal, sickShare float64, rules Rules) {
+// add records one observation.
+func (e *evidence) add(now time.Time, bad bool, baselineRate, unhealthyRate float64, rules Rules) {
 	e.seen++
 	e.rate += (indicator(bad) - e.rate) / math.Min(e.seen, rateWeight)
 	e.longRate += (indicator(bad) - e.longRate) / math.Min(e.seen, longRateWeight)
@@ -42,8 +42,8 @@
 	}
 	e.count++
 	e.bad += indicator(bad)
-	e.expected += normal
-	e.net = math.Max(e.net+logRatio(bad, normal, sickShare), -e.sum)
+	e.expected += baselineRate
+	e.net = math.Max(e.net+logRatio(bad, baselineRate, unhealthyRate), -e.sum)
 }
 
 // total returns the cumulative sum including the current interval, whose part is capped.
@@ -57,11 +57,11 @@
 
 // convinces reports whether the evidence suffices for an unhealthy verdict. The median sum of the
 // other servers is subtracted, since a shared cause is not a fault of the subject.
-func (e *evidence) convinces(now time.Time, normal, othersSum float64, rules Rules) bool {
+func (e *evidence) convinces(now time.Time, baselineRate, othersSum float64, rules Rules) bool {
 	return e.total(rules)-othersSum >= rules.Threshold &&
 		e.bad >= rules.MinBad &&
 		now.Sub(e.since) >= rules.MinSpan &&
-		e.rate >= normal+rules.Margin &&
+		e.rate >= baselineRate+rules.Margin &&
 		e.deviates(rules)
 }
 
@@ -71,9 +71,9 @@
 	return e.deviatesFrom(e.expected/e.count, rules)
 }
 
-func (e *evidence) deviatesFrom(normal float64, rules Rules) bool {
-	deviation := math.Sqrt(e.count * normal * (1 - normal))
-	return e.bad-e.count*normal >= rules.Deviations*deviation
+func (e *evidence) deviatesFrom(expectedRate float64, rules Rules) bool {
+	deviation := math.Sqrt(e.count * expectedRate * (1 - expectedRate))
+	return e.bad-e.count*expectedRate >= rules.Deviations*deviation
 }
 
 func indicator(bad bool) float64 {
@@ -84,10 +84,10 @@
 }
 
 // logRatio returns the log-likelihood ratio of the observation: unhealthy against baseline.
-func logRatio(bad bool, normal, sickShare float64) float64 {
-	sick := normal + (1-normal)*sickShare
+func logRatio(bad bool, baselineRate, unhealthyRate float64) float64 {
+	expectedRate := baselineRate + (1-baselineRate)*unhealthyRate
 	if bad {
-		return math.Log(sick / normal)
+		return math.Log(expectedRate / baselineRate)
 	}
-	return math.Log((1 - sick) / (1 - normal))
+	return math.Log((1 - expectedRate) / (1 - baselineRate))
 }
--- a/internal/detect/told.go
+++ b/internal/detect/told.go
@@ -15,26 +15,26 @@
 }
 
 // NewTold returns the reported rates for a map keyed by the name of the backend server.
-func NewTold(shares map[string]float64) Told {
-	t := Told{byName: shares, sorted: make([]float64, 0, len(shares))}
-	for _, share := range shares {
-		t.sorted = append(t.sorted, share)
+func NewTold(rates map[string]float64) Told {
+	r := Told{byName: rates, sorted: make([]float64, 0, len(rates))}
+	for _, rate := range rates {
+		r.sorted = append(r.sorted, rate)
 	}
-	slices.Sort(t.sorted)
-	return t
+	slices.Sort(r.sorted)
+	return r
 }
 
 // Complete returns the baseline of the named backend server. If the observer does not know it, the
 // failure rate is the median of those reported for the others; the other fields stay unknown.
-func (t Told) Complete(name string, b Baseline) Baseline {
-	own, among := t.byName[name]
-	others := len(t.sorted)
-	if among {
+func (r Told) Complete(name string, b Baseline) Baseline {
+	own, reported := r.byName[name]
+	others := len(r.sorted)
+	if reported {
 		others--
 	}
 	if b.known() || others < minTold {
 		return b
 	}
-	b.Failure = middleWithout(t.sorted, own, among)
+	b.Failure = middleWithout(r.sorted, own, reported)
 	return b
 }
--- a/internal/detect/told_test.go
+++ b/internal/detect/told_test.go
@@ -29,9 +29,9 @@
 			if got != test.want {
 				t.Fatalf("got %+v, want %+v", got, test.want)
 			}
-			read, err := detect.ParseBaseline(got.Encode())
-			if err != nil || read != got {
-				t.Fatalf("encoded and parsed: %+v, %v", read, err)
+			parsed, err := detect.ParseBaseline(got.Encode())
+			if err != nil || parsed != got {
+				t.Fatalf("encoded and parsed: %+v, %v", parsed, err)
 			}
 		})
 	}
