--- a/internal/suspicion/hanging.go
+++ b/internal/suspicion/hanging.go
@@ -13,19 +13,19 @@
 
 // SlowRequest records that a running request, started at the given time, has exceeded its route's
 // slow limit.
-func (s *Suspicion) SlowRequest(began time.Time) {
+func (s *Suspicion) SlowRequest(startedAt time.Time) {
 	s.hanging.slowRunning++
-	if began.After(s.hanging.lastSlowFrom) {
-		s.hanging.lastSlowFrom = began
+	if startedAt.After(s.hanging.lastSlowFrom) {
+		s.hanging.lastSlowFrom = startedAt
 	}
 }
 
 // SlowRequestEnded records the end of a slow request that started at the given time. It continues
 // to count for as long as it ran; after that a new request may determine whether the backend server
 // still hangs.
-func (s *Suspicion) SlowRequestEnded(now, began time.Time) {
+func (s *Suspicion) SlowRequestEnded(now, startedAt time.Time) {
 	s.hanging.slowRunning--
-	if until := now.Add(now.Sub(began)); until.After(s.hanging.slowUntil) {
+	if until := now.Add(now.Sub(startedAt)); until.After(s.hanging.slowUntil) {
 		s.hanging.slowUntil = until
 	}
 }
@@ -38,8 +38,8 @@
 }
 
 // recordGood records the success of a request that started at the given time.
-func (h *hanging) recordGood(began time.Time) {
-	if began.After(h.lastGoodFrom) {
-		h.lastGoodFrom = began
+func (h *hanging) recordGood(startedAt time.Time) {
+	if startedAt.After(h.lastGoodFrom) {
+		h.lastGoodFrom = startedAt
 	}
 }
--- a/internal/suspicion/suspicion.go
+++ b/internal/suspicion/suspicion.go
@@ -90,9 +90,9 @@
 // given the failure rate of the others. A failure that all backend servers share is caused by the
 // requests or by a service that they all call; suspecting every backend server would leave none to
 // serve.
-func FailureWeight(othersFailing float64) float64 {
-	own := (commonFailing - othersFailing) / (commonFailing - usualFailing)
-	return Failed * max(0, min(1, own))
+func FailureWeight(othersFailureRate float64) float64 {
+	factor := (commonFailing - othersFailureRate) / (commonFailing - usualFailing)
+	return Failed * max(0, min(1, factor))
 }
 
 // Suspicion is the suspicion state of one backend server.
@@ -147,10 +147,10 @@
 
 // RecordGood records a success of a request that started at the given time and reports whether
 // suspicion ends with it.
-func (s *Suspicion) RecordGood(now, began time.Time) bool {
+func (s *Suspicion) RecordGood(now, startedAt time.Time) bool {
 	s.sum *= keptByGood
 	s.slow *= keptByGood
-	s.hanging.recordGood(began)
+	s.hanging.recordGood(startedAt)
 	if !s.suspected {
 		return false
 	}
@@ -202,11 +202,11 @@
 // MayProbeWithAny reports whether a probe has been due for so long without an idempotent request
 // that any request may be the probe.
 func (s *Suspicion) MayProbeWithAny(now time.Time) bool {
-	after := anyProbeAfter
+	delay := anyProbeAfter
 	if s.good > 0 {
-		after = anyProbeAgain
+		delay = anyProbeAgain
 	}
-	return !now.Before(s.probeAt.Add(after))
+	return !now.Before(s.probeAt.Add(delay))
 }
 
 // ProbeSent records that a probe received a slot.
--- a/internal/suspicion/suspicion_test.go
+++ b/internal/suspicion/suspicion_test.go
@@ -120,18 +120,18 @@
 	if s.Hanging(epoch) {
 		t.Fatal("hanging without a slow request")
 	}
-	began := epoch.Add(time.Second)
-	s.SlowRequest(began)
-	s.RecordGood(began.Add(time.Second), began.Add(-time.Millisecond))
-	now := began.Add(2 * time.Second)
+	startedAt := epoch.Add(time.Second)
+	s.SlowRequest(startedAt)
+	s.RecordGood(startedAt.Add(time.Second), startedAt.Add(-time.Millisecond))
+	now := startedAt.Add(2 * time.Second)
 	if !s.Hanging(now) {
 		t.Fatal("not hanging after the success of an earlier request")
 	}
-	s.RecordGood(began.Add(2*time.Second), began.Add(time.Millisecond))
+	s.RecordGood(startedAt.Add(2*time.Second), startedAt.Add(time.Millisecond))
 	if s.Hanging(now) {
 		t.Fatal("hanging after the success of a later request")
 	}
-	s.SlowRequest(began)
+	s.SlowRequest(startedAt)
 	if s.Hanging(now) {
 		t.Fatal("hanging because of a slow request older than the last success")
 	}
