--- a/internal/floor/floor.go
+++ b/internal/floor/floor.go
@@ -186,28 +186,28 @@
 
 // bound reports whether a lease granted to another backend server is still binding.
 func (l *Ledger) bound(now time.Time) bool {
-	for asker, g := range l.given {
+	for holder, g := range l.given {
 		if now.Before(g.until) {
 			return true
 		}
-		delete(l.given, asker)
+		delete(l.given, holder)
 	}
 	return false
 }
 
 // RecordGrant records that the named backend server granted the numbered request, which was sent at
 // the given time.
-func (l *Ledger) RecordGrant(number uint64, from string, asked time.Time) {
-	if l.asked[from] == number {
-		l.held[from] = asked.Add(Lease - Lease/DriftPart)
+func (l *Ledger) RecordGrant(number uint64, grantor string, requestedAt time.Time) {
+	if l.asked[grantor] == number {
+		l.held[grantor] = requestedAt.Add(Lease - Lease/DriftPart)
 	}
 }
 
 // RecordRefusal records that the named backend server refused the numbered request. A lease that it
 // granted before counts until it expires, since it is binding until then.
-func (l *Ledger) RecordRefusal(number uint64, from string) {
-	if l.asked[from] == number && l.held[from].IsZero() {
-		delete(l.asked, from)
+func (l *Ledger) RecordRefusal(number uint64, name string) {
+	if l.asked[name] == number && l.held[name].IsZero() {
+		delete(l.asked, name)
 	}
 }
 
@@ -237,10 +237,10 @@
 // Restrict drops the leases of all grantors that are not among the names, so that a backend server
 // that is no longer declared does not count towards the floor.
 func (l *Ledger) Restrict(names []string) {
-	for from := range l.asked {
-		if !slices.Contains(names, from) {
-			delete(l.asked, from)
-			delete(l.held, from)
+	for name := range l.asked {
+		if !slices.Contains(names, name) {
+			delete(l.asked, name)
+			delete(l.held, name)
 		}
 	}
 }
@@ -255,11 +255,11 @@
 	slices.SortStableFunc(names, func(a, b string) int {
 		return order(preferred(a)) - order(preferred(b))
 	})
-	spare := make(map[string]uint64)
+	surplus := make(map[string]uint64)
 	for _, name := range names[floor:] {
-		spare[name] = l.asked[name]
+		surplus[name] = l.asked[name]
 	}
-	return l.release(spare)
+	return l.release(surplus)
 }
 
 // release drops the leases of the requests and returns their releases. Later replies to these
--- a/internal/floor/floor_test.go
+++ b/internal/floor/floor_test.go
@@ -231,10 +231,10 @@
 }
 
 // settle requests leases from all other backend servers and delivers all replies.
-func settle(now time.Time, name string, ledgers map[string]*floor.Ledger) {
-	l := ledgers[name]
+func settle(now time.Time, requester string, ledgers map[string]*floor.Ledger) {
+	l := ledgers[requester]
 	for other, peer := range ledgers {
-		if other == name {
+		if other == requester {
 			continue
 		}
 		r := l.NewRequest(other)
