--- a/internal/latency/latency.go
+++ b/internal/latency/latency.go
@@ -66,10 +66,10 @@
 func New() *Estimate { return &Estimate{} }
 
 // Good records the duration of a successful response.
-func (e *Estimate) Good(took time.Duration) {
+func (e *Estimate) Good(duration time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.counts[classOf(took)]++
+	e.counts[classOf(duration)]++
 	e.sum++
 	if e.sum >= Memory {
 		e.fade()
@@ -93,8 +93,8 @@
 		return time.Duration(shareOfTarget * float64(target))
 	}
 	slowAfter := e.quantile(slowQuantile)
-	if inTime := target - e.quantile(median); target > 0 && inTime < slowAfter {
-		slowAfter = max(inTime, e.quantile(earliestQuantile))
+	if hedgeStart := target - e.quantile(median); target > 0 && hedgeStart < slowAfter {
+		slowAfter = max(hedgeStart, e.quantile(earliestQuantile))
 	}
 	return slowAfter
 }
@@ -111,27 +111,27 @@
 }
 
 // quantile returns the upper bound of the bucket that contains the given quantile.
-func (e *Estimate) quantile(share float64) time.Duration {
+func (e *Estimate) quantile(q float64) time.Duration {
 	below := 0.0
-	for class, count := range e.counts {
+	for bucket, count := range e.counts {
 		below += count
-		if below >= share*e.sum {
-			return boundOf(class)
+		if below >= q*e.sum {
+			return boundOf(bucket)
 		}
 	}
 	return boundOf(classes - 1)
 }
 
 // classOf returns the bucket index of a duration.
-func classOf(took time.Duration) int {
-	if took <= firstBound {
+func classOf(duration time.Duration) int {
+	if duration <= firstBound {
 		return 0
 	}
-	class := math.Ceil(math.Log(float64(took)/float64(firstBound)) / math.Log(growth))
-	return min(classes-1, int(class))
+	bucket := math.Ceil(math.Log(float64(duration)/float64(firstBound)) / math.Log(growth))
+	return min(classes-1, int(bucket))
 }
 
 // boundOf returns the upper bound of a bucket.
-func boundOf(class int) time.Duration {
-	return time.Duration(float64(firstBound) * math.Pow(growth, float64(class)))
+func boundOf(bucket int) time.Duration {
+	return time.Duration(float64(firstBound) * math.Pow(growth, float64(bucket)))
 }
--- a/internal/latency/latency_test.go
+++ b/internal/latency/latency_test.go
@@ -11,11 +11,11 @@
 
 // taught returns an estimate with the given observations in milliseconds.
 func taught(millis ...int) *latency.Estimate {
-	p := latency.New()
+	estimate := latency.New()
 	for _, m := range millis {
-		p.Good(time.Duration(m) * time.Millisecond)
+		estimate.Good(time.Duration(m) * time.Millisecond)
 	}
-	return p
+	return estimate
 }
 
 // times returns count copies of a duration.
@@ -49,12 +49,12 @@
 }
 
 func TestWhatIsUsualFollowsTheLastAnswers(t *testing.T) {
-	p := taught(times(5*latency.Memory, 50)...)
+	estimate := taught(times(5*latency.Memory, 50)...)
 	for range 2 * latency.Memory {
-		p.Good(500 * time.Millisecond)
+		estimate.Good(500 * time.Millisecond)
 	}
-	if usual, known := p.Usual(); !known || usual < 500*time.Millisecond {
-		t.Fatalf("median %v, known %v", usual, known)
+	if median, known := estimate.Usual(); !known || median < 500*time.Millisecond {
+		t.Fatalf("median %v, known %v", median, known)
 	}
 }
 
