--- a/internal/detect/baseline.go
+++ b/internal/detect/baseline.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	// normalFailure and normalSlow are the minimum baseline rates. Without them a single bad
+	// minFailureRate and minSlowRate are the minimum baseline rates. Without them a single bad
 	// observation would weigh without bound where the other servers show none.
-	normalFailure = 0.01
-	normalSlow    = 0.05
-	// maxNormal is the maximum baseline rate; it leaves room for an unhealthy server above it.
-	maxNormal = 0.9
+	minFailureRate = 0.01
+	minSlowRate    = 0.05
+	// maxBaselineRate is the maximum baseline rate; it leaves room for an unhealthy server above it.
+	maxBaselineRate = 0.9
 	// minSamples is the number of observations from which a subject contributes to baselines.
 	minSamples = 8
 )
@@ -33,20 +33,20 @@
 	Typical time.Duration
 }
 
-var unknownBaseline = Baseline{Failure: normalFailure, Slow: normalSlow}
+var unknownBaseline = Baseline{Failure: minFailureRate, Slow: minSlowRate}
 
 func (b Baseline) known() bool { return b.Typical > 0 }
 
 func (b Baseline) failure() float64 {
-	return math.Min(math.Max(b.Failure, normalFailure), maxNormal)
+	return math.Min(math.Max(b.Failure, minFailureRate), maxBaselineRate)
 }
 
 func (b Baseline) slow() float64 {
-	return math.Min(math.Max(b.Slow, normalSlow), maxNormal)
+	return math.Min(math.Max(b.Slow, minSlowRate), maxBaselineRate)
 }
 
-// thousand is the scale at which rates and sums are encoded as integers.
-const thousand = 1000
+// encodingScale is the scale at which rates and sums are encoded as integers.
+const encodingScale = 1000
 
 // baselineFields is the number of fields of an encoded baseline.
 const baselineFields = 5
@@ -60,7 +60,7 @@
 	}
 	var text []byte
 	for _, value := range []float64{b.Failure, b.Slow, b.FailureSum, b.SlowSum} {
-		text = strconv.AppendInt(text, int64(value*thousand), 10)
+		text = strconv.AppendInt(text, int64(value*encodingScale), 10)
 		text = append(text, ',')
 	}
 	return string(strconv.AppendInt(text, b.Typical.Microseconds(), 10))
@@ -84,7 +84,7 @@
 	if fields != baselineFields {
 		return Baseline{}, errors.Errorf("baseline %q: want %d fields, got %d", text, baselineFields, fields)
 	}
-	scaled := func(i int) float64 { return float64(numbers[i]) / thousand }
+	scaled := func(i int) float64 { return float64(numbers[i]) / encodingScale }
 	return Baseline{
 		Failure:    math.Min(1, scaled(0)),
 		Slow:       math.Min(1, scaled(1)),
@@ -155,56 +155,56 @@
 	figures := newComparison(g.subjects, g.rules)
 	clear(g.others)
 	for name, s := range g.subjects {
-		g.others[name] = figures.without(s, g.rules)
+		g.others[name] = figures.baselineWithout(s, g.rules)
 	}
 }
 
 // comparison holds the sorted figures of all subjects that have enough observations.
 type comparison struct {
-	failure, slow, failureSum, slowSum, logTime []float64
+	failure, slow, failureSum, slowSum, logLatency []float64
 }
 
 func newComparison(subjects map[string]*Subject, rules Rules) comparison {
 	var c comparison
 	for _, s := range subjects {
-		if !s.comparable() {
+		if !s.hasEnoughSamples() {
 			continue
 		}
-		c.failure = append(c.failure, s.failure.normal())
-		c.slow = append(c.slow, s.slow.normal())
+		c.failure = append(c.failure, s.failure.baselineRate())
+		c.slow = append(c.slow, s.slow.baselineRate())
 		c.failureSum = append(c.failureSum, s.failure.total(rules))
 		c.slowSum = append(c.slowSum, s.slow.total(rules))
-		c.logTime = append(c.logTime, s.latency.logMiddle)
+		c.logLatency = append(c.logLatency, s.latency.logMedian)
 	}
-	for _, column := range [][]float64{c.failure, c.slow, c.failureSum, c.slowSum, c.logTime} {
+	for _, column := range [][]float64{c.failure, c.slow, c.failureSum, c.slowSum, c.logLatency} {
 		slices.Sort(column)
 	}
 	return c
 }
 
-// comparable reports whether the subject has enough observations to contribute to baselines.
-func (s *Subject) comparable() bool {
+// hasEnoughSamples reports whether the subject has enough observations to contribute to baselines.
+func (s *Subject) hasEnoughSamples() bool {
 	return s.observed >= minSamples && s.latency.samples > 0
 }
 
-// without returns the median of each figure, excluding the subject's own.
-func (c comparison) without(s *Subject, rules Rules) Baseline {
-	included := s.comparable()
-	if len(c.logTime) == 0 || included && len(c.logTime) == 1 {
+// baselineWithout returns the median of each figure, excluding the subject's own.
+func (c comparison) baselineWithout(s *Subject, rules Rules) Baseline {
+	included := s.hasEnoughSamples()
+	if len(c.logLatency) == 0 || included && len(c.logLatency) == 1 {
 		return Baseline{}
 	}
 	return Baseline{
-		Failure:    middleWithout(c.failure, s.failure.normal(), included),
-		Slow:       middleWithout(c.slow, s.slow.normal(), included),
-		FailureSum: middleWithout(c.failureSum, s.failure.total(rules), included),
-		SlowSum:    middleWithout(c.slowSum, s.slow.total(rules), included),
-		Typical:    time.Duration(math.Exp(middleWithout(c.logTime, s.latency.logMiddle, included))),
+		Failure:    medianWithout(c.failure, s.failure.baselineRate(), included),
+		Slow:       medianWithout(c.slow, s.slow.baselineRate(), included),
+		FailureSum: medianWithout(c.failureSum, s.failure.total(rules), included),
+		SlowSum:    medianWithout(c.slowSum, s.slow.total(rules), included),
+		Typical:    time.Duration(math.Exp(medianWithout(c.logLatency, s.latency.logMedian, included))),
 	}
 }
 
-// middleWithout returns the median of the sorted values, the upper one of two, excluding the given
+// medianWithout returns the median of the sorted values, the upper one of two, excluding the given
 // value if it is among them.
-func middleWithout(sorted []float64, value float64, included bool) float64 {
+func medianWithout(sorted []float64, value float64, included bool) float64 {
 	if !included {
 		return sorted[len(sorted)/2]
 	}
@@ -220,31 +220,31 @@
 // a logarithmic scale.
 type latency struct {
 	samples   int64
-	logMiddle float64
+	logMedian float64
 }
 
 const (
 	// latencyStep is the maximum step per sample, as a natural logarithm: 3%.
 	latencyStep = 0.03
-	// firstStep is the maximum step, 35%, for the first firstSamples samples, so that the estimate
+	// initialStep is the maximum step, 35%, for the first initialSamples samples, so that the estimate
 	// converges quickly.
-	firstStep    = 0.3
-	firstSamples = 16
+	initialStep    = 0.3
+	initialSamples = 16
 )
 
 func (l *latency) add(sample time.Duration) {
 	logSample := math.Log(math.Max(float64(sample), 1))
 	l.samples++
 	if l.samples == 1 {
-		l.logMiddle = logSample
+		l.logMedian = logSample
 		return
 	}
 	step := latencyStep
-	if l.samples < firstSamples {
-		step = firstStep
+	if l.samples < initialSamples {
+		step = initialStep
 	}
-	distance := logSample - l.logMiddle
-	l.logMiddle += math.Max(-step, math.Min(step, distance))
+	distance := logSample - l.logMedian
+	l.logMedian += math.Max(-step, math.Min(step, distance))
 }
 
 // typical returns the estimated median response time, or zero without samples.
@@ -252,5 +252,5 @@
 	if l.samples == 0 {
 		return 0
 	}
-	return time.Duration(math.Exp(l.logMiddle))
+	return time.Duration(math.Exp(l.logMedian))
 }
--- a/internal/detect/baseline_test.go
+++ b/internal/detect/baseline_test.go
@@ -29,9 +29,9 @@
 	})
 }
 
-// TestHoldGrowsAndDecays guards against ejection times outside their bounds, and against one that does
+// TestEjectionTimeGrows guards against ejection times outside their bounds, and against one that does
 // not double if the subject is ejected again immediately after its reinstatement.
-func TestHoldGrowsAndDecays(t *testing.T) {
+func TestEjectionTimeGrows(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rules := detect.Swift()
 		s := detect.NewSubject(rules)
@@ -58,16 +58,16 @@
 	})
 }
 
-// TestTrial guards against a probation that ends too early, or that a failed or slow response does not
+// TestProbation guards against a probation that ends too early, or that a failed or slow response does not
 // turn into a longer ejection.
-func TestTrial(t *testing.T) {
+func TestProbation(t *testing.T) {
 	rules := detect.Swift()
 	others := detect.Baseline{Typical: median}
 	good := detect.Observation{Outcome: detect.OK, Took: median}
 	tests := []struct {
-		name       string
-		saw        detect.Observation
-		reinstated bool
+		name        string
+		observation detect.Observation
+		reinstated  bool
 	}{
 		{"good", good, true},
 		{"an error", detect.Observation{Outcome: detect.Error, Took: median}, false},
@@ -84,7 +84,7 @@
 					t.Fatal("reinstated too early")
 				}
 			}
-			reinstated := s.ObserveProbation(now, test.saw, others)
+			reinstated := s.ObserveProbation(now, test.observation, others)
 			if reinstated != test.reinstated {
 				t.Fatalf("reinstated: %t", reinstated)
 			}
--- a/internal/detect/detect.go
+++ b/internal/detect/detect.go
@@ -122,16 +122,16 @@
 
 // Subject is one backend server as one observer sees it.
 type Subject struct {
-	rules    Rules
-	failure  evidence
-	slow     evidence
-	causes   [causeCount]int
-	latency  latency
-	baseline Baseline
-	observed int64
-	failures int64
-	lastGood time.Time // time of the last response that was not slow
-	ejection ejection
+	rules      Rules
+	failure    evidence
+	slow       evidence
+	causes     [causeCount]int
+	latency    latency
+	baseline   Baseline
+	observed   int64
+	failures   int64
+	lastGoodAt time.Time // time of the last response that was not slow
+	ejection   ejection
 }
 
 // NewSubject returns a subject without observations.
@@ -154,7 +154,7 @@
 		s.causes[causeIndex(o.Outcome)]++
 	}
 	if !o.WasOverdue {
-		s.failure.add(now, failed, s.baseline.failure(), s.rules.SickFailure, s.rules)
+		s.failure.add(now, failed, s.baseline.failure(), s.rules.UnhealthyFailureRate, s.rules)
 	}
 	if o.Outcome == OK {
 		s.observeLatency(now, o.Took)
@@ -165,36 +165,36 @@
 }
 
 // FailureRate returns the fraction of recent requests that failed.
-func (s *Subject) FailureRate() float64 { return s.failure.normal() }
+func (s *Subject) FailureRate() float64 { return s.failure.baselineRate() }
 
 func (s *Subject) observeLatency(now time.Time, responseTime time.Duration) {
 	s.latency.add(responseTime)
 	if s.baseline.Typical == 0 {
-		s.lastGood = now
+		s.lastGoodAt = now
 		return
 	}
 	slow := responseTime > s.rules.slowLimit(s.baseline.Typical)
 	if !slow {
-		s.lastGood = now
+		s.lastGoodAt = now
 	}
-	s.slow.add(now, slow, s.baseline.slow(), s.rules.SickSlow, s.rules)
+	s.slow.add(now, slow, s.baseline.slow(), s.rules.UnhealthySlowRate, s.rules)
 }
 
 // Verdict returns the conclusion from the observations so far.
 func (s *Subject) Verdict(now time.Time) Verdict {
 	severity := s.failure.rate + s.slow.rate
 	switch {
-	case s.failure.convinces(now, s.baseline.failure(), s.baseline.FailureSum, s.rules):
+	case s.failure.isSufficient(now, s.baseline.failure(), s.baseline.FailureSum, s.rules):
 		return Verdict{Sick: true, Cause: s.mainCause(), Severity: severity}
-	case s.slow.convinces(now, s.baseline.slow(), s.baseline.SlowSum, s.rules):
+	case s.slow.isSufficient(now, s.baseline.slow(), s.baseline.SlowSum, s.rules):
 		return Verdict{Sick: true, Cause: CauseSlow, Severity: severity}
 	default:
 		return Verdict{Severity: severity}
 	}
 }
 
-// forget discards the evidence, so that the subject starts anew after an absence.
-func (s *Subject) forget() {
+// resetEvidence discards the evidence, so that the subject starts anew after an absence.
+func (s *Subject) resetEvidence() {
 	s.failure = evidence{}
 	s.slow = evidence{}
 	s.causes = [causeCount]int{}
--- a/internal/detect/detect_test.go
+++ b/internal/detect/detect_test.go
@@ -53,18 +53,18 @@
 
 // experiment simulates one service under load with a single observer.
 type experiment struct {
-	rules  detect.Rules
-	perSec float64
-	normal behaviour
-	sick   behaviour
-	sickN  int // number of servers that become unhealthy
-	warm   time.Duration
-	after  time.Duration
-	seed   uint64
+	rules       detect.Rules
+	perSec      float64
+	normal      behaviour
+	faulty      behaviour
+	faultyCount int // number of servers that become unhealthy
+	warm        time.Duration
+	after       time.Duration
+	seed        uint64
 }
 
-// seen is an observation with its time and server.
-type seen struct {
+// event is an observation with its time and server.
+type event struct {
 	at          time.Time
 	server      int
 	observation detect.Observation
@@ -119,15 +119,15 @@
 
 // events generates the observations of all requests in order of time. Overdue requests are judged by
 // the median, as an observer that knows the typical latency does.
-func (x experiment) events(random *rand.Rand, fault time.Time) []seen {
+func (x experiment) events(random *rand.Rand, fault time.Time) []event {
 	limit := x.rules.OverdueLimit(median)
-	var all []seen
+	var all []event
 	for at := epoch; at.Before(fault.Add(x.after)); {
 		at = at.Add(time.Duration(random.ExpFloat64() / x.perSec * float64(time.Second)))
 		server := random.IntN(servers)
 		behave := x.normal
-		if x.sick != nil && server < x.sickN && at.After(fault) {
-			behave = x.sick
+		if x.faulty != nil && server < x.faultyCount && at.After(fault) {
+			behave = x.faulty
 		}
 		outcome, took := behave(random)
 		if took >= deadline {
@@ -135,25 +135,25 @@
 		}
 		late := took > limit
 		if late {
-			all = append(all, seen{at.Add(limit), server, detect.Observation{Outcome: detect.Overdue}})
+			all = append(all, event{at.Add(limit), server, detect.Observation{Outcome: detect.Overdue}})
 		}
-		all = append(all, seen{at.Add(took), server, detect.Observation{Outcome: outcome, Took: took, WasOverdue: late}})
+		all = append(all, event{at.Add(took), server, detect.Observation{Outcome: outcome, Took: took, WasOverdue: late}})
 	}
-	slices.SortFunc(all, func(a, b seen) int { return a.at.Compare(b.at) })
+	slices.SortFunc(all, func(a, b event) int { return a.at.Compare(b.at) })
 	return all
 }
 
 // times returns the median and the worst detection time over the seeds, where x.after stands for no
 // detection, and the number of false verdicts.
-func (x experiment) times(seeds int) (medianTime, worst time.Duration, wrong int) {
+func (x experiment) times(seeds int) (medianTime, worst time.Duration, falseVerdicts int) {
 	times := make([]time.Duration, 0, seeds)
 	for seed := range seeds {
 		x.seed = uint64(seed)
 		v := x.run()
-		wrong += v.early
+		falseVerdicts += v.early
 		for server := range v.after {
-			if server >= x.sickN || x.sick == nil {
-				wrong++
+			if server >= x.faultyCount || x.faulty == nil {
+				falseVerdicts++
 			}
 		}
 		after, ok := v.after[0]
@@ -163,14 +163,14 @@
 		times = append(times, after)
 	}
 	slices.Sort(times)
-	return times[len(times)/2], times[len(times)-1], wrong
+	return times[len(times)/2], times[len(times)-1], falseVerdicts
 }
 
 // TestDetectionTime guards against detection that is slower than the settings promise.
 func TestDetectionTime(t *testing.T) {
 	tests := []struct {
 		name   string
-		sick   behaviour
+		faulty behaviour
 		perSec float64
 		swift  time.Duration
 		care   time.Duration
@@ -191,26 +191,26 @@
 			t.Run(test.name+", "+string(setting), func(t *testing.T) {
 				t.Parallel()
 				x := experiment{
-					rules: detect.RulesOf(setting), perSec: test.perSec, normal: healthy(0.4), sick: test.sick, sickN: 1,
+					rules: detect.RulesOf(setting), perSec: test.perSec, normal: healthy(0.4), faulty: test.faulty, faultyCount: 1,
 					warm: 10 * time.Second, after: 10 * time.Second,
 				}
-				typical, worst, wrong := x.times(seeds)
-				t.Logf("median %s, worst %s, %d false verdicts", typical, worst, wrong)
-				if worst > limit || wrong > 0 {
-					t.Errorf("median %s, worst %s, limit %s, %d false verdicts", typical, worst, limit, wrong)
+				typical, worst, falseVerdicts := x.times(seeds)
+				t.Logf("median %s, worst %s, %d false verdicts", typical, worst, falseVerdicts)
+				if worst > limit || falseVerdicts > 0 {
+					t.Errorf("median %s, worst %s, limit %s, %d false verdicts", typical, worst, limit, falseVerdicts)
 				}
 			})
 		}
 	}
 }
 
-// TestNobodyIsCalledSick guards against verdicts where no server, or every server, is worse than the
+// TestNoFalseVerdicts guards against verdicts where no server, or every server, is worse than the
 // others.
-func TestNobodyIsCalledSick(t *testing.T) {
+func TestNoFalseVerdicts(t *testing.T) {
 	tests := []struct {
 		name   string
 		normal behaviour
-		sick   behaviour
+		faulty behaviour
 		perSec float64
 	}{
 		{"heavy tail at 300/s", healthy(1), nil, 300},
@@ -232,7 +232,7 @@
 			t.Run(test.name+", "+string(setting), func(t *testing.T) {
 				t.Parallel()
 				x := experiment{
-					rules: detect.RulesOf(setting), perSec: test.perSec, normal: test.normal, sick: test.sick, sickN: servers,
+					rules: detect.RulesOf(setting), perSec: test.perSec, normal: test.normal, faulty: test.faulty, faultyCount: servers,
 					warm: 30 * time.Second, after: 30 * time.Second,
 				}
 				falseVerdicts := 0
@@ -254,7 +254,7 @@
 func TestLowRate(t *testing.T) {
 	for _, setting := range []fleet.Detection{fleet.DetectionSwift, fleet.DetectionCareful} {
 		x := experiment{
-			rules: detect.RulesOf(setting), perSec: 10.0 / 60, normal: healthy(0.4), sick: stalled(1), sickN: 1,
+			rules: detect.RulesOf(setting), perSec: 10.0 / 60, normal: healthy(0.4), faulty: stalled(1), faultyCount: 1,
 			warm: time.Hour, after: time.Hour,
 		}
 		moreThanThree := 0
--- a/internal/detect/ejection.go
+++ b/internal/detect/ejection.go
@@ -18,20 +18,20 @@
 	Probation State = "trial"
 )
 
-// leastShare is the traffic share of a subject immediately after its reinstatement.
-const leastShare = 0.1
+// minTrafficShare is the traffic share of a subject immediately after its reinstatement.
+const minTrafficShare = 0.1
 
 // ejection is the ejection state of a subject and its history.
 type ejection struct {
-	ejected  bool
-	began    time.Time // start of the ejection
-	until    time.Time // start of the probation
-	level    float64   // doublings of the ejection time, reduced by time in service
-	passes   int       // consecutive good responses during probation
-	returned time.Time // last reinstatement with a growing share
-	serving  time.Time // start of service after the last ejection; zero if never ejected
-	cause    Cause
-	decided  Explanation // evidence that caused the ejection
+	ejected          bool
+	startedAt        time.Time // start of the ejection
+	endsAt           time.Time // start of the probation
+	doublings        float64   // doublings of the ejection time, reduced by time in service
+	passes           int       // consecutive good responses during probation
+	reinstatedAt     time.Time // last reinstatement with a growing share
+	servingSince     time.Time // start of service after the last ejection; zero if never ejected
+	cause            Cause
+	decidingEvidence Explanation // evidence that caused the ejection
 }
 
 // Eject takes the subject out of service for its ejection time. The time doubles with each
@@ -39,28 +39,28 @@
 func (s *Subject) Eject(now time.Time) {
 	x := &s.ejection
 	if !x.ejected {
-		x.forgetLevel(now, s.rules.EjectionMemory)
-		x.decided = s.evidenceNow()
+		x.decayDoublings(now, s.rules.EjectionMemory)
+		x.decidingEvidence = s.evidenceNow()
 	}
-	duration := time.Duration(float64(s.rules.EjectionTime) * math.Exp2(x.level))
+	duration := time.Duration(float64(s.rules.EjectionTime) * math.Exp2(x.doublings))
 	x.ejected = true
-	x.began = now
-	x.until = now.Add(min(duration, s.rules.EjectionTimeMax))
-	x.level++
+	x.startedAt = now
+	x.endsAt = now.Add(min(duration, s.rules.EjectionTimeMax))
+	x.doublings++
 	x.passes = 0
 	if verdict := s.Verdict(now); verdict.Sick {
 		x.cause = verdict.Cause
 	}
-	s.forget()
+	s.resetEvidence()
 }
 
-// forgetLevel removes one doubling of the ejection time for each memory period in service. A failed
+// decayDoublings removes one doubling of the ejection time for each memory period in service. A failed
 // probation removes nothing: the subject has not served since its ejection.
-func (x *ejection) forgetLevel(now time.Time, memory time.Duration) {
-	if x.serving.IsZero() {
+func (x *ejection) decayDoublings(now time.Time, memory time.Duration) {
+	if x.servingSince.IsZero() {
 		return
 	}
-	x.level = math.Max(0, x.level-float64(now.Sub(x.serving))/float64(memory))
+	x.doublings = math.Max(0, x.doublings-float64(now.Sub(x.servingSince))/float64(memory))
 }
 
 // State returns the subject's state.
@@ -68,7 +68,7 @@
 	switch {
 	case !s.ejection.ejected:
 		return Serving
-	case now.Before(s.ejection.until):
+	case now.Before(s.ejection.endsAt):
 		return Ejected
 	default:
 		return Probation
@@ -77,7 +77,7 @@
 
 // EjectedFor returns the remaining ejection time before the probation.
 func (s *Subject) EjectedFor(now time.Time) time.Duration {
-	return max(0, s.ejection.until.Sub(now))
+	return max(0, s.ejection.endsAt.Sub(now))
 }
 
 // ObserveProbation records the outcome of a probation request and reports whether the subject was
@@ -102,19 +102,19 @@
 // Return puts the subject back in service with a growing traffic share.
 func (s *Subject) Return(now time.Time) {
 	s.ejection.ejected = false
-	s.ejection.returned = now
-	s.ejection.serving = now
+	s.ejection.reinstatedAt = now
+	s.ejection.servingSince = now
 	s.ejection.cause = CauseNone
-	s.forget()
+	s.resetEvidence()
 }
 
 // Restore puts the subject back in service with its full traffic share, after other evidence has
 // shown that it is healthy.
 func (s *Subject) Restore(now time.Time) {
 	s.ejection.ejected = false
-	s.ejection.serving = now
+	s.ejection.servingSince = now
 	s.ejection.cause = CauseNone
-	s.forget()
+	s.resetEvidence()
 }
 
 // Share returns the fraction of its work that the subject should receive, from 0 to 1. After a
@@ -123,9 +123,9 @@
 	if s.ejection.ejected {
 		return 0
 	}
-	if s.ejection.returned.IsZero() {
+	if s.ejection.reinstatedAt.IsZero() {
 		return 1
 	}
-	share := float64(now.Sub(s.ejection.returned)) / float64(s.rules.Ramp)
-	return math.Min(1, math.Max(leastShare, share))
+	share := float64(now.Sub(s.ejection.reinstatedAt)) / float64(s.rules.Ramp)
+	return math.Min(1, math.Max(minTrafficShare, share))
 }
--- a/internal/detect/evidence.go
+++ b/internal/detect/evidence.go
@@ -7,16 +7,16 @@
 
 // evidence is the cumulative sum for one kind of bad observation: failures or slow responses.
 type evidence struct {
-	sum      float64   // sum up to the start of the current interval
-	net      float64   // contribution of the current interval, at least -sum
-	interval time.Time // start of the current interval
-	since    time.Time // when the sum last left zero
-	count    float64   // observations since then
-	bad      float64   // bad observations since then
-	expected float64   // bad observations expected since then at the baseline rate
-	seen     float64   // all observations
-	rate     float64   // recent rate of bad observations
-	longRate float64   // rate of bad observations over a longer period
+	sum           float64   // sum up to the start of the current interval
+	intervalSum   float64   // contribution of the current interval, at least -sum
+	intervalStart time.Time // start of the current interval
+	since         time.Time // when the sum last left zero
+	count         float64   // observations since then
+	bad           float64   // bad observations since then
+	expected      float64   // bad observations expected since then at the baseline rate
+	observed      float64   // all observations
+	rate          float64   // recent rate of bad observations
+	longRate      float64   // rate of bad observations over a longer period
 }
 
 // rateWeight and longRateWeight are the divisors of the exponential moving averages rate and
@@ -28,13 +28,13 @@
 
 // add records one observation.
 func (e *evidence) add(now time.Time, bad bool, baselineRate, unhealthyRate float64, rules Rules) {
-	e.seen++
-	e.rate += (indicator(bad) - e.rate) / math.Min(e.seen, rateWeight)
-	e.longRate += (indicator(bad) - e.longRate) / math.Min(e.seen, longRateWeight)
-	if now.Sub(e.interval) >= rules.Interval {
+	e.observed++
+	e.rate += (indicator(bad) - e.rate) / math.Min(e.observed, rateWeight)
+	e.longRate += (indicator(bad) - e.longRate) / math.Min(e.observed, longRateWeight)
+	if now.Sub(e.intervalStart) >= rules.Interval {
 		e.sum = e.total(rules)
-		e.net = 0
-		e.interval = now
+		e.intervalSum = 0
+		e.intervalStart = now
 	}
 	if e.total(rules) == 0 {
 		e.since = now
@@ -43,35 +43,35 @@
 	e.count++
 	e.bad += indicator(bad)
 	e.expected += baselineRate
-	e.net = math.Max(e.net+logRatio(bad, baselineRate, unhealthyRate), -e.sum)
+	e.intervalSum = math.Max(e.intervalSum+logRatio(bad, baselineRate, unhealthyRate), -e.sum)
 }
 
 // total returns the cumulative sum including the current interval, whose part is capped.
 func (e *evidence) total(rules Rules) float64 {
-	return math.Max(0, e.sum+math.Min(e.net, rules.IntervalCap))
+	return math.Max(0, e.sum+math.Min(e.intervalSum, rules.IntervalCap))
 }
 
-// normal returns the rate that the subject contributes to the baseline of others: the higher of the
+// baselineRate returns the rate that the subject contributes to the baseline of others: the higher of the
 // recent rate, which shows a shared cause first, and the longer-term rate, which is more stable.
-func (e *evidence) normal() float64 { return math.Max(e.rate, e.longRate) }
+func (e *evidence) baselineRate() float64 { return math.Max(e.rate, e.longRate) }
 
-// convinces reports whether the evidence suffices for an unhealthy verdict. The median sum of the
+// isSufficient reports whether the evidence suffices for an unhealthy verdict. The median sum of the
 // other servers is subtracted, since a shared cause is not a fault of the subject.
-func (e *evidence) convinces(now time.Time, baselineRate, othersSum float64, rules Rules) bool {
+func (e *evidence) isSufficient(now time.Time, baselineRate, othersSum float64, rules Rules) bool {
 	return e.total(rules)-othersSum >= rules.Threshold &&
 		e.bad >= rules.MinBad &&
 		now.Sub(e.since) >= rules.MinSpan &&
 		e.rate >= baselineRate+rules.Margin &&
-		e.deviates(rules)
+		e.isSignificant(rules)
 }
 
-// deviates reports whether the bad observations exceed the expected number by Rules.Deviations
+// isSignificant reports whether the bad observations exceed the expected number by Rules.Deviations
 // standard deviations.
-func (e *evidence) deviates(rules Rules) bool {
-	return e.deviatesFrom(e.expected/e.count, rules)
+func (e *evidence) isSignificant(rules Rules) bool {
+	return e.isSignificantAgainst(e.expected/e.count, rules)
 }
 
-func (e *evidence) deviatesFrom(expectedRate float64, rules Rules) bool {
+func (e *evidence) isSignificantAgainst(expectedRate float64, rules Rules) bool {
 	deviation := math.Sqrt(e.count * expectedRate * (1 - expectedRate))
 	return e.bad-e.count*expectedRate >= rules.Deviations*deviation
 }
--- a/internal/detect/explain.go
+++ b/internal/detect/explain.go
@@ -33,8 +33,8 @@
 func (s *Subject) Explain(now time.Time) Explanation {
 	x := s.evidenceNow()
 	if s.ejection.ejected {
-		x = s.ejection.decided
-		x.Since = now.Sub(s.ejection.began)
+		x = s.ejection.decidingEvidence
+		x.Since = now.Sub(s.ejection.startedAt)
 	}
 	x.State = s.State(now)
 	x.Cause = s.ejection.cause
--- a/internal/detect/rules.go
+++ b/internal/detect/rules.go
@@ -13,11 +13,11 @@
 	// Threshold is the sum from which a subject is unhealthy: 10, 8. A higher threshold is
 	// slower, a lower one causes more false verdicts.
 	Threshold float64
-	// SickFailure and SickSlow are the fractions of responses, beyond the baseline rate, that an
-	// unhealthy subject fails, 0.3, or gives slowly, 0.5. They set the weight of one observation:
-	// against a healthy baseline a failure adds 3.4, so that three reach either threshold, and a
-	// slow response adds 2.4, so that five reach 10 and four reach 8.
-	SickFailure, SickSlow float64
+	// UnhealthyFailureRate and UnhealthySlowRate are the fractions of responses, beyond the
+	// baseline rate, that an unhealthy subject fails, 0.3, or gives slowly, 0.5. They set the
+	// weight of one observation: against a healthy baseline a failure adds 3.4, so that three
+	// reach either threshold, and a slow response adds 2.4, so that five reach 10 and four reach 8.
+	UnhealthyFailureRate, UnhealthySlowRate float64
 	// SlowFactor and SlowSlack define a slow response: one that takes longer than SlowFactor
 	// times the baseline's typical latency plus SlowSlack. The slack absorbs scheduling jitter for
 	// short requests. Slowness below SlowFactor is not detected.
@@ -58,24 +58,24 @@
 // Careful returns the rules that prefer fewer false ejections.
 func Careful() Rules {
 	return Rules{
-		Threshold:       10,
-		SickFailure:     0.3,
-		SickSlow:        0.5,
-		SlowFactor:      3,
-		SlowSlack:       10 * time.Millisecond,
-		OverdueFactor:   8,
-		OverdueSlack:    300 * time.Millisecond,
-		Interval:        200 * time.Millisecond,
-		IntervalCap:     3.5,
-		MinSpan:         time.Second,
-		MinBad:          3,
-		Deviations:      5,
-		Margin:          0.15,
-		EjectionTime:    5 * time.Second,
-		EjectionTimeMax: 5 * time.Minute,
-		EjectionMemory:  time.Minute,
-		ProbationPasses: 5,
-		Ramp:            5 * time.Second,
+		Threshold:            10,
+		UnhealthyFailureRate: 0.3,
+		UnhealthySlowRate:    0.5,
+		SlowFactor:           3,
+		SlowSlack:            10 * time.Millisecond,
+		OverdueFactor:        8,
+		OverdueSlack:         300 * time.Millisecond,
+		Interval:             200 * time.Millisecond,
+		IntervalCap:          3.5,
+		MinSpan:              time.Second,
+		MinBad:               3,
+		Deviations:           5,
+		Margin:               0.15,
+		EjectionTime:         5 * time.Second,
+		EjectionTimeMax:      5 * time.Minute,
+		EjectionMemory:       time.Minute,
+		ProbationPasses:      5,
+		Ramp:                 5 * time.Second,
 	}
 }
 
--- a/internal/detect/summary.go
+++ b/internal/detect/summary.go
@@ -17,8 +17,8 @@
 	Bad   float64 `json:"bad"`
 }
 
-// suspicion returns the stronger of the two kinds of evidence.
-func (s *Subject) suspicion() *evidence {
+// strongestEvidence returns the stronger of the two kinds of evidence.
+func (s *Subject) strongestEvidence() *evidence {
 	if s.slow.total(s.rules) > s.failure.total(s.rules) {
 		return &s.slow
 	}
@@ -26,12 +26,12 @@
 }
 
 // SuspectedSince returns when the current suspicion of the subject began.
-func (s *Subject) SuspectedSince() time.Time { return s.suspicion().since }
+func (s *Subject) SuspectedSince() time.Time { return s.strongestEvidence().since }
 
 // Summary returns how the subject has performed since the given time.
 func (s *Subject) Summary(since time.Time) Summary {
-	e := s.suspicion()
-	summary := Summary{Good: s.lastGood.After(since)}
+	e := s.strongestEvidence()
+	summary := Summary{Good: s.lastGoodAt.After(since)}
 	if sum := e.total(s.rules); sum > 0 {
 		summary.Suspect = sum >= s.rules.Threshold/2
 		summary.Count = e.count
@@ -40,15 +40,15 @@
 	return summary
 }
 
-// idleFactor multiplies the required evidence if none of the other servers received a request
+// idleThresholdFactor multiplies the required evidence if none of the other servers received a request
 // during the suspicion, so that there is nothing to compare with.
-const idleFactor = 2
+const idleThresholdFactor = 2
 
 // IsOutlier reports whether the subject performs worse than the others since its suspicion began:
 // at least one of them did well, more did well than are suspected themselves, and the subject's bad
 // observations are not explained by the rate of theirs.
 func (s *Subject) IsOutlier(others []Summary) bool {
-	e := s.suspicion()
+	e := s.strongestEvidence()
 	good, suspect := 0, 0
 	var count, bad float64
 	for _, other := range others {
@@ -63,10 +63,10 @@
 		}
 	}
 	if good+suspect == 0 && count == 0 {
-		return e.total(s.rules) >= idleFactor*s.rules.Threshold
+		return e.total(s.rules) >= idleThresholdFactor*s.rules.Threshold
 	}
 	if good <= suspect {
 		return false
 	}
-	return e.deviatesFrom(math.Max(bad/count, normalFailure), s.rules)
+	return e.isSignificantAgainst(math.Max(bad/count, minFailureRate), s.rules)
 }
--- a/internal/detect/told.go
+++ b/internal/detect/told.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// minTold is the minimum number of other servers with a reported rate: the median of three is not
+// minReported is the minimum number of other servers with a reported rate: the median of three is not
 // decided by a single unhealthy one.
-const minTold = 3
+const minReported = 3
 
 // Told holds the failure rates of a service's backend servers as their sidecars report them: the
 // fraction of recent requests, from all senders, that failed. It serves observers that send each of
@@ -32,9 +32,9 @@
 	if reported {
 		others--
 	}
-	if b.known() || others < minTold {
+	if b.known() || others < minReported {
 		return b
 	}
-	b.Failure = middleWithout(r.sorted, own, reported)
+	b.Failure = medianWithout(r.sorted, own, reported)
 	return b
 }
--- a/internal/detect/told_test.go
+++ b/internal/detect/told_test.go
@@ -7,16 +7,16 @@
 	"github.com/tideliftd/tidelift/internal/detect"
 )
 
-// TestToldFailuresCompleteABaseline guards against a shared failure rate that is attributed to each
+// TestReportedFailuresCompleteBaseline guards against a shared failure rate that is attributed to each
 // backend server because the observer has too few observations of its own.
-func TestToldFailuresCompleteABaseline(t *testing.T) {
+func TestReportedFailuresCompleteBaseline(t *testing.T) {
 	shared := map[string]float64{"a": 0.9, "b": 0.3, "c": 0.25, "d": 0.2, "e": 0}
 	known := detect.Baseline{Failure: 0.01, Typical: time.Second}
 	tests := []struct {
-		name string
-		told map[string]float64
-		own  detect.Baseline
-		want detect.Baseline
+		name     string
+		reported map[string]float64
+		own      detect.Baseline
+		want     detect.Baseline
 	}{
 		{"no reports", nil, detect.Baseline{}, detect.Baseline{}},
 		{"too few reports", map[string]float64{"a": 0.5, "b": 0.5, "c": 0.5}, detect.Baseline{}, detect.Baseline{}},
@@ -25,7 +25,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			got := detect.NewTold(test.told).Complete("a", test.own)
+			got := detect.NewTold(test.reported).Complete("a", test.own)
 			if got != test.want {
 				t.Fatalf("got %+v, want %+v", got, test.want)
 			}
