--- a/internal/detect/baseline.go
+++ b/internal/detect/baseline.go
@@ -110,16 +110,16 @@
 // their observations.
 func (g *Group) Reconfigure(rules Rules, names []string) {
 	g.rules = rules
-	subjects := make(map[string]*Subject, len(names))
+	updated := make(map[string]*Subject, len(names))
 	for _, name := range names {
 		s, ok := g.subjects[name]
 		if !ok {
 			s = NewSubject(rules)
 		}
 		s.SetRules(rules)
-		subjects[name] = s
+		updated[name] = s
 	}
-	g.subjects = subjects
+	g.subjects = updated
 	g.Compare()
 }
 
--- a/internal/detect/curve_test.go
+++ b/internal/detect/curve_test.go
@@ -161,12 +161,12 @@
 	for _, threshold := range []float64{4, 6.5, 8, 9, 10, 13, 17} {
 		rules := detect.Swift()
 		rules.Threshold = threshold
-		faulty := experiment{
+		withFault := experiment{
 			rules: rules, perSec: 300, normal: healthy(0.4), faulty: stalled(0.3), faultyCount: 1,
 			warm: 10 * time.Second, after: 20 * time.Second,
 		}
 		noisy := experiment{rules: rules, perSec: 300, normal: healthy(1), warm: time.Second, after: time.Minute}
-		after, worst, _ := faulty.times(seeds)
+		after, worst, _ := withFault.times(seeds)
 		_, _, falseVerdicts := noisy.times(seeds)
 		t.Logf("threshold %4.1f: a third timing out detected after %s, worst %s; %d false verdicts on %d servers in a minute of heavy tails",
 			threshold, after.Round(time.Millisecond), worst.Round(time.Millisecond), falseVerdicts, seeds*servers)
--- a/internal/detect/detect.go
+++ b/internal/detect/detect.go
@@ -142,10 +142,10 @@
 // SetRules replaces the rules and keeps the observations.
 func (s *Subject) SetRules(rules Rules) { s.rules = rules }
 
-// Observe records one observation. The baseline describes the service's other backend servers.
-func (s *Subject) Observe(now time.Time, o Observation, baseline Baseline) {
-	if baseline.known() {
-		s.baseline = baseline
+// Observe records one observation. The baseline others describes the service's other backend servers.
+func (s *Subject) Observe(now time.Time, o Observation, others Baseline) {
+	if others.known() {
+		s.baseline = others
 	}
 	s.observed++
 	failed := o.failed()
--- a/internal/detect/ejection.go
+++ b/internal/detect/ejection.go
@@ -82,9 +82,9 @@
 
 // ObserveProbation records the outcome of a probation request and reports whether the subject was
 // reinstated. A failure or a slow response ejects it again.
-func (s *Subject) ObserveProbation(now time.Time, o Observation, baseline Baseline) bool {
-	if baseline.known() {
-		s.baseline = baseline
+func (s *Subject) ObserveProbation(now time.Time, o Observation, others Baseline) bool {
+	if others.known() {
+		s.baseline = others
 	}
 	slow := s.baseline.Typical > 0 && o.Took > s.rules.slowLimit(s.baseline.Typical)
 	if o.Outcome != OK || slow {
