--- a/internal/suspicion/hanging.go
+++ b/internal/suspicion/hanging.go
@@ -5,18 +5,18 @@
 // hanging tracks whether a backend server appears to hang: a request runs for longer than it
 // should, and no later request has succeeded.
 type hanging struct {
-	slowRunning  int       // slow requests still running
-	slowUntil    time.Time // end of the period in which an ended slow request still counts
-	lastSlowFrom time.Time // start of the latest slow request
-	lastGoodFrom time.Time // start of the latest successful request
+	slowRunning      int       // slow requests still running
+	slowUntil        time.Time // end of the period in which an ended slow request still counts
+	lastSlowStart    time.Time // start of the latest slow request
+	lastSuccessStart time.Time // start of the latest successful request
 }
 
 // SlowRequest records that a running request, started at the given time, has exceeded its route's
 // slow limit.
 func (s *Suspicion) SlowRequest(startedAt time.Time) {
 	s.hanging.slowRunning++
-	if startedAt.After(s.hanging.lastSlowFrom) {
-		s.hanging.lastSlowFrom = startedAt
+	if startedAt.After(s.hanging.lastSlowStart) {
+		s.hanging.lastSlowStart = startedAt
 	}
 }
 
@@ -34,12 +34,12 @@
 // detects a hang long before the slow request ends; requests sent after it may hang as well.
 func (s *Suspicion) Hanging(now time.Time) bool {
 	counts := s.hanging.slowRunning > 0 || now.Before(s.hanging.slowUntil)
-	return counts && s.hanging.lastSlowFrom.After(s.hanging.lastGoodFrom)
+	return counts && s.hanging.lastSlowStart.After(s.hanging.lastSuccessStart)
 }
 
-// recordGood records the success of a request that started at the given time.
-func (h *hanging) recordGood(startedAt time.Time) {
-	if startedAt.After(h.lastGoodFrom) {
-		h.lastGoodFrom = startedAt
+// recordSuccess records the success of a request that started at the given time.
+func (h *hanging) recordSuccess(startedAt time.Time) {
+	if startedAt.After(h.lastSuccessStart) {
+		h.lastSuccessStart = startedAt
 	}
 }
--- a/internal/suspicion/suspicion.go
+++ b/internal/suspicion/suspicion.go
@@ -52,38 +52,38 @@
 
 	// suspectedFrom is the sum from which a backend server is suspected.
 	suspectedFrom = 1.0
-	// keptByGood is the factor that a success applies to the sum, so that failures add up only if
+	// successDecay is the factor that a success applies to the sum, so that failures add up only if
 	// they are close to each other.
-	keptByGood = 0.4
+	successDecay = 0.4
 )
 
-// Failure rates of the other backend servers. Up to usualFailing an error has its full weight; from
-// commonFailing on it has none, since the cause is likely shared.
+// Failure rates of the other backend servers. Up to normalFailureRate an error has its full weight; from
+// sharedFailureRate on it has none, since the cause is likely shared.
 const (
-	usualFailing  = 0.03
-	commonFailing = 0.15
+	normalFailureRate = 0.03
+	sharedFailureRate = 0.15
 )
 
 const (
-	// goodProbes is the number of consecutive successful probes that end the suspicion. A backend
+	// requiredProbes is the number of consecutive successful probes that end the suspicion. A backend
 	// server that fails most requests passes two by chance too often.
-	goodProbes = 3
-	// survivedAfter is how long a probe has to run to count as successful after a broken
+	requiredProbes = 3
+	// minProbeRun is how long a probe has to run to count as successful after a broken
 	// connection. A failing backend server breaks connections within milliseconds; a reservation's
 	// request arrives one round trip after its slot was granted.
-	survivedAfter = 40 * time.Millisecond
-	// firstPause and longestPause bound the time between probes; each failed probe doubles it. Failed
+	minProbeRun = 40 * time.Millisecond
+	// minProbePause and maxProbePause bound the time between probes; each failed probe doubles it. Failed
 	// probes consume the retry budget, and a recovered server should not wait for seconds.
-	firstPause   = 200 * time.Millisecond
-	longestPause = time.Second
-	// probeLasts is how long a probe prevents further probes from being sent. It must not exceed
-	// longestPause.
-	probeLasts = time.Second
-	// anyProbeAfter is how long a probe may be due before a non-idempotent request may be the
-	// probe; anyProbeAgain is the same after a successful probe. Without it a service that has only
+	minProbePause = 200 * time.Millisecond
+	maxProbePause = time.Second
+	// probeExclusion is how long a probe prevents further probes from being sent. It must not exceed
+	// maxProbePause.
+	probeExclusion = time.Second
+	// nonIdempotentProbeDelay is how long a probe may be due before a non-idempotent request may be the
+	// probe; nonIdempotentReprobeDelay is the same after a successful probe. Without it a service that has only
 	// non-idempotent requests would never regain its backend servers.
-	anyProbeAfter = 2 * time.Second
-	anyProbeAgain = 500 * time.Millisecond
+	nonIdempotentProbeDelay   = 2 * time.Second
+	nonIdempotentReprobeDelay = 500 * time.Millisecond
 )
 
 // FailureWeight returns the weight of a response that indicates a failure of the backend server,
@@ -91,22 +91,22 @@
 // requests or by a service that they all call; suspecting every backend server would leave none to
 // serve.
 func FailureWeight(othersFailureRate float64) float64 {
-	factor := (commonFailing - othersFailureRate) / (commonFailing - usualFailing)
+	factor := (sharedFailureRate - othersFailureRate) / (sharedFailureRate - normalFailureRate)
 	return Failed * max(0, min(1, factor))
 }
 
 // Suspicion is the suspicion state of one backend server.
 type Suspicion struct {
-	sum       float64
-	slow      float64 // part of the sum from slow outcomes
-	broke     bool    // the last bad outcome was a broken connection
-	suspected bool
-	good      int // consecutive successful probes
-	pause     time.Duration
-	probeAt   time.Time // earliest time of the next probe
-	probed    time.Time // time of the last probe while its outcome is unknown; zero otherwise
-	survived  int       // probes counted as successful before their responses arrived
-	hanging   hanging
+	sum             float64
+	slowSum         float64 // part of the sum from slow outcomes
+	connectionBroke bool    // the last bad outcome was a broken connection
+	suspected       bool
+	successes       int // consecutive successful probes
+	pause           time.Duration
+	nextProbe       time.Time // earliest time of the next probe
+	pendingProbe    time.Time // time of the last probe while its outcome is unknown; zero otherwise
+	survivedProbes  int       // probes counted as successful before their responses arrived
+	hanging         hanging
 }
 
 // New returns a Suspicion without recorded outcomes.
@@ -115,7 +115,7 @@
 // RecordSlowness records a late or missing response with the given weight and reports whether
 // suspicion begins with it.
 func (s *Suspicion) RecordSlowness(now time.Time, weight float64) bool {
-	s.slow += weight
+	s.slowSum += weight
 	return s.RecordFailure(now, weight)
 }
 
@@ -123,65 +123,65 @@
 // with it.
 func (s *Suspicion) RecordFailure(now time.Time, weight float64) bool {
 	s.sum += weight
-	s.broke = weight >= Broken
-	s.probed = time.Time{}
-	s.survived = 0
+	s.connectionBroke = weight >= Broken
+	s.pendingProbe = time.Time{}
+	s.survivedProbes = 0
 	if s.suspected {
-		s.pauseProbes(now, min(2*s.pause, longestPause))
+		s.pauseProbes(now, min(2*s.pause, maxProbePause))
 		return false
 	}
 	if s.sum < suspectedFrom {
 		return false
 	}
 	s.suspected = true
-	s.pauseProbes(now, firstPause)
+	s.pauseProbes(now, minProbePause)
 	return true
 }
 
 // pauseProbes delays the next probe and resets the count of successful ones.
 func (s *Suspicion) pauseProbes(now time.Time, pause time.Duration) {
-	s.good = 0
+	s.successes = 0
 	s.pause = pause
-	s.probeAt = now.Add(pause)
+	s.nextProbe = now.Add(pause)
 }
 
 // RecordGood records a success of a request that started at the given time and reports whether
 // suspicion ends with it.
 func (s *Suspicion) RecordGood(now, startedAt time.Time) bool {
-	s.sum *= keptByGood
-	s.slow *= keptByGood
-	s.hanging.recordGood(startedAt)
+	s.sum *= successDecay
+	s.slowSum *= successDecay
+	s.hanging.recordSuccess(startedAt)
 	if !s.suspected {
 		return false
 	}
-	if s.survived > 0 {
-		s.survived-- // already counted by ProbeSurvived
+	if s.survivedProbes > 0 {
+		s.survivedProbes-- // already counted by ProbeSurvived
 		return false
 	}
-	return s.countGood(now)
+	return s.countSuccess(now)
 }
 
 // ProbeSurvived counts the current probe as successful if it has run for long enough and the last bad
 // outcome was a broken connection. It reports whether suspicion ends with it.
 func (s *Suspicion) ProbeSurvived(now time.Time) bool {
-	if !s.suspected || !s.broke || s.probed.IsZero() || now.Sub(s.probed) < survivedAfter {
+	if !s.suspected || !s.connectionBroke || s.pendingProbe.IsZero() || now.Sub(s.pendingProbe) < minProbeRun {
 		return false
 	}
-	s.survived++
-	return s.countGood(now)
+	s.survivedProbes++
+	return s.countSuccess(now)
 }
 
-// countGood counts a successful probe and reports whether suspicion ends with it.
-func (s *Suspicion) countGood(now time.Time) bool {
-	s.probed = time.Time{}
-	s.good++
-	s.probeAt = now
-	if s.good < goodProbes {
+// countSuccess counts a successful probe and reports whether suspicion ends with it.
+func (s *Suspicion) countSuccess(now time.Time) bool {
+	s.pendingProbe = time.Time{}
+	s.successes++
+	s.nextProbe = now
+	if s.successes < requiredProbes {
 		return false
 	}
 	s.suspected = false
 	s.sum = 0
-	s.slow = 0
+	s.slowSum = 0
 	return true
 }
 
@@ -191,31 +191,31 @@
 // MostlySlow reports whether most of the sum is from late or missing responses. An idempotent
 // request loses little at such a backend server, since it is hedged elsewhere in time; where
 // requests fail immediately, each failure costs a retry.
-func (s *Suspicion) MostlySlow() bool { return 2*s.slow > s.sum }
+func (s *Suspicion) MostlySlow() bool { return 2*s.slowSum > s.sum }
 
 // GoodInARow returns the number of consecutive successful probes.
-func (s *Suspicion) GoodInARow() int { return s.good }
+func (s *Suspicion) GoodInARow() int { return s.successes }
 
 // MayProbe reports whether an idempotent request may be sent as a probe.
-func (s *Suspicion) MayProbe(now time.Time) bool { return !now.Before(s.probeAt) }
+func (s *Suspicion) MayProbe(now time.Time) bool { return !now.Before(s.nextProbe) }
 
 // MayProbeWithAny reports whether a probe has been due for so long without an idempotent request
 // that any request may be the probe.
 func (s *Suspicion) MayProbeWithAny(now time.Time) bool {
-	delay := anyProbeAfter
-	if s.good > 0 {
-		delay = anyProbeAgain
+	delay := nonIdempotentProbeDelay
+	if s.successes > 0 {
+		delay = nonIdempotentReprobeDelay
 	}
-	return !now.Before(s.probeAt.Add(delay))
+	return !now.Before(s.nextProbe.Add(delay))
 }
 
 // ProbeSent records that a probe received a slot.
 func (s *Suspicion) ProbeSent(now time.Time) {
-	s.probeAt = now.Add(probeLasts)
-	s.probed = now
+	s.nextProbe = now.Add(probeExclusion)
+	s.pendingProbe = now
 }
 
 // RetryAfter returns how long a caller that is refused because of the suspicion should wait.
 func (s *Suspicion) RetryAfter(now time.Time) time.Duration {
-	return max(firstPause, s.probeAt.Sub(now))
+	return max(minProbePause, s.nextProbe.Sub(now))
 }
--- a/internal/suspicion/suspicion_test.go
+++ b/internal/suspicion/suspicion_test.go
@@ -11,7 +11,7 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func TestWhatBeginsSuspicion(t *testing.T) {
+func TestSuspicionBegins(t *testing.T) {
 	good := func(s *suspicion.Suspicion) { s.RecordGood(epoch, epoch) }
 	bad := func(weight float64) func(*suspicion.Suspicion) {
 		return func(s *suspicion.Suspicion) { s.RecordFailure(epoch, weight) }
@@ -48,9 +48,9 @@
 	}
 }
 
-// TestProbesAreFewAndNeverStop guards against probes that follow a failed one too soon, and against a
+// TestProbesAreLimitedAndNeverStop guards against probes that follow a failed one too soon, and against a
 // backend server that is no longer probed after many failures.
-func TestProbesAreFewAndNeverStop(t *testing.T) {
+func TestProbesAreLimitedAndNeverStop(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := suspicion.New()
 		s.RecordFailure(epoch, suspicion.Broken)
@@ -73,9 +73,9 @@
 	})
 }
 
-// TestAProbeThatRunsIsCountedOnce guards against a probe that is counted when it has outlived broken
+// TestSurvivingProbeIsCountedOnce guards against a probe that is counted when it has outlived broken
 // connections and again when its response arrives.
-func TestAProbeThatRunsIsCountedOnce(t *testing.T) {
+func TestSurvivingProbeIsCountedOnce(t *testing.T) {
 	s := suspicion.New()
 	s.RecordFailure(epoch, suspicion.Broken)
 	now := epoch
@@ -98,9 +98,9 @@
 	}
 }
 
-// TestOnlyBreakingIsOutlived guards against ending a suspicion that failed responses caused because
+// TestSurvivalCountsOnlyAfterBrokenConnections guards against ending a suspicion that failed responses caused because
 // probes run for some time; only a response shows success then.
-func TestOnlyBreakingIsOutlived(t *testing.T) {
+func TestSurvivalCountsOnlyAfterBrokenConnections(t *testing.T) {
 	s := suspicion.New()
 	s.RecordFailure(epoch, suspicion.Failed)
 	s.RecordFailure(epoch, suspicion.Failed)
@@ -137,9 +137,9 @@
 	}
 }
 
-// TestWithoutRepeatableRequestsOthersFindOut guards against a permanent suspicion of a backend server
+// TestNonIdempotentRequestsMayProbe guards against a permanent suspicion of a backend server
 // whose service has only non-idempotent requests.
-func TestWithoutRepeatableRequestsOthersFindOut(t *testing.T) {
+func TestNonIdempotentRequestsMayProbe(t *testing.T) {
 	s := suspicion.New()
 	s.RecordFailure(epoch, suspicion.Broken)
 	if s.MayProbeWithAny(epoch.Add(time.Second)) {
@@ -159,8 +159,8 @@
 	}
 }
 
-// TestMostlyLate guards against confusing a backend server that hangs with one that fails immediately.
-func TestMostlyLate(t *testing.T) {
+// TestMostlySlow guards against confusing a backend server that hangs with one that fails immediately.
+func TestMostlySlow(t *testing.T) {
 	hangs := suspicion.New()
 	hangs.RecordSlowness(epoch, suspicion.Overdue)
 	hangs.RecordSlowness(epoch, suspicion.Overdue)
@@ -179,9 +179,9 @@
 	}
 }
 
-// TestHangingDoesNotLast guards against a backend server that counts as hanging forever because only
+// TestHangingExpires guards against a backend server that counts as hanging forever because only
 // non-idempotent requests, which are sent elsewhere, could show otherwise.
-func TestHangingDoesNotLast(t *testing.T) {
+func TestHangingExpires(t *testing.T) {
 	s := suspicion.New()
 	s.SlowRequest(epoch)
 	ended := epoch.Add(3 * time.Second)
