--- a/internal/floor/floor.go
+++ b/internal/floor/floor.go
@@ -25,7 +25,7 @@
 // # Clocks
 //
 // Each side measures a lease with its own monotonic clock, the holder from before it sent the
-// request, the grantor from when it replied, so that the holder's lease expires first. DriftPart
+// request, the grantor from when it replied, so that the holder's lease expires first. DriftDivisor
 // allows for clocks that run at different speeds. A sidecar that has just started may have granted
 // leases before the restart, so it requests none for the length of one lease.
 //
@@ -41,15 +41,15 @@
 )
 
 const (
-	// Lease is how long a lease binds its grantor. A grantor that is lost counts towards the floor
+	// LeaseDuration is how long a lease binds its grantor. A grantor that is lost counts towards the floor
 	// for this long, and a sidecar that has just started is not ejected for this long.
-	Lease = 2 * time.Second
+	LeaseDuration = 2 * time.Second
 	// RenewEvery is the interval at which a holder renews its leases. Two consecutive renewals may
 	// be lost before a lease expires; each costs as many calls as the floor.
 	RenewEvery = 500 * time.Millisecond
-	// DriftPart is the divisor for the part of a lease that the holder leaves unused to allow for
+	// DriftDivisor is the divisor for the part of a lease that the holder leaves unused to allow for
 	// clock drift: a twentieth, 100 ms.
-	DriftPart = 20
+	DriftDivisor = 20
 )
 
 // Refusal is the reason why a lease was refused.
@@ -63,14 +63,14 @@
 	RefusedEjected Refusal = "ejected"
 	// RefusedUnable means that it is draining, dead or cold.
 	RefusedUnable Refusal = "unable"
-	// RefusedWorse means that it requests leases for its own ejection and has precedence.
-	RefusedWorse Refusal = "worse"
+	// RefusedMoreSevere means that it requests leases for its own ejection and has precedence.
+	RefusedMoreSevere Refusal = "worse"
 )
 
 // Request requests a lease from a backend server.
 type Request struct {
-	// Asker is the backend server that requests the lease.
-	Asker string `json:"asker"`
+	// Requester is the backend server that requests the lease.
+	Requester string `json:"asker"`
 	// Number identifies the request among those of the same requester.
 	Number uint64 `json:"number"`
 	// Severity is the requester's severity; see detect.Verdict.
@@ -81,8 +81,8 @@
 
 // Release returns a lease to its grantor.
 type Release struct {
-	// Asker is the holder of the lease, Number that of the request it was granted for.
-	Asker  string `json:"asker"`
+	// Holder is the backend server that holds the lease, Number that of the request it was granted for.
+	Holder string `json:"asker"`
 	Number uint64 `json:"number"`
 }
 
@@ -99,19 +99,19 @@
 
 // Ledger holds the leases that one backend server has granted and those that it holds.
 type Ledger struct {
-	config   Config
-	next     uint64
-	unable   bool
-	ejected  bool
-	asking   bool
-	severity float64
-	given    map[string]given     // by holder
-	held     map[string]time.Time // expiry by grantor
-	asked    map[string]uint64    // number of the latest request by its recipient
+	config     Config
+	lastNumber uint64
+	unable     bool
+	ejected    bool
+	requesting bool
+	severity   float64
+	granted    map[string]granted   // by holder
+	held       map[string]time.Time // expiry by grantor
+	requested  map[string]uint64    // number of the latest request by its recipient
 }
 
-// given is a lease that was granted.
-type given struct {
+// granted is a lease granted to another backend server.
+type granted struct {
 	number uint64
 	until  time.Time
 }
@@ -119,11 +119,11 @@
 // NewLedger returns an empty ledger.
 func NewLedger(config Config) *Ledger {
 	return &Ledger{
-		config: config,
-		next:   config.FirstNumber,
-		given:  make(map[string]given),
-		held:   make(map[string]time.Time),
-		asked:  make(map[string]uint64),
+		config:     config,
+		lastNumber: config.FirstNumber,
+		granted:    make(map[string]granted),
+		held:       make(map[string]time.Time),
+		requested:  make(map[string]uint64),
 	}
 }
 
@@ -138,87 +138,87 @@
 		return RefusedEjected
 	case l.unable:
 		return RefusedUnable
-	case l.asking && l.worseThan(r):
-		return RefusedWorse
+	case l.requesting && l.hasPrecedence(r):
+		return RefusedMoreSevere
 	}
-	l.given[r.Asker] = given{number: r.Number, until: now.Add(Lease)}
+	l.granted[r.Requester] = granted{number: r.Number, until: now.Add(LeaseDuration)}
 	return Granted
 }
 
-// worseThan reports whether the backend server has precedence over a concurrent requester. The order
+// hasPrecedence reports whether the backend server has precedence over a concurrent requester. The order
 // prevents two servers from granting each other leases so that neither can be ejected.
-func (l *Ledger) worseThan(r Request) bool {
+func (l *Ledger) hasPrecedence(r Request) bool {
 	if l.severity != r.Severity {
 		return l.severity > r.Severity
 	}
-	return l.config.Name < r.Asker
+	return l.config.Name < r.Requester
 }
 
 // RecordRelease records that the holder has released a lease.
 func (l *Ledger) RecordRelease(r Release) {
-	if l.given[r.Asker].number == r.Number {
-		delete(l.given, r.Asker)
+	if l.granted[r.Holder].number == r.Number {
+		delete(l.granted, r.Holder)
 	}
 }
 
 // BeginAsking records that the backend server should be ejected and reports whether it may request
 // leases now. It may not within one lease of its start or while a lease it granted is binding.
 func (l *Ledger) BeginAsking(now time.Time, severity float64) bool {
-	l.asking = now.Sub(l.config.Start) >= Lease && !l.bound(now)
+	l.requesting = now.Sub(l.config.Start) >= LeaseDuration && !l.hasBindingGrant(now)
 	l.severity = severity
-	return l.asking
+	return l.requesting
 }
 
 // NewRequest returns a new lease request to be sent to the named backend server.
 func (l *Ledger) NewRequest(name string) Request {
-	l.next++
-	l.asked[name] = l.next
-	return Request{Asker: l.config.Name, Number: l.next, Severity: l.severity}
+	l.lastNumber++
+	l.requested[name] = l.lastNumber
+	return Request{Requester: l.config.Name, Number: l.lastNumber, Severity: l.severity}
 }
 
 // ReleaseAll ends the ejection or the attempt at it and returns the releases to send, by the name of
 // the grantor.
 func (l *Ledger) ReleaseAll() map[string]Release {
-	l.asking = false
+	l.requesting = false
 	l.ejected = false
-	return l.release(l.asked)
+	return l.release(l.requested)
 }
 
-// bound reports whether a lease granted to another backend server is still binding.
-func (l *Ledger) bound(now time.Time) bool {
-	for holder, g := range l.given {
+// hasBindingGrant reports whether a lease granted to another backend server is still binding.
+func (l *Ledger) hasBindingGrant(now time.Time) bool {
+	for holder, g := range l.granted {
 		if now.Before(g.until) {
 			return true
 		}
-		delete(l.given, holder)
+		delete(l.granted, holder)
 	}
 	return false
 }
 
 // RecordGrant records that the named backend server granted the numbered request, which was sent at
 // the given time.
-func (l *Ledger) RecordGrant(number uint64, grantor string, requestedAt time.Time) {
-	if l.asked[grantor] == number {
-		l.held[grantor] = requestedAt.Add(Lease - Lease/DriftPart)
+func (l *Ledger) RecordGrant(number uint64, grantor string, requested time.Time) {
+	if l.requested[grantor] == number {
+		l.held[grantor] = requested.Add(LeaseDuration - LeaseDuration/DriftDivisor)
 	}
 }
 
 // RecordRefusal records that the named backend server refused the numbered request. A lease that it
 // granted before counts until it expires, since it is binding until then.
 func (l *Ledger) RecordRefusal(number uint64, name string) {
-	if l.asked[name] == number && l.held[name].IsZero() {
-		delete(l.asked, name)
+	if l.requested[name] == number && l.held[name].IsZero() {
+		delete(l.requested, name)
 	}
 }
 
 // Eject ejects the backend server if it holds as many leases as the floor requires and no lease that
 // it granted is binding. It reports whether it did.
 func (l *Ledger) Eject(now time.Time, floor int) bool {
-	if l.ejected || !l.asking || l.bound(now) || l.count(now) < floor {
+	if l.ejected || !l.requesting || l.hasBindingGrant(now) || l.countHeld(now) < floor {
 		return false
 	}
 	l.ejected = true
-	l.asking = false
+	l.requesting = false
 	return true
 }
 
@@ -228,7 +228,7 @@
 	if !l.ejected {
 		return false
 	}
-	if l.count(now) < floor {
+	if l.countHeld(now) < floor {
 		l.ejected = false
 	}
 	return l.ejected
@@ -237,9 +237,9 @@
 // Restrict drops the leases of all grantors that are not among the names, so that a backend server
 // that is no longer declared does not count towards the floor.
 func (l *Ledger) Restrict(names []string) {
-	for name := range l.asked {
+	for name := range l.requested {
 		if !slices.Contains(names, name) {
-			delete(l.asked, name)
+			delete(l.requested, name)
 			delete(l.held, name)
 		}
 	}
@@ -253,11 +253,11 @@
 		return nil
 	}
 	slices.SortStableFunc(names, func(a, b string) int {
-		return order(preferred(a)) - order(preferred(b))
+		return preferenceRank(preferred(a)) - preferenceRank(preferred(b))
 	})
 	surplus := make(map[string]uint64)
 	for _, name := range names[floor:] {
-		surplus[name] = l.asked[name]
+		surplus[name] = l.requested[name]
 	}
 	return l.release(surplus)
 }
@@ -267,16 +267,16 @@
 func (l *Ledger) release(requests map[string]uint64) map[string]Release {
 	releases := make(map[string]Release, len(requests))
 	for name, number := range requests {
-		releases[name] = Release{Asker: l.config.Name, Number: number}
+		releases[name] = Release{Holder: l.config.Name, Number: number}
 	}
 	for name := range releases {
 		delete(l.held, name)
-		delete(l.asked, name)
+		delete(l.requested, name)
 	}
 	return releases
 }
 
-func order(preferred bool) int {
+func preferenceRank(preferred bool) int {
 	if preferred {
 		return 0
 	}
@@ -295,7 +295,7 @@
 	return names
 }
 
-func (l *Ledger) count(now time.Time) int {
+func (l *Ledger) countHeld(now time.Time) int {
 	n := 0
 	for _, until := range l.held {
 		if now.Before(until) {
--- a/internal/floor/floor_test.go
+++ b/internal/floor/floor_test.go
@@ -16,11 +16,11 @@
 type message struct {
 	to, from string
 	request  *floor.Request
-	answer   *answer
+	reply    *reply
 	release  *floor.Release
 }
 
-type answer struct {
+type reply struct {
 	number  uint64
 	asked   time.Time
 	refusal floor.Refusal
@@ -34,7 +34,7 @@
 	names     []string
 	frozen    map[string]bool
 	asked     map[uint64]time.Time
-	wire      []message
+	inTransit []message
 	now       time.Time
 	numbers   uint64
 }
@@ -53,7 +53,7 @@
 		m.names = append(m.names, name)
 		m.start(name)
 	}
-	m.now = m.now.Add(floor.Lease)
+	m.now = m.now.Add(floor.LeaseDuration)
 	return m
 }
 
@@ -62,53 +62,53 @@
 	m.ledgers[name] = floor.NewLedger(floor.Config{Name: name, Start: m.now, FirstNumber: m.numbers})
 }
 
-func (m *model) one(t *rapid.T) string { return rapid.SampledFrom(m.names).Draw(t, "who") }
+func (m *model) drawName(t *rapid.T) string { return rapid.SampledFrom(m.names).Draw(t, "who") }
 
-// awake draws a backend server and reports whether it is not frozen.
-func (m *model) awake(t *rapid.T) (string, *floor.Ledger, bool) {
-	name := m.one(t)
+// drawActive draws a backend server and reports whether it is not frozen.
+func (m *model) drawActive(t *rapid.T) (string, *floor.Ledger, bool) {
+	name := m.drawName(t)
 	return name, m.ledgers[name], !m.frozen[name]
 }
 
-func (m *model) wantEjected(t *rapid.T) {
-	name, l, ok := m.awake(t)
+func (m *model) startEjection(t *rapid.T) {
+	name, l, ok := m.drawActive(t)
 	if !ok || !l.BeginAsking(m.now, float64(rapid.IntRange(0, 2).Draw(t, "severity"))) {
 		return
 	}
-	m.askAll(name, l)
+	m.requestFromAll(name, l)
 }
 
 func (m *model) renew(t *rapid.T) {
-	if name, l, ok := m.awake(t); ok && l.MayStayEjected(m.now, m.floorSize) {
-		m.askAll(name, l)
+	if name, l, ok := m.drawActive(t); ok && l.MayStayEjected(m.now, m.floorSize) {
+		m.requestFromAll(name, l)
 	}
 }
 
-func (m *model) askAll(name string, l *floor.Ledger) {
+func (m *model) requestFromAll(name string, l *floor.Ledger) {
 	for _, other := range m.names {
 		if other == name {
 			continue
 		}
 		r := l.NewRequest(other)
 		m.asked[r.Number] = m.now
-		m.wire = append(m.wire, message{to: other, from: name, request: &r})
+		m.inTransit = append(m.inTransit, message{to: other, from: name, request: &r})
 	}
 }
 
-func (m *model) enter(t *rapid.T) {
-	if _, l, ok := m.awake(t); ok {
+func (m *model) eject(t *rapid.T) {
+	if _, l, ok := m.drawActive(t); ok {
 		l.Eject(m.now, m.floorSize)
 	}
 }
 
 func (m *model) trim(t *rapid.T) {
-	if name, l, ok := m.awake(t); ok {
+	if name, l, ok := m.drawActive(t); ok {
 		m.send(name, l.Trim(m.now, m.floorSize, func(other string) bool { return other > "s1" }))
 	}
 }
 
-func (m *model) leave(t *rapid.T) {
-	if name, l, ok := m.awake(t); ok {
+func (m *model) releaseAll(t *rapid.T) {
+	if name, l, ok := m.drawActive(t); ok {
 		m.send(name, l.ReleaseAll())
 	}
 }
@@ -116,37 +116,37 @@
 func (m *model) send(from string, releases map[string]floor.Release) {
 	for _, to := range m.names {
 		if r, ok := releases[to]; ok {
-			m.wire = append(m.wire, message{to: to, from: from, release: &r})
+			m.inTransit = append(m.inTransit, message{to: to, from: from, release: &r})
 		}
 	}
 }
 
 // deliver delivers some of the messages in transit in any order and duplicates some of them.
 func (m *model) deliver(t *rapid.T) {
-	for range rapid.IntRange(0, 2*len(m.wire)).Draw(t, "messages") {
+	for range rapid.IntRange(0, 2*len(m.inTransit)).Draw(t, "messages") {
 		m.deliverOne(t)
 	}
 }
 
 func (m *model) deliverOne(t *rapid.T) {
-	if len(m.wire) == 0 {
+	if len(m.inTransit) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(m.wire)-1).Draw(t, "message")
-	msg := m.wire[i]
+	i := rapid.IntRange(0, len(m.inTransit)-1).Draw(t, "message")
+	msg := m.inTransit[i]
 	if m.frozen[msg.to] {
 		return // remains in the socket buffer
 	}
-	const doubledOneIn = 8
-	if rapid.IntRange(1, doubledOneIn).Draw(t, "doubled") > 1 {
-		m.wire = append(m.wire[:i:i], m.wire[i+1:]...)
+	const duplicateOneIn = 8
+	if rapid.IntRange(1, duplicateOneIn).Draw(t, "doubled") > 1 {
+		m.inTransit = append(m.inTransit[:i:i], m.inTransit[i+1:]...)
 	}
 	m.receive(msg)
 }
 
 // attempt runs an ejection without faults: requests, deliveries, ejection.
 func (m *model) attempt(t *rapid.T) {
-	m.wantEjected(t)
+	m.startEjection(t)
 	m.deliver(t)
 	for _, name := range m.names {
 		if !m.frozen[name] {
@@ -159,35 +159,35 @@
 	l := m.ledgers[msg.to]
 	switch {
 	case msg.request != nil:
-		reply := &answer{number: msg.request.Number, asked: m.asked[msg.request.Number], refusal: l.Answer(m.now, *msg.request)}
-		m.wire = append(m.wire, message{to: msg.from, from: msg.to, answer: reply})
-	case msg.answer != nil && msg.answer.refusal == floor.Granted:
-		l.RecordGrant(msg.answer.number, msg.from, msg.answer.asked)
-	case msg.answer != nil:
-		l.RecordRefusal(msg.answer.number, msg.from)
+		response := &reply{number: msg.request.Number, asked: m.asked[msg.request.Number], refusal: l.Answer(m.now, *msg.request)}
+		m.inTransit = append(m.inTransit, message{to: msg.from, from: msg.to, reply: response})
+	case msg.reply != nil && msg.reply.refusal == floor.Granted:
+		l.RecordGrant(msg.reply.number, msg.from, msg.reply.asked)
+	case msg.reply != nil:
+		l.RecordRefusal(msg.reply.number, msg.from)
 	case msg.release != nil:
 		l.RecordRelease(*msg.release)
 	}
 }
 
-func (m *model) lose(t *rapid.T) {
-	if len(m.wire) > 0 {
-		i := rapid.IntRange(0, len(m.wire)-1).Draw(t, "lost")
-		m.wire = append(m.wire[:i:i], m.wire[i+1:]...)
+func (m *model) drop(t *rapid.T) {
+	if len(m.inTransit) > 0 {
+		i := rapid.IntRange(0, len(m.inTransit)-1).Draw(t, "lost")
+		m.inTransit = append(m.inTransit[:i:i], m.inTransit[i+1:]...)
 	}
 }
 
-func (m *model) pass(t *rapid.T) {
+func (m *model) advance(t *rapid.T) {
 	steps := []int{1, 100, 700, 1890, 1950}
 	m.now = m.now.Add(time.Duration(rapid.SampledFrom(steps).Draw(t, "ms")) * time.Millisecond)
 }
 
-func (m *model) freeze(t *rapid.T) { m.frozen[m.one(t)] = true }
-func (m *model) thaw(t *rapid.T)   { m.frozen[m.one(t)] = false }
+func (m *model) freeze(t *rapid.T) { m.frozen[m.drawName(t)] = true }
+func (m *model) thaw(t *rapid.T)   { m.frozen[m.drawName(t)] = false }
 
 // restart discards the state of one sidecar.
 func (m *model) restart(t *rapid.T) {
-	name := m.one(t)
+	name := m.drawName(t)
 	m.frozen[name] = false
 	m.start(name)
 }
@@ -214,14 +214,14 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"attempt": m.attempt,
 			"again":   m.attempt,
-			"want":    m.wantEjected,
+			"want":    m.startEjection,
 			"renew":   m.renew,
-			"enter":   m.enter,
+			"enter":   m.eject,
 			"trim":    m.trim,
-			"leave":   m.leave,
+			"leave":   m.releaseAll,
 			"deliver": m.deliver,
-			"lose":    m.lose,
-			"pass":    m.pass,
+			"lose":    m.drop,
+			"pass":    m.advance,
 			"freeze":  m.freeze,
 			"thaw":    m.thaw,
 			"restart": m.restart,
@@ -230,8 +230,8 @@
 	})
 }
 
-// settle requests leases from all other backend servers and delivers all replies.
-func settle(now time.Time, requester string, ledgers map[string]*floor.Ledger) {
+// requestAll requests leases from all other backend servers and delivers all replies.
+func requestAll(now time.Time, requester string, ledgers map[string]*floor.Ledger) {
 	l := ledgers[requester]
 	for other, peer := range ledgers {
 		if other == requester {
@@ -246,23 +246,23 @@
 	}
 }
 
-// TestBudgetIsUsed guards against fewer or more consecutive ejections than the floor permits when no
+// TestFloorPermitsEjections guards against fewer or more consecutive ejections than the floor permits when no
 // messages are lost.
-func TestBudgetIsUsed(t *testing.T) {
+func TestFloorPermitsEjections(t *testing.T) {
 	const count, floorSize = 6, 4
 	ledgers := make(map[string]*floor.Ledger)
 	for i := range count {
 		name := fmt.Sprintf("s%d", i)
 		ledgers[name] = floor.NewLedger(floor.Config{Name: name, Start: epoch})
 	}
-	now := epoch.Add(floor.Lease)
+	now := epoch.Add(floor.LeaseDuration)
 	ejected := 0
 	for _, name := range []string{"s0", "s1", "s2"} {
 		l := ledgers[name]
 		if !l.BeginAsking(now, 1) {
 			continue
 		}
-		settle(now, name, ledgers)
+		requestAll(now, name, ledgers)
 		for to, r := range l.Trim(now, floorSize, func(other string) bool { return other > "s2" }) {
 			ledgers[to].RecordRelease(r)
 		}
@@ -277,17 +277,17 @@
 	}
 }
 
-// TestUndeclaredKeepNoFloor guards against counting the lease of a backend server that is no longer
+// TestUndeclaredDoNotCount guards against counting the lease of a backend server that is no longer
 // declared.
-func TestUndeclaredKeepNoFloor(t *testing.T) {
+func TestUndeclaredDoNotCount(t *testing.T) {
 	ledgers := make(map[string]*floor.Ledger)
 	for _, name := range []string{"a", "b", "c"} {
 		ledgers[name] = floor.NewLedger(floor.Config{Name: name, Start: epoch})
 	}
-	now := epoch.Add(floor.Lease)
+	now := epoch.Add(floor.LeaseDuration)
 	a := ledgers["a"]
 	a.BeginAsking(now, 1)
-	settle(now, "a", ledgers)
+	requestAll(now, "a", ledgers)
 	if !a.Eject(now, 2) {
 		t.Fatal("a is not ejected")
 	}
@@ -297,23 +297,23 @@
 	}
 }
 
-// TestLeaseRunsOut guards against an ejection that outlives its leases if no messages arrive.
-func TestLeaseRunsOut(t *testing.T) {
+// TestLeaseExpires guards against an ejection that outlives its leases if no messages arrive.
+func TestLeaseExpires(t *testing.T) {
 	ledgers := map[string]*floor.Ledger{
 		"a": floor.NewLedger(floor.Config{Name: "a", Start: epoch}),
 		"b": floor.NewLedger(floor.Config{Name: "b", Start: epoch}),
 	}
-	now := epoch.Add(floor.Lease)
+	now := epoch.Add(floor.LeaseDuration)
 	a := ledgers["a"]
 	a.BeginAsking(now, 1)
-	settle(now, "a", ledgers)
+	requestAll(now, "a", ledgers)
 	if !a.Eject(now, 1) || !a.MayStayEjected(now, 1) {
 		t.Fatal("a is not ejected")
 	}
 	if ledgers["b"].BeginAsking(now, 2) {
 		t.Fatal("b may request leases although it granted one")
 	}
-	later := now.Add(floor.Lease)
+	later := now.Add(floor.LeaseDuration)
 	if a.MayStayEjected(later, 1) {
 		t.Fatal("a is ejected with an expired lease")
 	}
