--- a/internal/latency/latency.go
+++ b/internal/latency/latency.go
@@ -18,7 +18,7 @@
 //
 //   - Durations are counted in a histogram whose bucket bounds grow by an eighth each, which bounds
 //     the error of a quantile in constant space. Counts decay: they are halved each time their sum
-//     reaches Memory.
+//     reaches DecayThreshold.
 //   - A request is slow once it has run longer than nearly all successful ones. It is slow earlier
 //     if a hedge could otherwise not finish within the target, but not before it has run longer
 //     than most.
@@ -32,17 +32,17 @@
 )
 
 const (
-	// firstBound is the upper bound of the first bucket.
-	firstBound = time.Millisecond
-	// classes is the number of buckets; the last one, with a bound of about 20 minutes, also counts
+	// minBound is the upper bound of the first bucket.
+	minBound = time.Millisecond
+	// buckets is the number of buckets; the last one, with a bound of about 20 minutes, also counts
 	// everything longer.
-	classes = 120
-	// growth is the ratio of the bounds of consecutive buckets.
-	growth = 1.125
-	// Memory is the sum of counts at which all counts are halved.
-	Memory = 200
-	// minAnswers is the minimum sum of counts for a meaningful quantile.
-	minAnswers = 8
+	buckets = 120
+	// bucketGrowth is the ratio of the bounds of consecutive buckets.
+	bucketGrowth = 1.125
+	// DecayThreshold is the sum of counts at which all counts are halved.
+	DecayThreshold = 200
+	// minSamples is the minimum sum of counts for a meaningful quantile.
+	minSamples = 8
 	// earliestQuantile and slowQuantile bound the quantile of successful responses from which a
 	// request is slow. At slowQuantile, one request in twenty is hedged although it is about to
 	// succeed, which fits into the usual retry budget.
@@ -50,15 +50,15 @@
 	slowQuantile     = 0.95
 	// median is the expected quantile of a hedge's response time.
 	median = 0.5
-	// shareOfTarget is the part of the target after which a request is slow while there are too few
+	// defaultTargetShare is the part of the target after which a request is slow while there are too few
 	// observations; the rest is left for a hedge.
-	shareOfTarget = 0.5
+	defaultTargetShare = 0.5
 )
 
 // Estimate is a decaying histogram of the response times of one route.
 type Estimate struct {
 	mu     sync.Mutex
-	counts [classes]float64
+	counts [buckets]float64
 	sum    float64
 }
 
@@ -69,15 +69,15 @@
 func (e *Estimate) Good(duration time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.counts[classOf(duration)]++
+	e.counts[bucketOf(duration)]++
 	e.sum++
-	if e.sum >= Memory {
-		e.fade()
+	if e.sum >= DecayThreshold {
+		e.decay()
 	}
 }
 
-// fade halves all counts.
-func (e *Estimate) fade() {
+// decay halves all counts.
+func (e *Estimate) decay() {
 	for i := range e.counts {
 		e.counts[i] /= 2
 	}
@@ -89,8 +89,8 @@
 func (e *Estimate) SlowAfter(target time.Duration) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.sum < minAnswers {
-		return time.Duration(shareOfTarget * float64(target))
+	if e.sum < minSamples {
+		return time.Duration(defaultTargetShare * float64(target))
 	}
 	slowAfter := e.quantile(slowQuantile)
 	if hedgeStart := target - e.quantile(median); target > 0 && hedgeStart < slowAfter {
@@ -104,7 +104,7 @@
 func (e *Estimate) Usual() (time.Duration, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.sum < minAnswers {
+	if e.sum < minSamples {
 		return 0, false
 	}
 	return e.quantile(median), true
@@ -116,22 +116,22 @@
 	for bucket, count := range e.counts {
 		below += count
 		if below >= q*e.sum {
-			return boundOf(bucket)
+			return bucketBound(bucket)
 		}
 	}
-	return boundOf(classes - 1)
+	return bucketBound(buckets - 1)
 }
 
-// classOf returns the bucket index of a duration.
-func classOf(duration time.Duration) int {
-	if duration <= firstBound {
+// bucketOf returns the bucket index of a duration.
+func bucketOf(duration time.Duration) int {
+	if duration <= minBound {
 		return 0
 	}
-	bucket := math.Ceil(math.Log(float64(duration)/float64(firstBound)) / math.Log(growth))
-	return min(classes-1, int(bucket))
+	bucket := math.Ceil(math.Log(float64(duration)/float64(minBound)) / math.Log(bucketGrowth))
+	return min(buckets-1, int(bucket))
 }
 
-// boundOf returns the upper bound of a bucket.
-func boundOf(bucket int) time.Duration {
-	return time.Duration(float64(firstBound) * math.Pow(growth, float64(bucket)))
+// bucketBound returns the upper bound of a bucket.
+func bucketBound(bucket int) time.Duration {
+	return time.Duration(float64(minBound) * math.Pow(bucketGrowth, float64(bucket)))
 }
--- a/internal/latency/latency_test.go
+++ b/internal/latency/latency_test.go
@@ -9,8 +9,8 @@
 	"github.com/tideliftd/tidelift/internal/latency"
 )
 
-// taught returns an estimate with the given observations in milliseconds.
-func taught(millis ...int) *latency.Estimate {
+// estimateOf returns an estimate with the given observations in milliseconds.
+func estimateOf(millis ...int) *latency.Estimate {
 	estimate := latency.New()
 	for _, m := range millis {
 		estimate.Good(time.Duration(m) * time.Millisecond)
@@ -27,7 +27,7 @@
 	return all
 }
 
-func TestLate(t *testing.T) {
+func TestSlowAfter(t *testing.T) {
 	const target = 400 * time.Millisecond
 	cases := []struct {
 		name          string
@@ -35,11 +35,11 @@
 		target        time.Duration
 		least, atMost time.Duration
 	}{
-		{"nothing known", taught(), target, 200 * time.Millisecond, 200 * time.Millisecond},
-		{"nothing known and no target", taught(), 0, 0, 0},
-		{"longer than nearly all", taught(append(times(19, 100), 180)...), target, 100 * time.Millisecond, 115 * time.Millisecond},
-		{"a hedge can be back", taught(append(times(80, 150), times(20, 390)...)...), target, 225 * time.Millisecond, 255 * time.Millisecond},
-		{"not before it has outlasted most", taught(append(times(40, 200), times(60, 380)...)...), target, 375 * time.Millisecond, 430 * time.Millisecond},
+		{"nothing known", estimateOf(), target, 200 * time.Millisecond, 200 * time.Millisecond},
+		{"nothing known and no target", estimateOf(), 0, 0, 0},
+		{"longer than nearly all", estimateOf(append(times(19, 100), 180)...), target, 100 * time.Millisecond, 115 * time.Millisecond},
+		{"a hedge can be back", estimateOf(append(times(80, 150), times(20, 390)...)...), target, 225 * time.Millisecond, 255 * time.Millisecond},
+		{"not before it has outlasted most", estimateOf(append(times(40, 200), times(60, 380)...)...), target, 375 * time.Millisecond, 430 * time.Millisecond},
 	}
 	for _, c := range cases {
 		if slowAfter := c.estimate.SlowAfter(c.target); slowAfter < c.least || slowAfter > c.atMost {
@@ -48,9 +48,9 @@
 	}
 }
 
-func TestWhatIsUsualFollowsTheLastAnswers(t *testing.T) {
-	estimate := taught(times(5*latency.Memory, 50)...)
-	for range 2 * latency.Memory {
+func TestMedianFollowsRecentResponses(t *testing.T) {
+	estimate := estimateOf(times(5*latency.DecayThreshold, 50)...)
+	for range 2 * latency.DecayThreshold {
 		estimate.Good(500 * time.Millisecond)
 	}
 	if median, known := estimate.Usual(); !known || median < 500*time.Millisecond {
@@ -58,9 +58,9 @@
 	}
 }
 
-// TestLateLiesAmongTheAnswers guards against a slow limit below the shortest or above the longest
+// TestSlowAfterIsWithinObserved guards against a slow limit below the shortest or above the longest
 // observed duration.
-func TestLateLiesAmongTheAnswers(t *testing.T) {
+func TestSlowAfterIsWithinObserved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		millis := rapid.SliceOfN(rapid.IntRange(1, 60_000), 8, 150).Draw(t, "millis")
 		target := time.Duration(rapid.IntRange(0, 60_000).Draw(t, "target")) * time.Millisecond
@@ -68,7 +68,7 @@
 		for _, m := range millis {
 			shortest, longest = min(shortest, m), max(longest, m)
 		}
-		slowAfter := taught(millis...).SlowAfter(target)
+		slowAfter := estimateOf(millis...).SlowAfter(target)
 		const class = 1.13 // bucket precision
 		if slowAfter < time.Duration(shortest)*time.Millisecond || slowAfter > time.Duration(float64(longest)*class)*time.Millisecond {
 			t.Fatalf("slow after %v, responses took %d to %d ms, target %v", slowAfter, shortest, longest, target)
