--- a/internal/detect/baseline.go
+++ b/internal/detect/baseline.go
@@ -28,14 +28,14 @@
 	Failure, Slow float64
 	// FailureSum and SlowSum are the medians of their cumulative sums.
 	FailureSum, SlowSum float64
-	// Typical is the median of their response times. It is zero if unknown; only Failure can be
+	// TypicalLatency is the median of their response times. It is zero if unknown; only Failure can be
 	// set then.
-	Typical time.Duration
+	TypicalLatency time.Duration
 }
 
 var unknownBaseline = Baseline{Failure: minFailureRate, Slow: minSlowRate}
 
-func (b Baseline) known() bool { return b.Typical > 0 }
+func (b Baseline) known() bool { return b.TypicalLatency > 0 }
 
 func (b Baseline) failure() float64 {
 	return math.Min(math.Max(b.Failure, minFailureRate), maxBaselineRate)
@@ -63,7 +63,7 @@
 		text = strconv.AppendInt(text, int64(value*encodingScale), 10)
 		text = append(text, ',')
 	}
-	return string(strconv.AppendInt(text, b.Typical.Microseconds(), 10))
+	return string(strconv.AppendInt(text, b.TypicalLatency.Microseconds(), 10))
 }
 
 // ParseBaseline parses the output of Baseline.Encode.
@@ -86,11 +86,11 @@
 	}
 	scaled := func(i int) float64 { return float64(numbers[i]) / encodingScale }
 	return Baseline{
-		Failure:    math.Min(1, scaled(0)),
-		Slow:       math.Min(1, scaled(1)),
-		FailureSum: scaled(2),
-		SlowSum:    scaled(3),
-		Typical:    time.Duration(numbers[4]) * time.Microsecond,
+		Failure:        math.Min(1, scaled(0)),
+		Slow:           math.Min(1, scaled(1)),
+		FailureSum:     scaled(2),
+		SlowSum:        scaled(3),
+		TypicalLatency: time.Duration(numbers[4]) * time.Microsecond,
 	}, nil
 }
 
@@ -120,7 +120,7 @@
 		updated[name] = s
 	}
 	g.subjects = updated
-	g.Compare()
+	g.UpdateBaselines()
 }
 
 // Subject returns the subject of the backend server with the given name.
@@ -149,9 +149,9 @@
 	return subject.IsOutlier(others)
 }
 
-// Compare recalculates the baseline of each backend server from the others. It is called a few
+// UpdateBaselines recalculates the baseline of each backend server from the others. It is called a few
 // times per second; Baseline returns the last result in between.
-func (g *Group) Compare() {
+func (g *Group) UpdateBaselines() {
 	figures := newComparison(g.subjects, g.rules)
 	clear(g.others)
 	for name, s := range g.subjects {
@@ -194,11 +194,11 @@
 		return Baseline{}
 	}
 	return Baseline{
-		Failure:    medianWithout(c.failure, s.failure.baselineRate(), included),
-		Slow:       medianWithout(c.slow, s.slow.baselineRate(), included),
-		FailureSum: medianWithout(c.failureSum, s.failure.total(rules), included),
-		SlowSum:    medianWithout(c.slowSum, s.slow.total(rules), included),
-		Typical:    time.Duration(math.Exp(medianWithout(c.logLatency, s.latency.logMedian, included))),
+		Failure:        medianWithout(c.failure, s.failure.baselineRate(), included),
+		Slow:           medianWithout(c.slow, s.slow.baselineRate(), included),
+		FailureSum:     medianWithout(c.failureSum, s.failure.total(rules), included),
+		SlowSum:        medianWithout(c.slowSum, s.slow.total(rules), included),
+		TypicalLatency: time.Duration(math.Exp(medianWithout(c.logLatency, s.latency.logMedian, included))),
 	}
 }
 
--- a/internal/detect/baseline_test.go
+++ b/internal/detect/baseline_test.go
@@ -20,10 +20,10 @@
 		if err != nil {
 			return
 		}
-		if baseline.Failure < 0 || baseline.Failure > 1 || baseline.Slow < 0 || baseline.Slow > 1 || baseline.Typical < 0 {
+		if baseline.Failure < 0 || baseline.Failure > 1 || baseline.Slow < 0 || baseline.Slow > 1 || baseline.TypicalLatency < 0 {
 			t.Fatalf("%q parsed as %+v", text, baseline)
 		}
-		if reparsed, err := detect.ParseBaseline(baseline.Encode()); err != nil || baseline.Typical > 0 && reparsed != baseline {
+		if reparsed, err := detect.ParseBaseline(baseline.Encode()); err != nil || baseline.TypicalLatency > 0 && reparsed != baseline {
 			t.Fatalf("%q parsed as %+v, re-encoded and parsed as %+v, %v", text, baseline, reparsed, err)
 		}
 	})
@@ -52,7 +52,7 @@
 			if s.State(now) != detect.Probation {
 				t.Fatalf("state %s after the ejection time", s.State(now))
 			}
-			s.Return(now)
+			s.Reinstate(now)
 			last = ejectedFor
 		}
 	})
@@ -62,17 +62,17 @@
 // turn into a longer ejection.
 func TestProbation(t *testing.T) {
 	rules := detect.Swift()
-	others := detect.Baseline{Typical: median}
-	good := detect.Observation{Outcome: detect.OK, Took: median}
+	others := detect.Baseline{TypicalLatency: median}
+	good := detect.Observation{Outcome: detect.OK, Latency: median}
 	tests := []struct {
 		name        string
 		observation detect.Observation
 		reinstated  bool
 	}{
 		{"good", good, true},
-		{"an error", detect.Observation{Outcome: detect.Error, Took: median}, false},
-		{"no response", detect.Observation{Outcome: detect.TimedOut, Took: deadline}, false},
-		{"slow", detect.Observation{Outcome: detect.OK, Took: 10 * median}, false},
+		{"an error", detect.Observation{Outcome: detect.Error, Latency: median}, false},
+		{"no response", detect.Observation{Outcome: detect.TimedOut, Latency: deadline}, false},
+		{"slow", detect.Observation{Outcome: detect.OK, Latency: 10 * median}, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/detect/detect.go
+++ b/internal/detect/detect.go
@@ -75,10 +75,10 @@
 	// Overdue means that a running request has exceeded Rules.OverdueLimit. Its end is observed
 	// separately, with WasOverdue set.
 	Overdue Outcome = "overdue"
-	// Refused means that the connection was refused.
-	Refused Outcome = "refused"
-	// Lost means that the connection broke before the response was complete.
-	Lost Outcome = "lost"
+	// ConnectionRefused means that the connection was refused.
+	ConnectionRefused Outcome = "refused"
+	// ConnectionLost means that the connection broke before the response was complete.
+	ConnectionLost Outcome = "lost"
 )
 
 // Cause is the main symptom of an unhealthy backend server.
@@ -97,8 +97,8 @@
 // Observation is the end of one request, or the moment at which it becomes overdue.
 type Observation struct {
 	Outcome Outcome
-	// Took is the response time, without the wait for a slot.
-	Took time.Duration
+	// Latency is the response time, without the wait for a slot.
+	Latency time.Duration
 	// WasOverdue reports that the request was already observed as overdue.
 	WasOverdue bool
 	// PastTarget reports that the response took longer than the route's latency target.
@@ -112,8 +112,8 @@
 
 // Verdict is an observer's conclusion about a backend server.
 type Verdict struct {
-	// Sick reports that the rules call for ejecting the backend server.
-	Sick bool
+	// Unhealthy reports that the rules call for ejecting the backend server.
+	Unhealthy bool
 	// Cause is the main symptom; CauseNone unless Sick.
 	Cause Cause
 	// Severity ranks unhealthy backend servers from 0 to 2, the worst highest.
@@ -157,7 +157,7 @@
 		s.failure.add(now, failed, s.baseline.failure(), s.rules.UnhealthyFailureRate, s.rules)
 	}
 	if o.Outcome == OK {
-		s.observeLatency(now, o.Took)
+		s.observeLatency(now, o.Latency)
 	}
 	if s.failure.sum == 0 {
 		s.causes = [causeCount]int{}
@@ -169,11 +169,11 @@
 
 func (s *Subject) observeLatency(now time.Time, responseTime time.Duration) {
 	s.latency.add(responseTime)
-	if s.baseline.Typical == 0 {
+	if s.baseline.TypicalLatency == 0 {
 		s.lastGoodAt = now
 		return
 	}
-	slow := responseTime > s.rules.slowLimit(s.baseline.Typical)
+	slow := responseTime > s.rules.slowLimit(s.baseline.TypicalLatency)
 	if !slow {
 		s.lastGoodAt = now
 	}
@@ -185,9 +185,9 @@
 	severity := s.failure.rate + s.slow.rate
 	switch {
 	case s.failure.isSufficient(now, s.baseline.failure(), s.baseline.FailureSum, s.rules):
-		return Verdict{Sick: true, Cause: s.mainCause(), Severity: severity}
+		return Verdict{Unhealthy: true, Cause: s.mainCause(), Severity: severity}
 	case s.slow.isSufficient(now, s.baseline.slow(), s.baseline.SlowSum, s.rules):
-		return Verdict{Sick: true, Cause: CauseSlow, Severity: severity}
+		return Verdict{Unhealthy: true, Cause: CauseSlow, Severity: severity}
 	default:
 		return Verdict{Severity: severity}
 	}
@@ -209,9 +209,9 @@
 	switch o {
 	case Error:
 		return 1
-	case Refused:
+	case ConnectionRefused:
 		return 2
-	case Lost:
+	case ConnectionLost:
 		return 3
 	case OK, TimedOut, Overdue:
 		return 0
--- a/internal/detect/ejection.go
+++ b/internal/detect/ejection.go
@@ -48,7 +48,7 @@
 	x.endsAt = now.Add(min(duration, s.rules.EjectionTimeMax))
 	x.doublings++
 	x.passes = 0
-	if verdict := s.Verdict(now); verdict.Sick {
+	if verdict := s.Verdict(now); verdict.Unhealthy {
 		x.cause = verdict.Cause
 	}
 	s.resetEvidence()
@@ -86,7 +86,7 @@
 	if others.known() {
 		s.baseline = others
 	}
-	slow := s.baseline.Typical > 0 && o.Took > s.rules.slowLimit(s.baseline.Typical)
+	slow := s.baseline.TypicalLatency > 0 && o.Latency > s.rules.slowLimit(s.baseline.TypicalLatency)
 	if o.Outcome != OK || slow {
 		s.Eject(now)
 		return false
@@ -95,12 +95,12 @@
 	if s.ejection.passes < s.rules.ProbationPasses {
 		return false
 	}
-	s.Return(now)
+	s.Reinstate(now)
 	return true
 }
 
-// Return puts the subject back in service with a growing traffic share.
-func (s *Subject) Return(now time.Time) {
+// Reinstate puts the subject back in service with a growing traffic share.
+func (s *Subject) Reinstate(now time.Time) {
 	s.ejection.ejected = false
 	s.ejection.reinstatedAt = now
 	s.ejection.servingSince = now
@@ -108,18 +108,18 @@
 	s.resetEvidence()
 }
 
-// Restore puts the subject back in service with its full traffic share, after other evidence has
+// ReinstateFully puts the subject back in service with its full traffic share, after other evidence has
 // shown that it is healthy.
-func (s *Subject) Restore(now time.Time) {
+func (s *Subject) ReinstateFully(now time.Time) {
 	s.ejection.ejected = false
 	s.ejection.servingSince = now
 	s.ejection.cause = CauseNone
 	s.resetEvidence()
 }
 
-// Share returns the fraction of its work that the subject should receive, from 0 to 1. After a
+// TrafficShare returns the fraction of its work that the subject should receive, from 0 to 1. After a
 // reinstatement it grows to 1 over Rules.Ramp.
-func (s *Subject) Share(now time.Time) float64 {
+func (s *Subject) TrafficShare(now time.Time) float64 {
 	if s.ejection.ejected {
 		return 0
 	}
--- a/internal/detect/outcome.go
+++ b/internal/detect/outcome.go
@@ -2,9 +2,9 @@
 
 import "net/http"
 
-// FromAnswer returns the outcome that the status and header of a response indicate. It returns
+// OutcomeFromResponse returns the outcome that the status and header of a response indicate. It returns
 // false if they are no evidence about the backend server: a 503 with Retry-After is load shedding.
-func FromAnswer(response *http.Response) (Outcome, bool) {
+func OutcomeFromResponse(response *http.Response) (Outcome, bool) {
 	switch response.StatusCode {
 	case http.StatusInternalServerError, http.StatusBadGateway, http.StatusGatewayTimeout:
 		return Error, true
--- a/internal/detect/told.go
+++ b/internal/detect/told.go
@@ -6,17 +6,17 @@
 // decided by a single unhealthy one.
 const minReported = 3
 
-// Told holds the failure rates of a service's backend servers as their sidecars report them: the
+// ReportedFailureRates holds the failure rates of a service's backend servers as their sidecars report them: the
 // fraction of recent requests, from all senders, that failed. It serves observers that send each of
 // many backend servers too few requests to compare them.
-type Told struct {
+type ReportedFailureRates struct {
 	byName map[string]float64
 	sorted []float64
 }
 
-// NewTold returns the reported rates for a map keyed by the name of the backend server.
-func NewTold(rates map[string]float64) Told {
-	r := Told{byName: rates, sorted: make([]float64, 0, len(rates))}
+// NewReportedFailureRates returns the reported rates for a map keyed by the name of the backend server.
+func NewReportedFailureRates(rates map[string]float64) ReportedFailureRates {
+	r := ReportedFailureRates{byName: rates, sorted: make([]float64, 0, len(rates))}
 	for _, rate := range rates {
 		r.sorted = append(r.sorted, rate)
 	}
@@ -26,7 +26,7 @@
 
 // Complete returns the baseline of the named backend server. If the observer does not know it, the
 // failure rate is the median of those reported for the others; the other fields stay unknown.
-func (r Told) Complete(name string, b Baseline) Baseline {
+func (r ReportedFailureRates) Complete(name string, b Baseline) Baseline {
 	own, reported := r.byName[name]
 	others := len(r.sorted)
 	if reported {
--- a/internal/floor/floor.go
+++ b/internal/floor/floor.go
@@ -44,9 +44,9 @@
 	// LeaseDuration is how long a lease binds its grantor. A grantor that is lost counts towards the floor
 	// for this long, and a sidecar that has just started is not ejected for this long.
 	LeaseDuration = 2 * time.Second
-	// RenewEvery is the interval at which a holder renews its leases. Two consecutive renewals may
+	// RenewInterval is the interval at which a holder renews its leases. Two consecutive renewals may
 	// be lost before a lease expires; each costs as many calls as the floor.
-	RenewEvery = 500 * time.Millisecond
+	RenewInterval = 500 * time.Millisecond
 	// DriftDivisor is the divisor for the part of a lease that the holder leaves unused to allow for
 	// clock drift: a twentieth, 100 ms.
 	DriftDivisor = 20
@@ -161,9 +161,9 @@
 	}
 }
 
-// BeginAsking records that the backend server should be ejected and reports whether it may request
+// BeginRequesting records that the backend server should be ejected and reports whether it may request
 // leases now. It may not within one lease of its start or while a lease it granted is binding.
-func (l *Ledger) BeginAsking(now time.Time, severity float64) bool {
+func (l *Ledger) BeginRequesting(now time.Time, severity float64) bool {
 	l.requesting = now.Sub(l.config.Start) >= LeaseDuration && !l.hasBindingGrant(now)
 	l.severity = severity
 	return l.requesting
@@ -245,10 +245,10 @@
 	}
 }
 
-// Trim keeps as many leases as the floor requires, preferred grantors first, and returns the releases
+// ReleaseSurplus keeps as many leases as the floor requires, preferred grantors first, and returns the releases
 // to send for the others, by the name of the grantor.
-func (l *Ledger) Trim(now time.Time, floor int, preferred func(name string) bool) map[string]Release {
-	names := l.Holding(now)
+func (l *Ledger) ReleaseSurplus(now time.Time, floor int, preferred func(name string) bool) map[string]Release {
+	names := l.Grantors(now)
 	if len(names) <= floor {
 		return nil
 	}
@@ -283,8 +283,8 @@
 	return 1
 }
 
-// Holding returns the sorted names of the grantors of all current leases.
-func (l *Ledger) Holding(now time.Time) []string {
+// Grantors returns the sorted names of the grantors of all current leases.
+func (l *Ledger) Grantors(now time.Time) []string {
 	names := make([]string, 0, len(l.held))
 	for name, until := range l.held {
 		if now.Before(until) {
--- a/internal/latency/latency.go
+++ b/internal/latency/latency.go
@@ -65,8 +65,8 @@
 // New returns an estimate without observations.
 func New() *Estimate { return &Estimate{} }
 
-// Good records the duration of a successful response.
-func (e *Estimate) Good(duration time.Duration) {
+// Observe records the duration of a successful response.
+func (e *Estimate) Observe(duration time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.counts[bucketOf(duration)]++
@@ -99,9 +99,9 @@
 	return slowAfter
 }
 
-// Usual returns the median duration of a successful response. It returns false while there are too
+// Median returns the median duration of a successful response. It returns false while there are too
 // few observations.
-func (e *Estimate) Usual() (time.Duration, bool) {
+func (e *Estimate) Median() (time.Duration, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.sum < minSamples {
--- a/internal/latency/latency_test.go
+++ b/internal/latency/latency_test.go
@@ -13,7 +13,7 @@
 func estimateOf(millis ...int) *latency.Estimate {
 	estimate := latency.New()
 	for _, m := range millis {
-		estimate.Good(time.Duration(m) * time.Millisecond)
+		estimate.Observe(time.Duration(m) * time.Millisecond)
 	}
 	return estimate
 }
@@ -51,9 +51,9 @@
 func TestMedianFollowsRecentResponses(t *testing.T) {
 	estimate := estimateOf(times(5*latency.DecayThreshold, 50)...)
 	for range 2 * latency.DecayThreshold {
-		estimate.Good(500 * time.Millisecond)
+		estimate.Observe(500 * time.Millisecond)
 	}
-	if median, known := estimate.Usual(); !known || median < 500*time.Millisecond {
+	if median, known := estimate.Median(); !known || median < 500*time.Millisecond {
 		t.Fatalf("median %v, known %v", median, known)
 	}
 }
--- a/internal/suspicion/hanging.go
+++ b/internal/suspicion/hanging.go
@@ -11,19 +11,19 @@
 	lastSuccessStart time.Time // start of the latest successful request
 }
 
-// SlowRequest records that a running request, started at the given time, has exceeded its route's
+// RecordSlowRequest records that a running request, started at the given time, has exceeded its route's
 // slow limit.
-func (s *Suspicion) SlowRequest(startedAt time.Time) {
+func (s *Suspicion) RecordSlowRequest(startedAt time.Time) {
 	s.hanging.slowRunning++
 	if startedAt.After(s.hanging.lastSlowStart) {
 		s.hanging.lastSlowStart = startedAt
 	}
 }
 
-// SlowRequestEnded records the end of a slow request that started at the given time. It continues
+// RecordSlowRequestEnd records the end of a slow request that started at the given time. It continues
 // to count for as long as it ran; after that a new request may determine whether the backend server
 // still hangs.
-func (s *Suspicion) SlowRequestEnded(now, startedAt time.Time) {
+func (s *Suspicion) RecordSlowRequestEnd(now, startedAt time.Time) {
 	s.hanging.slowRunning--
 	if until := now.Add(now.Sub(startedAt)); until.After(s.hanging.slowUntil) {
 		s.hanging.slowUntil = until
--- a/internal/suspicion/suspicion.go
+++ b/internal/suspicion/suspicion.go
@@ -38,17 +38,17 @@
 
 // Weights of bad outcomes. A backend server is suspected once their sum reaches suspectedFrom.
 const (
-	// Broken is the weight of a broken connection or a corrupt response. One suffices: healthy
+	// BrokenConnectionWeight is the weight of a broken connection or a corrupt response. One suffices: healthy
 	// backend servers almost never cause it.
-	Broken = 1.0
-	// Failed is the weight of a response that indicates a failure of the backend server. Healthy
+	BrokenConnectionWeight = 1.0
+	// ErrorWeight is the weight of a response that indicates a failure of the backend server. Healthy
 	// backend servers fail occasionally, but rarely twice in a row.
-	Failed = 0.5
-	// Overdue is the weight of an overdue request.
-	Overdue = 0.5
-	// Slow is the weight of a success that exceeded its route's latency target, or of a success
+	ErrorWeight = 0.5
+	// OverdueWeight is the weight of an overdue request.
+	OverdueWeight = 0.5
+	// SlowWeight is the weight of a success that exceeded its route's latency target, or of a success
 	// after the request was overdue.
-	Slow = 0.4
+	SlowWeight = 0.4
 
 	// suspectedFrom is the sum from which a backend server is suspected.
 	suspectedFrom = 1.0
@@ -86,13 +86,13 @@
 	nonIdempotentReprobeDelay = 500 * time.Millisecond
 )
 
-// FailureWeight returns the weight of a response that indicates a failure of the backend server,
+// ScaledErrorWeight returns the weight of a response that indicates a failure of the backend server,
 // given the failure rate of the others. A failure that all backend servers share is caused by the
 // requests or by a service that they all call; suspecting every backend server would leave none to
 // serve.
-func FailureWeight(othersFailureRate float64) float64 {
+func ScaledErrorWeight(othersFailureRate float64) float64 {
 	factor := (sharedFailureRate - othersFailureRate) / (sharedFailureRate - normalFailureRate)
-	return Failed * max(0, min(1, factor))
+	return ErrorWeight * max(0, min(1, factor))
 }
 
 // Suspicion is the suspicion state of one backend server.
@@ -123,7 +123,7 @@
 // with it.
 func (s *Suspicion) RecordFailure(now time.Time, weight float64) bool {
 	s.sum += weight
-	s.connectionBroke = weight >= Broken
+	s.connectionBroke = weight >= BrokenConnectionWeight
 	s.pendingProbe = time.Time{}
 	s.survivedProbes = 0
 	if s.suspected {
@@ -145,9 +145,9 @@
 	s.nextProbe = now.Add(pause)
 }
 
-// RecordGood records a success of a request that started at the given time and reports whether
+// RecordSuccess records a success of a request that started at the given time and reports whether
 // suspicion ends with it.
-func (s *Suspicion) RecordGood(now, startedAt time.Time) bool {
+func (s *Suspicion) RecordSuccess(now, startedAt time.Time) bool {
 	s.sum *= successDecay
 	s.slowSum *= successDecay
 	s.hanging.recordSuccess(startedAt)
@@ -193,8 +193,8 @@
 // requests fail immediately, each failure costs a retry.
 func (s *Suspicion) MostlySlow() bool { return 2*s.slowSum > s.sum }
 
-// GoodInARow returns the number of consecutive successful probes.
-func (s *Suspicion) GoodInARow() int { return s.successes }
+// ConsecutiveSuccesses returns the number of consecutive successful probes.
+func (s *Suspicion) ConsecutiveSuccesses() int { return s.successes }
 
 // MayProbe reports whether an idempotent request may be sent as a probe.
 func (s *Suspicion) MayProbe(now time.Time) bool { return !now.Before(s.nextProbe) }
@@ -209,8 +209,8 @@
 	return !now.Before(s.nextProbe.Add(delay))
 }
 
-// ProbeSent records that a probe received a slot.
-func (s *Suspicion) ProbeSent(now time.Time) {
+// RecordProbe records that a probe received a slot.
+func (s *Suspicion) RecordProbe(now time.Time) {
 	s.nextProbe = now.Add(probeExclusion)
 	s.pendingProbe = now
 }
--- a/internal/suspicion/suspicion_test.go
+++ b/internal/suspicion/suspicion_test.go
@@ -12,7 +12,7 @@
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func TestSuspicionBegins(t *testing.T) {
-	good := func(s *suspicion.Suspicion) { s.RecordGood(epoch, epoch) }
+	good := func(s *suspicion.Suspicion) { s.RecordSuccess(epoch, epoch) }
 	bad := func(weight float64) func(*suspicion.Suspicion) {
 		return func(s *suspicion.Suspicion) { s.RecordFailure(epoch, weight) }
 	}
@@ -22,18 +22,18 @@
 		want  bool
 	}{
 		{"nothing", nil, false},
-		{"one broken connection", []func(*suspicion.Suspicion){bad(suspicion.Broken)}, true},
-		{"one failure", []func(*suspicion.Suspicion){bad(suspicion.Failed)}, false},
-		{"two failures in a row", []func(*suspicion.Suspicion){bad(suspicion.Failed), bad(suspicion.Failed)}, true},
-		{"two failures with a good answer between", []func(*suspicion.Suspicion){bad(suspicion.Failed), good, bad(suspicion.Failed)}, false},
-		{"one overdue and slow", []func(*suspicion.Suspicion){bad(suspicion.Overdue), bad(suspicion.Slow)}, false},
-		{"two slow", []func(*suspicion.Suspicion){bad(suspicion.Slow), bad(suspicion.Slow)}, false},
-		{"three slow in a row", []func(*suspicion.Suspicion){bad(suspicion.Slow), bad(suspicion.Slow), bad(suspicion.Slow)}, true},
-		{"two in a row overdue and slow", []func(*suspicion.Suspicion){bad(suspicion.Overdue), bad(suspicion.Slow), bad(suspicion.Overdue), bad(suspicion.Slow)}, true},
-		{"by turns slow and good", []func(*suspicion.Suspicion){bad(suspicion.Overdue), bad(suspicion.Slow), good, bad(suspicion.Overdue), good}, false},
-		{"two good answers after", []func(*suspicion.Suspicion){bad(suspicion.Broken), good, good}, true},
-		{"three good answers after", []func(*suspicion.Suspicion){bad(suspicion.Broken), good, good, good}, false},
-		{"a failure among them", []func(*suspicion.Suspicion){bad(suspicion.Broken), good, good, bad(suspicion.Failed), good}, true},
+		{"one broken connection", []func(*suspicion.Suspicion){bad(suspicion.BrokenConnectionWeight)}, true},
+		{"one failure", []func(*suspicion.Suspicion){bad(suspicion.ErrorWeight)}, false},
+		{"two failures in a row", []func(*suspicion.Suspicion){bad(suspicion.ErrorWeight), bad(suspicion.ErrorWeight)}, true},
+		{"two failures with a good answer between", []func(*suspicion.Suspicion){bad(suspicion.ErrorWeight), good, bad(suspicion.ErrorWeight)}, false},
+		{"one overdue and slow", []func(*suspicion.Suspicion){bad(suspicion.OverdueWeight), bad(suspicion.SlowWeight)}, false},
+		{"two slow", []func(*suspicion.Suspicion){bad(suspicion.SlowWeight), bad(suspicion.SlowWeight)}, false},
+		{"three slow in a row", []func(*suspicion.Suspicion){bad(suspicion.SlowWeight), bad(suspicion.SlowWeight), bad(suspicion.SlowWeight)}, true},
+		{"two in a row overdue and slow", []func(*suspicion.Suspicion){bad(suspicion.OverdueWeight), bad(suspicion.SlowWeight), bad(suspicion.OverdueWeight), bad(suspicion.SlowWeight)}, true},
+		{"by turns slow and good", []func(*suspicion.Suspicion){bad(suspicion.OverdueWeight), bad(suspicion.SlowWeight), good, bad(suspicion.OverdueWeight), good}, false},
+		{"two good answers after", []func(*suspicion.Suspicion){bad(suspicion.BrokenConnectionWeight), good, good}, true},
+		{"three good answers after", []func(*suspicion.Suspicion){bad(suspicion.BrokenConnectionWeight), good, good, good}, false},
+		{"a failure among them", []func(*suspicion.Suspicion){bad(suspicion.BrokenConnectionWeight), good, good, bad(suspicion.ErrorWeight), good}, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -53,7 +53,7 @@
 func TestProbesAreLimitedAndNeverStop(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := suspicion.New()
-		s.RecordFailure(epoch, suspicion.Broken)
+		s.RecordFailure(epoch, suspicion.BrokenConnectionWeight)
 		now, last := epoch, epoch
 		for range rapid.IntRange(10, 400).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(1, 50).Draw(t, "ms")) * time.Millisecond)
@@ -67,8 +67,8 @@
 				t.Fatalf("two probes sent within %s", now.Sub(last))
 			}
 			last = now
-			s.ProbeSent(now)
-			s.RecordFailure(now, suspicion.Broken)
+			s.RecordProbe(now)
+			s.RecordFailure(now, suspicion.BrokenConnectionWeight)
 		}
 	})
 }
@@ -77,22 +77,22 @@
 // connections and again when its response arrives.
 func TestSurvivingProbeIsCountedOnce(t *testing.T) {
 	s := suspicion.New()
-	s.RecordFailure(epoch, suspicion.Broken)
+	s.RecordFailure(epoch, suspicion.BrokenConnectionWeight)
 	now := epoch
 	for range 2 {
-		s.ProbeSent(now)
+		s.RecordProbe(now)
 		if s.ProbeSurvived(now.Add(10 * time.Millisecond)) {
 			t.Fatal("probe counted before its minimum run time")
 		}
 		now = now.Add(50 * time.Millisecond)
 		s.ProbeSurvived(now)
 	}
-	s.RecordGood(now, now)
-	s.RecordGood(now, now)
+	s.RecordSuccess(now, now)
+	s.RecordSuccess(now, now)
 	if !s.Suspected() {
 		t.Fatal("two probes counted as four")
 	}
-	s.ProbeSent(now)
+	s.RecordProbe(now)
 	if !s.ProbeSurvived(now.Add(50 * time.Millisecond)) {
 		t.Fatal("third probe did not end the suspicion")
 	}
@@ -102,11 +102,11 @@
 // probes run for some time; only a response shows success then.
 func TestSurvivalCountsOnlyAfterBrokenConnections(t *testing.T) {
 	s := suspicion.New()
-	s.RecordFailure(epoch, suspicion.Failed)
-	s.RecordFailure(epoch, suspicion.Failed)
+	s.RecordFailure(epoch, suspicion.ErrorWeight)
+	s.RecordFailure(epoch, suspicion.ErrorWeight)
 	for i := range 5 {
 		now := epoch.Add(time.Duration(i) * time.Second)
-		s.ProbeSent(now)
+		s.RecordProbe(now)
 		if s.ProbeSurvived(now.Add(time.Second)) {
 			t.Fatal("suspicion ended without a response")
 		}
@@ -121,17 +121,17 @@
 		t.Fatal("hanging without a slow request")
 	}
 	startedAt := epoch.Add(time.Second)
-	s.SlowRequest(startedAt)
-	s.RecordGood(startedAt.Add(time.Second), startedAt.Add(-time.Millisecond))
+	s.RecordSlowRequest(startedAt)
+	s.RecordSuccess(startedAt.Add(time.Second), startedAt.Add(-time.Millisecond))
 	now := startedAt.Add(2 * time.Second)
 	if !s.Hanging(now) {
 		t.Fatal("not hanging after the success of an earlier request")
 	}
-	s.RecordGood(startedAt.Add(2*time.Second), startedAt.Add(time.Millisecond))
+	s.RecordSuccess(startedAt.Add(2*time.Second), startedAt.Add(time.Millisecond))
 	if s.Hanging(now) {
 		t.Fatal("hanging after the success of a later request")
 	}
-	s.SlowRequest(startedAt)
+	s.RecordSlowRequest(startedAt)
 	if s.Hanging(now) {
 		t.Fatal("hanging because of a slow request older than the last success")
 	}
@@ -141,7 +141,7 @@
 // whose service has only non-idempotent requests.
 func TestNonIdempotentRequestsMayProbe(t *testing.T) {
 	s := suspicion.New()
-	s.RecordFailure(epoch, suspicion.Broken)
+	s.RecordFailure(epoch, suspicion.BrokenConnectionWeight)
 	if s.MayProbeWithAny(epoch.Add(time.Second)) {
 		t.Fatal("a non-idempotent request may probe within the first second")
 	}
@@ -151,8 +151,8 @@
 		if !s.MayProbeWithAny(now) {
 			t.Fatal("no request may probe")
 		}
-		s.ProbeSent(now)
-		s.RecordGood(now, now)
+		s.RecordProbe(now)
+		s.RecordSuccess(now, now)
 	}
 	if s.Suspected() {
 		t.Fatal("still suspected after three successes")
@@ -162,18 +162,18 @@
 // TestMostlySlow guards against confusing a backend server that hangs with one that fails immediately.
 func TestMostlySlow(t *testing.T) {
 	hangs := suspicion.New()
-	hangs.RecordSlowness(epoch, suspicion.Overdue)
-	hangs.RecordSlowness(epoch, suspicion.Overdue)
+	hangs.RecordSlowness(epoch, suspicion.OverdueWeight)
+	hangs.RecordSlowness(epoch, suspicion.OverdueWeight)
 	if !hangs.Suspected() || !hangs.MostlySlow() {
 		t.Fatal("two overdue requests: not suspected or not mostly slow")
 	}
-	hangs.RecordFailure(epoch, suspicion.Broken)
+	hangs.RecordFailure(epoch, suspicion.BrokenConnectionWeight)
 	if hangs.MostlySlow() {
 		t.Fatal("mostly slow although connections break as well")
 	}
 	fails := suspicion.New()
-	fails.RecordFailure(epoch, suspicion.Failed)
-	fails.RecordFailure(epoch, suspicion.Failed)
+	fails.RecordFailure(epoch, suspicion.ErrorWeight)
+	fails.RecordFailure(epoch, suspicion.ErrorWeight)
 	if !fails.Suspected() || fails.MostlySlow() {
 		t.Fatal("two failures: not suspected or mostly slow")
 	}
@@ -183,12 +183,12 @@
 // non-idempotent requests, which are sent elsewhere, could show otherwise.
 func TestHangingExpires(t *testing.T) {
 	s := suspicion.New()
-	s.SlowRequest(epoch)
+	s.RecordSlowRequest(epoch)
 	ended := epoch.Add(3 * time.Second)
 	if !s.Hanging(ended) {
 		t.Fatal("not hanging while a slow request runs")
 	}
-	s.SlowRequestEnded(ended, epoch)
+	s.RecordSlowRequestEnd(ended, epoch)
 	if !s.Hanging(ended.Add(2 * time.Second)) {
 		t.Fatal("an ended slow request counted for less time than it ran")
 	}
