--- a/internal/detect/baseline.go
+++ b/internal/detect/baseline.go
@@ -129,7 +129,7 @@
 	return s, ok
 }
 
-// Baseline returns the baseline of the named backend server as of the last Compare.
+// Baseline returns the baseline of the named backend server as of the last call of UpdateBaselines.
 func (g *Group) Baseline(name string) Baseline { return g.others[name] }
 
 // IsOutlier reports whether the named backend server performs worse than the others; see
--- a/internal/detect/detect.go
+++ b/internal/detect/detect.go
@@ -50,10 +50,12 @@
 //
 //   - Rules.IntervalCap bounds what one Rules.Interval adds, so that a short pause of the backend
 //     server under high traffic counts as one event.
-//   - The evidence must span Rules.MinSpan and Rules.MinBad bad observations, and exceed the
-//     expected number by Rules.Deviations standard deviations.
-//   - The sum must exceed the median sum of the other servers by Rules.Threshold, and the recent
-//     rate must exceed theirs by Rules.Margin, so that a shared cause ejects no server.
+//   - The evidence must span at least Rules.MinSpan and contain at least Rules.MinBad bad
+//     observations, which exceed the expected number by at least Rules.Deviations standard
+//     deviations.
+//   - The sum must exceed the median sum of the other servers by at least Rules.Threshold, and the
+//     recent rate must exceed theirs by at least Rules.Margin, so that a shared cause ejects no
+//     server.
 //
 // Rates are fractions from 0 to 1; sums are natural logarithms. The method is the cumulative
 // sum test of E. S. Page, Continuous inspection schemes, Biometrika 41 (1954).
@@ -114,7 +116,7 @@
 type Verdict struct {
 	// Unhealthy reports that the rules call for ejecting the backend server.
 	Unhealthy bool
-	// Cause is the main symptom; CauseNone unless Sick.
+	// Cause is the main symptom; CauseNone unless Unhealthy.
 	Cause Cause
 	// Severity ranks unhealthy backend servers from 0 to 2, the worst highest.
 	Severity float64
@@ -142,7 +144,8 @@
 // SetRules replaces the rules and keeps the observations.
 func (s *Subject) SetRules(rules Rules) { s.rules = rules }
 
-// Observe records one observation. The baseline others describes the service's other backend servers.
+// Observe records one observation. The baseline others describes the service's other backend
+// servers; if it is unknown, the last known one remains in effect.
 func (s *Subject) Observe(now time.Time, o Observation, others Baseline) {
 	if others.known() {
 		s.baseline = others
--- a/internal/detect/detect_test.go
+++ b/internal/detect/detect_test.go
@@ -143,7 +143,7 @@
 	return all
 }
 
-// times returns the median and the worst detection time over the seeds, where x.after stands for no
+// times returns the median and the worst detection time over the seeds, counting x.after for no
 // detection, and the number of false verdicts.
 func (x experiment) times(seeds int) (medianTime, worst time.Duration, falseVerdicts int) {
 	times := make([]time.Duration, 0, seeds)
--- a/internal/detect/ejection_test.go
+++ b/internal/detect/ejection_test.go
@@ -16,13 +16,13 @@
 		name   string
 		before func(*detect.Subject) time.Time // returns the time of the next ejection
 	}{
-		{"it was never ejected", func(*detect.Subject) time.Time { return epoch }},
-		{"it returned two minutes ago", func(s *detect.Subject) time.Time {
+		{"never ejected", func(*detect.Subject) time.Time { return epoch }},
+		{"reinstated two minutes ago", func(s *detect.Subject) time.Time {
 			s.Eject(epoch)
 			s.Reinstate(epoch.Add(rules.EjectionTime))
 			return epoch.Add(rules.EjectionTime + 2*rules.EjectionMemory)
 		}},
-		{"it was restored two minutes ago", func(s *detect.Subject) time.Time {
+		{"fully reinstated two minutes ago", func(s *detect.Subject) time.Time {
 			s.Eject(epoch)
 			s.ReinstateFully(epoch.Add(time.Second))
 			return epoch.Add(time.Second + 2*rules.EjectionMemory)
--- a/internal/detect/evidence.go
+++ b/internal/detect/evidence.go
@@ -20,7 +20,8 @@
 }
 
 // rateWeight and longRateWeight are the divisors of the exponential moving averages rate and
-// longRate: a new observation has a weight of 1/rateWeight or 1/longRateWeight.
+// longRate: a new observation has a weight of one divided by it, or by the number of observations
+// if that is smaller.
 const (
 	rateWeight     = 10
 	longRateWeight = 100
--- a/internal/detect/explain.go
+++ b/internal/detect/explain.go
@@ -19,7 +19,8 @@
 	OthersFailure float64 `json:"others_failure"`
 	SlowRate      float64 `json:"slow_rate"`
 	OthersSlow    float64 `json:"others_slow"`
-	// TypicalLatency is the subject's median response time, OthersTypical that of the baseline.
+	// TypicalLatency is the subject's median response time, OthersTypicalLatency that of the
+	// baseline.
 	TypicalLatency       time.Duration `json:"typical"`
 	OthersTypicalLatency time.Duration `json:"others_typical"`
 	// FailureSum and SlowSum are the cumulative sums; Threshold is that of the rules.
