--- a/internal/suspicion/suspicion.go
+++ b/internal/suspicion/suspicion.go
@@ -44,10 +44,10 @@
 	// ErrorWeight is the weight of a response that indicates a failure of the backend server. Healthy
 	// backend servers fail occasionally, but rarely twice in a row.
 	ErrorWeight = 0.5
-	// OverdueWeight is the weight of an overdue request.
+	// OverdueWeight is the weight of an overdue request; two suffice.
 	OverdueWeight = 0.5
 	// SlowWeight is the weight of a success that exceeded its route's latency target, or of a success
-	// after the request was overdue.
+	// after the request was overdue; three suffice.
 	SlowWeight = 0.4
 
 	// suspectedFrom is the sum from which a backend server is suspected.
@@ -72,16 +72,16 @@
 	// connection. A failing backend server breaks connections within milliseconds; a reservation's
 	// request arrives one round trip after its slot was granted.
 	minProbeRun = 40 * time.Millisecond
-	// minProbePause and maxProbePause bound the time between probes; each failed probe doubles it. Failed
-	// probes consume the retry budget, and a recovered server should not wait for seconds.
+	// minProbePause and maxProbePause bound the time between probes; each failed probe doubles it.
+	// Failed probes consume the retry budget, and a recovered server should not wait for seconds.
 	minProbePause = 200 * time.Millisecond
 	maxProbePause = time.Second
 	// probeExclusion is how long a probe prevents further probes from being sent. It must not exceed
 	// maxProbePause.
 	probeExclusion = time.Second
-	// nonIdempotentProbeDelay is how long a probe may be due before a non-idempotent request may be the
-	// probe; nonIdempotentReprobeDelay is the same after a successful probe. Without it a service that has only
-	// non-idempotent requests would never regain its backend servers.
+	// nonIdempotentProbeDelay is how long a probe may be due before a non-idempotent request may be
+	// the probe; nonIdempotentReprobeDelay is the same after a successful probe. Without it a service
+	// that has only non-idempotent requests would never regain its backend servers.
 	nonIdempotentProbeDelay   = 2 * time.Second
 	nonIdempotentReprobeDelay = 500 * time.Millisecond
 )
--- a/internal/suspicion/suspicion_test.go
+++ b/internal/suspicion/suspicion_test.go
@@ -12,8 +12,8 @@
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func TestSuspicionBegins(t *testing.T) {
-	good := func(s *suspicion.Suspicion) { s.RecordSuccess(epoch, epoch) }
-	bad := func(weight float64) func(*suspicion.Suspicion) {
+	success := func(s *suspicion.Suspicion) { s.RecordSuccess(epoch, epoch) }
+	failure := func(weight float64) func(*suspicion.Suspicion) {
 		return func(s *suspicion.Suspicion) { s.RecordFailure(epoch, weight) }
 	}
 	tests := []struct {
@@ -22,18 +22,18 @@
 		want  bool
 	}{
 		{"nothing", nil, false},
-		{"one broken connection", []func(*suspicion.Suspicion){bad(suspicion.BrokenConnectionWeight)}, true},
-		{"one failure", []func(*suspicion.Suspicion){bad(suspicion.ErrorWeight)}, false},
-		{"two failures in a row", []func(*suspicion.Suspicion){bad(suspicion.ErrorWeight), bad(suspicion.ErrorWeight)}, true},
-		{"two failures with a good answer between", []func(*suspicion.Suspicion){bad(suspicion.ErrorWeight), good, bad(suspicion.ErrorWeight)}, false},
-		{"one overdue and slow", []func(*suspicion.Suspicion){bad(suspicion.OverdueWeight), bad(suspicion.SlowWeight)}, false},
-		{"two slow", []func(*suspicion.Suspicion){bad(suspicion.SlowWeight), bad(suspicion.SlowWeight)}, false},
-		{"three slow in a row", []func(*suspicion.Suspicion){bad(suspicion.SlowWeight), bad(suspicion.SlowWeight), bad(suspicion.SlowWeight)}, true},
-		{"two in a row overdue and slow", []func(*suspicion.Suspicion){bad(suspicion.OverdueWeight), bad(suspicion.SlowWeight), bad(suspicion.OverdueWeight), bad(suspicion.SlowWeight)}, true},
-		{"by turns slow and good", []func(*suspicion.Suspicion){bad(suspicion.OverdueWeight), bad(suspicion.SlowWeight), good, bad(suspicion.OverdueWeight), good}, false},
-		{"two good answers after", []func(*suspicion.Suspicion){bad(suspicion.BrokenConnectionWeight), good, good}, true},
-		{"three good answers after", []func(*suspicion.Suspicion){bad(suspicion.BrokenConnectionWeight), good, good, good}, false},
-		{"a failure among them", []func(*suspicion.Suspicion){bad(suspicion.BrokenConnectionWeight), good, good, bad(suspicion.ErrorWeight), good}, true},
+		{"one broken connection", []func(*suspicion.Suspicion){failure(suspicion.BrokenConnectionWeight)}, true},
+		{"one failure", []func(*suspicion.Suspicion){failure(suspicion.ErrorWeight)}, false},
+		{"two failures in a row", []func(*suspicion.Suspicion){failure(suspicion.ErrorWeight), failure(suspicion.ErrorWeight)}, true},
+		{"two failures with a success between", []func(*suspicion.Suspicion){failure(suspicion.ErrorWeight), success, failure(suspicion.ErrorWeight)}, false},
+		{"one overdue and slow", []func(*suspicion.Suspicion){failure(suspicion.OverdueWeight), failure(suspicion.SlowWeight)}, false},
+		{"two slow", []func(*suspicion.Suspicion){failure(suspicion.SlowWeight), failure(suspicion.SlowWeight)}, false},
+		{"three slow in a row", []func(*suspicion.Suspicion){failure(suspicion.SlowWeight), failure(suspicion.SlowWeight), failure(suspicion.SlowWeight)}, true},
+		{"two in a row overdue and slow", []func(*suspicion.Suspicion){failure(suspicion.OverdueWeight), failure(suspicion.SlowWeight), failure(suspicion.OverdueWeight), failure(suspicion.SlowWeight)}, true},
+		{"alternately slow and good", []func(*suspicion.Suspicion){failure(suspicion.OverdueWeight), failure(suspicion.SlowWeight), success, failure(suspicion.OverdueWeight), success}, false},
+		{"two successes after", []func(*suspicion.Suspicion){failure(suspicion.BrokenConnectionWeight), success, success}, true},
+		{"three successes after", []func(*suspicion.Suspicion){failure(suspicion.BrokenConnectionWeight), success, success, success}, false},
+		{"a failure among them", []func(*suspicion.Suspicion){failure(suspicion.BrokenConnectionWeight), success, success, failure(suspicion.ErrorWeight), success}, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -98,8 +98,8 @@
 	}
 }
 
-// TestSurvivalCountsOnlyAfterBrokenConnections guards against ending a suspicion that failed responses caused because
-// probes run for some time; only a response shows success then.
+// TestSurvivalCountsOnlyAfterBrokenConnections guards against a running probe that ends a suspicion caused by
+// failed responses; only a response shows success then.
 func TestSurvivalCountsOnlyAfterBrokenConnections(t *testing.T) {
 	s := suspicion.New()
 	s.RecordFailure(epoch, suspicion.ErrorWeight)
