--- a/internal/floor/floor.go
+++ b/internal/floor/floor.go
@@ -52,10 +52,10 @@
 	DriftDivisor = 20
 )
 
-// Refusal is the reason why a lease was refused.
+// Refusal is the result of a lease request: Granted, or the reason why the lease was refused.
 type Refusal string
 
-// Reasons for a refusal.
+// Results of a lease request.
 const (
 	// Granted means that the lease was granted.
 	Granted Refusal = ""
