--- a/internal/latency/latency_test.go
+++ b/internal/latency/latency_test.go
@@ -35,11 +35,11 @@
 		target        time.Duration
 		least, atMost time.Duration
 	}{
-		{"nothing known", estimateOf(), target, 200 * time.Millisecond, 200 * time.Millisecond},
-		{"nothing known and no target", estimateOf(), 0, 0, 0},
+		{"no observations", estimateOf(), target, 200 * time.Millisecond, 200 * time.Millisecond},
+		{"no observations and no target", estimateOf(), 0, 0, 0},
 		{"longer than nearly all", estimateOf(append(times(19, 100), 180)...), target, 100 * time.Millisecond, 115 * time.Millisecond},
-		{"a hedge can be back", estimateOf(append(times(80, 150), times(20, 390)...)...), target, 225 * time.Millisecond, 255 * time.Millisecond},
-		{"not before it has outlasted most", estimateOf(append(times(40, 200), times(60, 380)...)...), target, 375 * time.Millisecond, 430 * time.Millisecond},
+		{"a hedge can finish within the target", estimateOf(append(times(80, 150), times(20, 390)...)...), target, 225 * time.Millisecond, 255 * time.Millisecond},
+		{"not before it has run longer than most", estimateOf(append(times(40, 200), times(60, 380)...)...), target, 375 * time.Millisecond, 430 * time.Millisecond},
 	}
 	for _, c := range cases {
 		if slowAfter := c.estimate.SlowAfter(c.target); slowAfter < c.least || slowAfter > c.atMost {
@@ -69,8 +69,8 @@
 			shortest, longest = min(shortest, m), max(longest, m)
 		}
 		slowAfter := estimateOf(millis...).SlowAfter(target)
-		const class = 1.13 // bucket precision
-		if slowAfter < time.Duration(shortest)*time.Millisecond || slowAfter > time.Duration(float64(longest)*class)*time.Millisecond {
+		const bucketRatio = 1.13 // bucket precision
+		if slowAfter < time.Duration(shortest)*time.Millisecond || slowAfter > time.Duration(float64(longest)*bucketRatio)*time.Millisecond {
 			t.Fatalf("slow after %v, responses took %d to %d ms, target %v", slowAfter, shortest, longest, target)
 		}
 	})
