--- a/internal/detect/baseline.go
+++ b/internal/detect/baseline.go
@@ -11,64 +11,62 @@
 )
 
 const (
-	// normalFailure and normalSlow are the least rates of bad observations that count as normal:
-	// where the others show none, one would otherwise weigh without bound. Measured together with
-	// Rules, not alone.
-	normalFailure = 0.01
-	normalSlow    = 0.05
-	// maxNormal is the greatest rate that counts as normal, so that there is room for a sick one
-	// above it. Not measured.
-	maxNormal = 0.9
-	// minSamples is how many observations make a subject fit to compare others with. Not measured:
-	// at ten requests a minute to each it takes less than a minute.
+	// minFailureRate and minSlowRate are the minimum baseline rates. Without them a single bad
+	// observation would weigh without bound where the other servers show none.
+	minFailureRate = 0.01
+	minSlowRate    = 0.05
+	// maxBaselineRate is the maximum baseline rate; it leaves room for an unhealthy server above it.
+	maxBaselineRate = 0.9
+	// minSamples is the number of observations from which a subject contributes to baselines.
 	minSamples = 8
 )
 
-// Baseline is how the service's other backend servers do of late. Beside a
-// request it travels from the ingress to the sidecar.
+// Baseline describes the recent behaviour of the service's other backend servers. The ingress
+// sends it to the sidecar along with a request.
 type Baseline struct {
-	// Failure and Slow are the middle of the others' recent rates.
+	// Failure and Slow are the medians of the other servers' recent rates.
 	Failure, Slow float64
-	// FailureSum and SlowSum are the middle of their cumulative sums.
+	// FailureSum and SlowSum are the medians of their cumulative sums.
 	FailureSum, SlowSum float64
-	// TypicalLatency is the middle of the times they take; zero if it is not known, and nothing but Failure is then.
+	// TypicalLatency is the median of their response times. It is zero if unknown; only Failure can be
+	// set then.
 	TypicalLatency time.Duration
 }
 
-var unknownBaseline = Baseline{Failure: normalFailure, Slow: normalSlow}
+var unknownBaseline = Baseline{Failure: minFailureRate, Slow: minSlowRate}
 
-func (r Baseline) known() bool { return r.TypicalLatency > 0 }
+func (b Baseline) known() bool { return b.TypicalLatency > 0 }
 
-func (r Baseline) failure() float64 {
-	return math.Min(math.Max(r.Failure, normalFailure), maxNormal)
+func (b Baseline) failure() float64 {
+	return math.Min(math.Max(b.Failure, minFailureRate), maxBaselineRate)
 }
 
-func (r Baseline) slow() float64 {
-	return math.Min(math.Max(r.Slow, normalSlow), maxNormal)
+func (b Baseline) slow() float64 {
+	return math.Min(math.Max(b.Slow, minSlowRate), maxBaselineRate)
 }
 
-// thousand is the part in which rates and sums are written.
-const thousand = 1000
+// encodingScale is the scale at which rates and sums are encoded as integers.
+const encodingScale = 1000
 
-// baselineFields is how many numbers an encoded baseline has.
+// baselineFields is the number of fields of an encoded baseline.
 const baselineFields = 5
 
-// Encode returns the baseline as five numbers: failure, slow, failure sum and
-// slow sum in thousandths, and the typical time in microseconds. It returns ""
-// if nothing is known.
-func (r Baseline) Encode() string {
-	if !r.known() && r.Failure == 0 {
+// Encode returns the baseline as five comma-separated integers: failure rate, slow rate, failure
+// sum and slow sum in thousandths, and the typical latency in microseconds. It returns "" if
+// nothing is known.
+func (b Baseline) Encode() string {
+	if !b.known() && b.Failure == 0 {
 		return ""
 	}
 	var text []byte
-	for _, value := range []float64{r.Failure, r.Slow, r.FailureSum, r.SlowSum} {
-		text = strconv.AppendInt(text, int64(value*thousand), 10)
+	for _, value := range []float64{b.Failure, b.Slow, b.FailureSum, b.SlowSum} {
+		text = strconv.AppendInt(text, int64(value*encodingScale), 10)
 		text = append(text, ',')
 	}
-	return string(strconv.AppendInt(text, r.TypicalLatency.Microseconds(), 10))
+	return string(strconv.AppendInt(text, b.TypicalLatency.Microseconds(), 10))
 }
 
-// ParseBaseline reads what Encode wrote.
+// ParseBaseline parses the output of Baseline.Encode.
 func ParseBaseline(text string) (Baseline, error) {
 	if text == "" {
 		return Baseline{}, nil
@@ -78,25 +76,25 @@
 	for field := range strings.SplitSeq(text, ",") {
 		number, err := strconv.ParseInt(field, 10, 32)
 		if err != nil || number < 0 || fields == baselineFields {
-			return Baseline{}, errors.Errorf("reference %q: want %d numbers of 0 or more", text, baselineFields)
+			return Baseline{}, errors.Errorf("baseline %q: want %d non-negative integers", text, baselineFields)
 		}
 		numbers[fields] = number
 		fields++
 	}
 	if fields != baselineFields {
-		return Baseline{}, errors.Errorf("reference %q: want %d numbers, not %d", text, baselineFields, fields)
+		return Baseline{}, errors.Errorf("baseline %q: want %d fields, got %d", text, baselineFields, fields)
 	}
-	share := func(i int) float64 { return float64(numbers[i]) / thousand }
+	scaled := func(i int) float64 { return float64(numbers[i]) / encodingScale }
 	return Baseline{
-		Failure:        math.Min(1, share(0)),
-		Slow:           math.Min(1, share(1)),
-		FailureSum:     share(2),
-		SlowSum:        share(3),
+		Failure:        math.Min(1, scaled(0)),
+		Slow:           math.Min(1, scaled(1)),
+		FailureSum:     scaled(2),
+		SlowSum:        scaled(3),
 		TypicalLatency: time.Duration(numbers[4]) * time.Microsecond,
 	}, nil
 }
 
-// Group is the backend servers of one service as one observer sees them.
+// Group is the set of backend servers of one service as one observer sees them.
 type Group struct {
 	rules    Rules
 	subjects map[string]*Subject
@@ -108,152 +106,151 @@
 	return &Group{rules: rules, subjects: make(map[string]*Subject), others: make(map[string]Baseline)}
 }
 
-// Reconfigure takes the rules and the names of the backend servers. Those that
-// were there keep what was observed.
+// Reconfigure sets the rules and the names of the backend servers. Servers that remain keep
+// their observations.
 func (g *Group) Reconfigure(rules Rules, names []string) {
 	g.rules = rules
-	next := make(map[string]*Subject, len(names))
+	updated := make(map[string]*Subject, len(names))
 	for _, name := range names {
 		s, ok := g.subjects[name]
 		if !ok {
 			s = NewSubject(rules)
 		}
 		s.SetRules(rules)
-		next[name] = s
+		updated[name] = s
 	}
-	g.subjects = next
+	g.subjects = updated
 	g.UpdateBaselines()
 }
 
-// Subject returns the backend server of that name.
+// Subject returns the subject of the backend server with the given name.
 func (g *Group) Subject(name string) (*Subject, bool) {
 	s, ok := g.subjects[name]
 	return s, ok
 }
 
-// Baseline returns how the others than the one named did at the last Compare.
+// Baseline returns the baseline of the named backend server as of the last call of UpdateBaselines.
 func (g *Group) Baseline(name string) Baseline { return g.others[name] }
 
-// IsOutlier reports whether the backend server named does worse than the others; see
+// IsOutlier reports whether the named backend server performs worse than the others; see
 // Subject.IsOutlier.
 func (g *Group) IsOutlier(name string) bool {
-	suspected, ok := g.subjects[name]
+	subject, ok := g.subjects[name]
 	if !ok {
 		return false
 	}
-	since := suspected.SuspectedSince()
+	since := subject.SuspectedSince()
 	var others []Summary
 	for other, s := range g.subjects {
 		if other != name {
 			others = append(others, s.Summary(since))
 		}
 	}
-	return suspected.IsOutlier(others)
+	return subject.IsOutlier(others)
 }
 
-// UpdateBaselines works out for each backend server how the others do. It is called a
-// few times a second; in between the last result stands.
+// UpdateBaselines recalculates the baseline of each backend server from the others. It is called a few
+// times per second; Baseline returns the last result in between.
 func (g *Group) UpdateBaselines() {
-	table := newComparison(g.subjects, g.rules)
+	figures := newComparison(g.subjects, g.rules)
 	clear(g.others)
 	for name, s := range g.subjects {
-		g.others[name] = table.without(s, g.rules)
+		g.others[name] = figures.baselineWithout(s, g.rules)
 	}
 }
 
-// comparison is the sorted figures of the subjects that are known well enough.
+// comparison holds the sorted figures of all subjects that have enough observations.
 type comparison struct {
-	failure, slow, failureSum, slowSum, logTime []float64
+	failure, slow, failureSum, slowSum, logLatency []float64
 }
 
 func newComparison(subjects map[string]*Subject, rules Rules) comparison {
 	var c comparison
 	for _, s := range subjects {
-		if !s.comparable() {
+		if !s.hasEnoughSamples() {
 			continue
 		}
-		c.failure = append(c.failure, s.failure.normal())
-		c.slow = append(c.slow, s.slow.normal())
+		c.failure = append(c.failure, s.failure.baselineRate())
+		c.slow = append(c.slow, s.slow.baselineRate())
 		c.failureSum = append(c.failureSum, s.failure.total(rules))
 		c.slowSum = append(c.slowSum, s.slow.total(rules))
-		c.logTime = append(c.logTime, s.latency.logMiddle)
+		c.logLatency = append(c.logLatency, s.latency.logMedian)
 	}
-	for _, column := range [][]float64{c.failure, c.slow, c.failureSum, c.slowSum, c.logTime} {
+	for _, column := range [][]float64{c.failure, c.slow, c.failureSum, c.slowSum, c.logLatency} {
 		slices.Sort(column)
 	}
 	return c
 }
 
-// comparable reports whether enough is known of the subject to hold others to it.
-func (s *Subject) comparable() bool {
+// hasEnoughSamples reports whether the subject has enough observations to contribute to baselines.
+func (s *Subject) hasEnoughSamples() bool {
 	return s.observed >= minSamples && s.latency.samples > 0
 }
 
-// without returns the middle of each figure, the subject's own left out.
-func (c comparison) without(s *Subject, rules Rules) Baseline {
-	own := s.comparable()
-	if len(c.logTime) == 0 || own && len(c.logTime) == 1 {
+// baselineWithout returns the median of each figure, excluding the subject's own.
+func (c comparison) baselineWithout(s *Subject, rules Rules) Baseline {
+	included := s.hasEnoughSamples()
+	if len(c.logLatency) == 0 || included && len(c.logLatency) == 1 {
 		return Baseline{}
 	}
 	return Baseline{
-		Failure:        middleWithout(c.failure, s.failure.normal(), own),
-		Slow:           middleWithout(c.slow, s.slow.normal(), own),
-		FailureSum:     middleWithout(c.failureSum, s.failure.total(rules), own),
-		SlowSum:        middleWithout(c.slowSum, s.slow.total(rules), own),
-		TypicalLatency: time.Duration(math.Exp(middleWithout(c.logTime, s.latency.logMiddle, own))),
+		Failure:        medianWithout(c.failure, s.failure.baselineRate(), included),
+		Slow:           medianWithout(c.slow, s.slow.baselineRate(), included),
+		FailureSum:     medianWithout(c.failureSum, s.failure.total(rules), included),
+		SlowSum:        medianWithout(c.slowSum, s.slow.total(rules), included),
+		TypicalLatency: time.Duration(math.Exp(medianWithout(c.logLatency, s.latency.logMedian, included))),
 	}
 }
 
-// middleWithout returns the median, the upper one of two, of the sorted values
-// without the one given, if it is among them.
-func middleWithout(sorted []float64, value float64, among bool) float64 {
-	if !among {
+// medianWithout returns the median of the sorted values, the upper one of two, excluding the given
+// value if it is among them.
+func medianWithout(sorted []float64, value float64, included bool) float64 {
+	if !included {
 		return sorted[len(sorted)/2]
 	}
-	place, _ := slices.BinarySearch(sorted, value)
-	middle := (len(sorted) - 1) / 2
-	if middle >= place {
-		middle++
+	index, _ := slices.BinarySearch(sorted, value)
+	median := (len(sorted) - 1) / 2
+	if median >= index {
+		median++
 	}
-	return sorted[middle]
+	return sorted[median]
 }
 
-// latency follows the middle of the times taken, as a logarithm that each time
-// taken moves by one step.
+// latency estimates the median response time. Each sample moves the estimate by a bounded step on
+// a logarithmic scale.
 type latency struct {
 	samples   int64
-	logMiddle float64
+	logMedian float64
 }
 
 const (
-	// latencyStep is how far one time taken moves the middle at most, as a natural logarithm: 3%.
-	// Measured together with Rules, not alone.
+	// latencyStep is the maximum step per sample, as a natural logarithm: 3%.
 	latencyStep = 0.03
-	// firstStep is the step for the first firstSamples times, so that the middle is found soon:
-	// 35% each. Measured together with Rules, not alone.
-	firstStep    = 0.3
-	firstSamples = 16
+	// initialStep is the maximum step, 35%, for the first initialSamples samples, so that the estimate
+	// converges quickly.
+	initialStep    = 0.3
+	initialSamples = 16
 )
 
-func (l *latency) add(took time.Duration) {
-	value := math.Log(math.Max(float64(took), 1))
+func (l *latency) add(sample time.Duration) {
+	logSample := math.Log(math.Max(float64(sample), 1))
 	l.samples++
 	if l.samples == 1 {
-		l.logMiddle = value
+		l.logMedian = logSample
 		return
 	}
 	step := latencyStep
-	if l.samples < firstSamples {
-		step = firstStep
+	if l.samples < initialSamples {
+		step = initialStep
 	}
-	distance := value - l.logMiddle
-	l.logMiddle += math.Max(-step, math.Min(step, distance))
+	distance := logSample - l.logMedian
+	l.logMedian += math.Max(-step, math.Min(step, distance))
 }
 
-// Typical returns the middle of the times taken.
+// typical returns the estimated median response time, or zero without samples.
 func (l *latency) typical() time.Duration {
 	if l.samples == 0 {
 		return 0
 	}
-	return time.Duration(math.Exp(l.logMiddle))
+	return time.Duration(math.Exp(l.logMedian))
 }
--- a/internal/detect/baseline_test.go
+++ b/internal/detect/baseline_test.go
@@ -9,31 +9,29 @@
 	"github.com/tideliftd/tidelift/internal/detect"
 )
 
-// FuzzParseBaseline reads what a peer may send: no input may panic or give a
-// rate beyond its bounds.
+// FuzzParseBaseline guards against input from a peer that causes a panic or rates out of bounds.
 func FuzzParseBaseline(f *testing.F) {
 	f.Add("10,50,0,0,25000")
 	f.Add("")
 	f.Add("1,2,3,4,5,6")
 	f.Add("-1,,,,")
 	f.Fuzz(func(t *testing.T, text string) {
-		r, err := detect.ParseBaseline(text)
+		baseline, err := detect.ParseBaseline(text)
 		if err != nil {
 			return
 		}
-		if r.Failure < 0 || r.Failure > 1 || r.Slow < 0 || r.Slow > 1 || r.TypicalLatency < 0 {
-			t.Fatalf("%q gave %+v", text, r)
+		if baseline.Failure < 0 || baseline.Failure > 1 || baseline.Slow < 0 || baseline.Slow > 1 || baseline.TypicalLatency < 0 {
+			t.Fatalf("%q parsed as %+v", text, baseline)
 		}
-		if again, err := detect.ParseBaseline(r.Encode()); err != nil || r.TypicalLatency > 0 && again != r {
-			t.Fatalf("%q gave %+v, and encoded again %+v, %v", text, r, again, err)
+		if reparsed, err := detect.ParseBaseline(baseline.Encode()); err != nil || baseline.TypicalLatency > 0 && reparsed != baseline {
+			t.Fatalf("%q parsed as %+v, re-encoded and parsed as %+v, %v", text, baseline, reparsed, err)
 		}
 	})
 }
 
-// TestHoldGrowsAndDecays ejects a subject again and again: each time within
-// memory is held longer than the one before, never beyond the longest, and a
-// long time of service shortens the next.
-func TestHoldGrowsAndDecays(t *testing.T) {
+// TestEjectionTimeGrows guards against ejection times outside their bounds, and against one that does
+// not double if the subject is ejected again immediately after its reinstatement.
+func TestEjectionTimeGrows(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rules := detect.Swift()
 		s := detect.NewSubject(rules)
@@ -43,37 +41,37 @@
 			served := time.Duration(rapid.IntRange(0, 1200).Draw(t, "served")) * time.Second
 			now = now.Add(served)
 			s.Eject(now)
-			held := s.EjectedFor(now)
-			if held < rules.EjectionTime || held > rules.EjectionTimeMax {
-				t.Fatalf("held for %s", held)
+			ejectedFor := s.EjectedFor(now)
+			if ejectedFor < rules.EjectionTime || ejectedFor > rules.EjectionTimeMax {
+				t.Fatalf("ejected for %s", ejectedFor)
 			}
-			if served == 0 && last > 0 && held < min(2*last, rules.EjectionTimeMax) {
-				t.Fatalf("held for %s after %s", held, last)
+			if served == 0 && last > 0 && ejectedFor < min(2*last, rules.EjectionTimeMax) {
+				t.Fatalf("ejected for %s after %s", ejectedFor, last)
 			}
-			now = now.Add(held)
+			now = now.Add(ejectedFor)
 			if s.State(now) != detect.Probation {
-				t.Fatalf("%s after its hold", s.State(now))
+				t.Fatalf("state %s after the ejection time", s.State(now))
 			}
 			s.Reinstate(now)
-			last = held
+			last = ejectedFor
 		}
 	})
 }
 
-// TestTrial ends a probation by good answers in a row and lengthens the ejection time by a
-// bad one.
-func TestTrial(t *testing.T) {
+// TestProbation guards against a probation that ends too early, or that a failed or slow response does not
+// turn into a longer ejection.
+func TestProbation(t *testing.T) {
 	rules := detect.Swift()
 	others := detect.Baseline{TypicalLatency: median}
 	good := detect.Observation{Outcome: detect.OK, Latency: median}
 	tests := []struct {
-		name string
-		saw  detect.Observation
-		back bool
+		name        string
+		observation detect.Observation
+		reinstated  bool
 	}{
 		{"good", good, true},
 		{"an error", detect.Observation{Outcome: detect.Error, Latency: median}, false},
-		{"no answer", detect.Observation{Outcome: detect.TimedOut, Latency: deadline}, false},
+		{"no response", detect.Observation{Outcome: detect.TimedOut, Latency: deadline}, false},
 		{"slow", detect.Observation{Outcome: detect.OK, Latency: 10 * median}, false},
 	}
 	for _, test := range tests {
@@ -83,15 +81,15 @@
 			now := epoch.Add(rules.EjectionTime)
 			for range rules.ProbationPasses - 1 {
 				if s.ObserveProbation(now, good, others) {
-					t.Fatal("it came back too soon")
+					t.Fatal("reinstated too early")
 				}
 			}
-			back := s.ObserveProbation(now, test.saw, others)
-			if back != test.back {
-				t.Fatalf("came back: %t", back)
+			reinstated := s.ObserveProbation(now, test.observation, others)
+			if reinstated != test.reinstated {
+				t.Fatalf("reinstated: %t", reinstated)
 			}
-			if !back && s.EjectedFor(now) < 2*rules.EjectionTime {
-				t.Fatalf("held for %s after a failed trial", s.EjectedFor(now))
+			if !reinstated && s.EjectedFor(now) < 2*rules.EjectionTime {
+				t.Fatalf("ejected for %s after a failed probation", s.EjectedFor(now))
 			}
 		})
 	}
--- a/internal/detect/curve_test.go
+++ b/internal/detect/curve_test.go
@@ -10,20 +10,20 @@
 	"github.com/tideliftd/tidelift/internal/detect"
 )
 
-// judgement is when a way to detect first called the sick server, from the fault
-// on, and how often it called a healthy one.
-type judgement struct {
-	after time.Duration // the length of the run if never
-	wrong int
+// detectionResult is the result of one detection method: the time from the fault to the detection of the
+// unhealthy server and the number of false verdicts.
+type detectionResult struct {
+	after         time.Duration // length of the run if the server was not detected
+	falseVerdicts int
 }
 
-// baseline is one of the usual ways to detect, on the same events.
-type baseline func(events []seen, fault time.Time, x experiment) judgement
+// method is a common detection method, applied to the same events.
+type method func(events []event, fault time.Time, x experiment) detectionResult
 
-// consecutive calls a server after five failures in a row.
-func consecutive(events []seen, fault time.Time, x experiment) judgement {
-	const inARow = 5
-	result := judgement{after: x.after}
+// consecutive detects a server after five consecutive failures.
+func consecutive(events []event, fault time.Time, x experiment) detectionResult {
+	const limit = 5
+	result := detectionResult{after: x.after}
 	failures := make(map[int]int)
 	for _, s := range events {
 		if s.observation.Outcome == detect.Overdue {
@@ -34,35 +34,35 @@
 			continue
 		}
 		failures[s.server]++
-		if failures[s.server] == inARow {
-			result.call(s.server, s.at, fault, x)
+		if failures[s.server] == limit {
+			result.record(s.server, s.at, fault, x)
 		}
 	}
 	return result
 }
 
-// outlier calls the servers whose success rate over 10 s is below the mean less
-// 1.9 standard deviations.
-func outlier(events []seen, fault time.Time, x experiment) judgement {
-	const window, deviations, least = 10 * time.Second, 1.9, 5
-	result := judgement{after: x.after}
-	var asked, bad [servers]float64
-	began := epoch
+// outlier detects servers whose success rate over 10 s is more than 1.9 standard deviations below the
+// mean.
+func outlier(events []event, fault time.Time, x experiment) detectionResult {
+	const window, deviations, minRequests = 10 * time.Second, 1.9, 5
+	result := detectionResult{after: x.after}
+	var requests, bad [servers]float64
+	windowStart := epoch
 	for _, s := range events {
 		if s.observation.Outcome == detect.Overdue {
 			continue
 		}
-		if s.at.Sub(began) >= window {
-			limit := meanLess(asked, bad, deviations, least)
+		if s.at.Sub(windowStart) >= window {
+			limit := meanMinusDeviations(requests, bad, deviations, minRequests)
 			for server := range servers {
-				if asked[server] >= least && 1-bad[server]/asked[server] < limit {
-					result.call(server, s.at, fault, x)
+				if requests[server] >= minRequests && 1-bad[server]/requests[server] < limit {
+					result.record(server, s.at, fault, x)
 				}
 			}
-			asked, bad = [servers]float64{}, [servers]float64{}
-			began = s.at
+			requests, bad = [servers]float64{}, [servers]float64{}
+			windowStart = s.at
 		}
-		asked[s.server]++
+		requests[s.server]++
 		if s.observation.Outcome != detect.OK {
 			bad[s.server]++
 		}
@@ -70,13 +70,13 @@
 	return result
 }
 
-func meanLess(asked, bad [servers]float64, deviations, least float64) float64 {
+func meanMinusDeviations(requests, bad [servers]float64, deviations, minRequests float64) float64 {
 	var sum, squares, count float64
 	for server := range servers {
-		if asked[server] < least {
+		if requests[server] < minRequests {
 			continue
 		}
-		rate := 1 - bad[server]/asked[server]
+		rate := 1 - bad[server]/requests[server]
 		sum += rate
 		squares += rate * rate
 		count++
@@ -88,38 +88,38 @@
 	return mean - deviations*math.Sqrt(math.Max(0, squares/count-mean*mean))
 }
 
-func (j *judgement) call(server int, at, fault time.Time, x experiment) {
+func (r *detectionResult) record(server int, at, fault time.Time, x experiment) {
 	switch {
-	case x.sick == nil || server >= x.sickN || at.Before(fault):
-		j.wrong++
-	case j.after == x.after:
-		j.after = at.Sub(fault)
+	case x.faulty == nil || server >= x.faultyCount || at.Before(fault):
+		r.falseVerdicts++
+	case r.after == x.after:
+		r.after = at.Sub(fault)
 	}
 }
 
-// judge runs the experiment over seeds and returns the middle of the times and
-// the sum of what was wrong.
-func (x experiment) judge(seeds int, how baseline) judgement {
+// evaluate runs the experiment for the seeds and returns the median detection time and the total number
+// of false verdicts.
+func (x experiment) evaluate(seeds int, apply method) detectionResult {
 	times := make([]time.Duration, 0, seeds)
-	wrong := 0
+	falseVerdicts := 0
 	for seed := range seeds {
 		x.seed = uint64(seed)
 		fault := epoch.Add(x.warm)
-		one := how(x.events(rand.New(rand.NewPCG(x.seed, 1)), fault), fault, x)
-		times = append(times, one.after)
-		wrong += one.wrong
+		result := apply(x.events(rand.New(rand.NewPCG(x.seed, 1)), fault), fault, x)
+		times = append(times, result.after)
+		falseVerdicts += result.falseVerdicts
 	}
 	slices.Sort(times)
-	return judgement{after: times[len(times)/2], wrong: wrong}
+	return detectionResult{after: times[len(times)/2], falseVerdicts: falseVerdicts}
 }
 
-// TestAheadOfTheBaselines holds both settings to be faster than the usual ways at
-// no more false verdicts, where a server fails.
-func TestAheadOfTheBaselines(t *testing.T) {
+// TestFasterThanCommonMethods guards against settings that detect a failing server more slowly than
+// common methods, and against false verdicts of the careful setting.
+func TestFasterThanCommonMethods(t *testing.T) {
 	const seeds = 10
 	tests := []struct {
 		name   string
-		sick   behaviour
+		faulty behaviour
 		perSec float64
 	}{
 		{"stall at 300/s", stalled(1), 300},
@@ -133,46 +133,46 @@
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			x := experiment{
-				rules: detect.Careful(), perSec: test.perSec, normal: healthy(0.4), sick: test.sick, sickN: 1,
+				rules: detect.Careful(), perSec: test.perSec, normal: healthy(0.4), faulty: test.faulty, faultyCount: 1,
 				warm: 30 * time.Second, after: 60 * time.Second,
 			}
-			five := x.judge(seeds, consecutive)
-			success := x.judge(seeds, outlier)
-			careful, _, carefulWrong := x.times(seeds)
+			consecutiveResult := x.evaluate(seeds, consecutive)
+			outlierResult := x.evaluate(seeds, outlier)
+			careful, _, carefulFalse := x.times(seeds)
 			x.rules = detect.Swift()
-			swift, _, swiftWrong := x.times(seeds)
-			t.Logf("swift %s (%d wrong), careful %s (%d), five in a row %s (%d), success rate %s (%d)",
-				swift, swiftWrong, careful, carefulWrong, five.after, five.wrong, success.after, success.wrong)
-			if careful > five.after || careful > success.after || swift > careful {
-				t.Error("slower than a baseline")
+			swift, _, swiftFalse := x.times(seeds)
+			t.Logf("swift %s (%d false), careful %s (%d), five consecutive failures %s (%d), success rate %s (%d)",
+				swift, swiftFalse, careful, carefulFalse, consecutiveResult.after, consecutiveResult.falseVerdicts, outlierResult.after, outlierResult.falseVerdicts)
+			if careful > consecutiveResult.after || careful > outlierResult.after || swift > careful {
+				t.Error("slower than a common detection method, or swift slower than careful")
 			}
-			if carefulWrong > 0 {
-				t.Errorf("%d false verdicts at careful", carefulWrong)
+			if carefulFalse > 0 {
+				t.Errorf("%d false verdicts of the careful setting", carefulFalse)
 			}
 		})
 	}
 }
 
-// TestCurve logs detection time against false verdicts as the threshold moves. It
-// holds that a higher threshold is never more often wrong by much.
-func TestCurve(t *testing.T) {
+// TestThresholdTradeOff guards against a higher threshold that causes clearly more false verdicts. It logs
+// detection time against false verdicts for each threshold.
+func TestThresholdTradeOff(t *testing.T) {
 	const seeds = 10
 	last := seeds * servers
 	for _, threshold := range []float64{4, 6.5, 8, 9, 10, 13, 17} {
 		rules := detect.Swift()
 		rules.Threshold = threshold
-		faulty := experiment{
-			rules: rules, perSec: 300, normal: healthy(0.4), sick: stalled(0.3), sickN: 1,
+		withFault := experiment{
+			rules: rules, perSec: 300, normal: healthy(0.4), faulty: stalled(0.3), faultyCount: 1,
 			warm: 10 * time.Second, after: 20 * time.Second,
 		}
 		noisy := experiment{rules: rules, perSec: 300, normal: healthy(1), warm: time.Second, after: time.Minute}
-		after, worst, _ := faulty.times(seeds)
-		_, _, wrong := noisy.times(seeds)
-		t.Logf("threshold %4.1f: a third timing out after %s, worst %s; %d of %d servers wrongly called in a minute of heavy tails",
-			threshold, after.Round(time.Millisecond), worst.Round(time.Millisecond), wrong, seeds*servers)
-		if wrong > last+seeds {
-			t.Errorf("threshold %g: %d wrong, more than %d at the one before", threshold, wrong, last)
+		after, worst, _ := withFault.times(seeds)
+		_, _, falseVerdicts := noisy.times(seeds)
+		t.Logf("threshold %4.1f: a third timing out detected after %s, worst %s; %d false verdicts on %d servers in a minute of heavy tails",
+			threshold, after.Round(time.Millisecond), worst.Round(time.Millisecond), falseVerdicts, seeds*servers)
+		if falseVerdicts > last+seeds {
+			t.Errorf("threshold %g: %d false verdicts, more than %d at the previous threshold", threshold, falseVerdicts, last)
 		}
-		last = wrong
+		last = falseVerdicts
 	}
 }
--- a/internal/detect/detect_test.go
+++ b/internal/detect/detect_test.go
@@ -20,11 +20,11 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// behaviour says how a backend server answers one request.
+// behaviour determines how a backend server responds to one request.
 type behaviour func(random *rand.Rand) (detect.Outcome, time.Duration)
 
-// healthy answers in a log-normal time around the median, and fails one
-// request in a thousand.
+// healthy responds in a log-normally distributed time around the median and fails one request in a
+// thousand.
 func healthy(spread float64) behaviour {
 	return func(random *rand.Rand) (detect.Outcome, time.Duration) {
 		took := time.Duration(float64(median) * math.Exp(spread*random.NormFloat64()))
@@ -51,27 +51,27 @@
 	}
 }
 
-// experiment is one service under load, seen by one observer.
+// experiment simulates one service under load with a single observer.
 type experiment struct {
-	rules  detect.Rules
-	perSec float64
-	normal behaviour
-	sick   behaviour
-	sickN  int // how many turn sick
-	warm   time.Duration
-	after  time.Duration
-	seed   uint64
+	rules       detect.Rules
+	perSec      float64
+	normal      behaviour
+	faulty      behaviour
+	faultyCount int // number of servers that become unhealthy
+	warm        time.Duration
+	after       time.Duration
+	seed        uint64
 }
 
-// seen is something that the observer sees at a time.
-type seen struct {
+// event is an observation with its time and server.
+type event struct {
 	at          time.Time
 	server      int
 	observation detect.Observation
 }
 
-// verdicts is when each server was first called sick, from the fault on, and
-// after how many of its failures.
+// verdicts holds, for each server, the time from the fault to the first unhealthy verdict and the
+// number of failures until then.
 type verdicts struct {
 	after    map[int]time.Duration
 	failures map[int]int
@@ -88,11 +88,11 @@
 	group.Reconfigure(x.rules, names)
 	result := verdicts{after: make(map[int]time.Duration), failures: make(map[int]int)}
 	fault := epoch.Add(x.warm)
-	compared := epoch
+	lastUpdate := epoch
 	for _, s := range x.events(random, fault) {
-		if s.at.Sub(compared) >= 100*time.Millisecond {
+		if s.at.Sub(lastUpdate) >= 100*time.Millisecond {
 			group.UpdateBaselines()
-			compared = s.at
+			lastUpdate = s.at
 		}
 		subject, _ := group.Subject(names[s.server])
 		subject.Observe(s.at, s.observation, group.Baseline(names[s.server]))
@@ -117,17 +117,17 @@
 	return result
 }
 
-// events draws the requests and sorts what is seen of them by time. The limit
-// for overdue ones is that of a warm observer.
-func (x experiment) events(random *rand.Rand, fault time.Time) []seen {
+// events generates the observations of all requests in order of time. Overdue requests are judged by
+// the median, as an observer that knows the typical latency does.
+func (x experiment) events(random *rand.Rand, fault time.Time) []event {
 	limit := x.rules.OverdueLimit(median)
-	var all []seen
+	var all []event
 	for at := epoch; at.Before(fault.Add(x.after)); {
 		at = at.Add(time.Duration(random.ExpFloat64() / x.perSec * float64(time.Second)))
 		server := random.IntN(servers)
 		behave := x.normal
-		if x.sick != nil && server < x.sickN && at.After(fault) {
-			behave = x.sick
+		if x.faulty != nil && server < x.faultyCount && at.After(fault) {
+			behave = x.faulty
 		}
 		outcome, took := behave(random)
 		if took >= deadline {
@@ -135,24 +135,25 @@
 		}
 		late := took > limit
 		if late {
-			all = append(all, seen{at.Add(limit), server, detect.Observation{Outcome: detect.Overdue}})
+			all = append(all, event{at.Add(limit), server, detect.Observation{Outcome: detect.Overdue}})
 		}
-		all = append(all, seen{at.Add(took), server, detect.Observation{Outcome: outcome, Latency: took, WasOverdue: late}})
+		all = append(all, event{at.Add(took), server, detect.Observation{Outcome: outcome, Latency: took, WasOverdue: late}})
 	}
-	slices.SortFunc(all, func(a, b seen) int { return a.at.Compare(b.at) })
+	slices.SortFunc(all, func(a, b event) int { return a.at.Compare(b.at) })
 	return all
 }
 
-// worst and median of the times over the seeds; never called counts as after.
-func (x experiment) times(seeds int) (middle, worst time.Duration, wrong int) {
+// times returns the median and the worst detection time over the seeds, counting x.after for no
+// detection, and the number of false verdicts.
+func (x experiment) times(seeds int) (medianTime, worst time.Duration, falseVerdicts int) {
 	times := make([]time.Duration, 0, seeds)
 	for seed := range seeds {
 		x.seed = uint64(seed)
 		v := x.run()
-		wrong += v.early
+		falseVerdicts += v.early
 		for server := range v.after {
-			if server >= x.sickN || x.sick == nil {
-				wrong++
+			if server >= x.faultyCount || x.faulty == nil {
+				falseVerdicts++
 			}
 		}
 		after, ok := v.after[0]
@@ -162,14 +163,14 @@
 		times = append(times, after)
 	}
 	slices.Sort(times)
-	return times[len(times)/2], times[len(times)-1], wrong
+	return times[len(times)/2], times[len(times)-1], falseVerdicts
 }
 
-// TestDetectionTime holds detection to the times that the settings promise.
+// TestDetectionTime guards against detection that is slower than the settings promise.
 func TestDetectionTime(t *testing.T) {
 	tests := []struct {
 		name   string
-		sick   behaviour
+		faulty behaviour
 		perSec float64
 		swift  time.Duration
 		care   time.Duration
@@ -190,26 +191,26 @@
 			t.Run(test.name+", "+string(setting), func(t *testing.T) {
 				t.Parallel()
 				x := experiment{
-					rules: detect.RulesOf(setting), perSec: test.perSec, normal: healthy(0.4), sick: test.sick, sickN: 1,
+					rules: detect.RulesOf(setting), perSec: test.perSec, normal: healthy(0.4), faulty: test.faulty, faultyCount: 1,
 					warm: 10 * time.Second, after: 10 * time.Second,
 				}
-				middle, worst, wrong := x.times(seeds)
-				t.Logf("median %s, worst %s, false %d", middle, worst, wrong)
-				if worst > limit || wrong > 0 {
-					t.Errorf("median %s, worst %s, limit %s, false %d", middle, worst, limit, wrong)
+				typical, worst, falseVerdicts := x.times(seeds)
+				t.Logf("median %s, worst %s, %d false verdicts", typical, worst, falseVerdicts)
+				if worst > limit || falseVerdicts > 0 {
+					t.Errorf("median %s, worst %s, limit %s, %d false verdicts", typical, worst, limit, falseVerdicts)
 				}
 			})
 		}
 	}
 }
 
-// TestNobodyIsCalledSick holds the settings to no false verdict where nobody,
-// or everybody, is worse than the others.
-func TestNobodyIsCalledSick(t *testing.T) {
+// TestNoFalseVerdicts guards against verdicts where no server, or every server, is worse than the
+// others.
+func TestNoFalseVerdicts(t *testing.T) {
 	tests := []struct {
 		name   string
 		normal behaviour
-		sick   behaviour
+		faulty behaviour
 		perSec float64
 	}{
 		{"heavy tail at 300/s", healthy(1), nil, 300},
@@ -223,7 +224,7 @@
 		{"half of all time out at 5/s", healthy(0.4), stalled(0.5), 5},
 	}
 	for _, test := range tests {
-		seeds := 10 // a minute each
+		seeds := 10 // one minute each
 		if test.perSec > 1000 {
 			seeds = 2
 		}
@@ -231,44 +232,44 @@
 			t.Run(test.name+", "+string(setting), func(t *testing.T) {
 				t.Parallel()
 				x := experiment{
-					rules: detect.RulesOf(setting), perSec: test.perSec, normal: test.normal, sick: test.sick, sickN: servers,
+					rules: detect.RulesOf(setting), perSec: test.perSec, normal: test.normal, faulty: test.faulty, faultyCount: servers,
 					warm: 30 * time.Second, after: 30 * time.Second,
 				}
-				called := 0
+				falseVerdicts := 0
 				for seed := range seeds {
 					x.seed = uint64(seed)
 					v := x.run()
-					called += v.early + len(v.after)
+					falseVerdicts += v.early + len(v.after)
 				}
-				t.Logf("%d false verdicts in %d minutes of %d servers", called, seeds, servers)
-				if called > 0 && setting == fleet.DetectionCareful {
-					t.Errorf("%d false verdicts", called)
+				t.Logf("%d false verdicts in %d minutes of %d servers", falseVerdicts, seeds, servers)
+				if falseVerdicts > 0 && setting == fleet.DetectionCareful {
+					t.Errorf("%d false verdicts", falseVerdicts)
 				}
 			})
 		}
 	}
 }
 
-// TestLowRate holds detection at ten requests a minute to three failures.
+// TestLowRate guards against detection that needs more than three failures at ten requests per minute.
 func TestLowRate(t *testing.T) {
 	for _, setting := range []fleet.Detection{fleet.DetectionSwift, fleet.DetectionCareful} {
 		x := experiment{
-			rules: detect.RulesOf(setting), perSec: 10.0 / 60, normal: healthy(0.4), sick: stalled(1), sickN: 1,
+			rules: detect.RulesOf(setting), perSec: 10.0 / 60, normal: healthy(0.4), faulty: stalled(1), faultyCount: 1,
 			warm: time.Hour, after: time.Hour,
 		}
-		more := 0
+		moreThanThree := 0
 		for seed := range 20 {
 			x.seed = uint64(seed)
 			v := x.run()
 			if _, ok := v.after[0]; !ok || v.failures[0] > 4 {
-				t.Errorf("%s, seed %d: %d failures, called after %s", setting, seed, v.failures[0], v.after[0])
+				t.Errorf("%s, seed %d: %d failures, detected after %s", setting, seed, v.failures[0], v.after[0])
 			}
 			if v.failures[0] > 3 {
-				more++
+				moreThanThree++
 			}
 		}
-		if more > 1 { // a fourth is needed when no other was asked meanwhile
-			t.Errorf("%s: more than three failures in %d of 20 runs", setting, more)
+		if moreThanThree > 1 { // a fourth failure is needed if no other server received a request in between
+			t.Errorf("%s: more than three failures in %d of 20 runs", setting, moreThanThree)
 		}
 	}
 }
--- a/internal/detect/ejection.go
+++ b/internal/detect/ejection.go
@@ -5,83 +5,83 @@
 	"time"
 )
 
-// State is where a subject stands.
+// State is the service state of a subject.
 type State string
 
-// The states.
+// States of a subject.
 const (
-	// Serving gets work; after a return at first a growing share.
+	// Serving receives work, a growing share of it after a reinstatement.
 	Serving State = "serving"
-	// Ejected gets none until its ejection time ends.
+	// Ejected receives no work until its ejection time ends.
 	Ejected State = "ejected"
-	// Probation gets one idempotent request at a time.
+	// Probation receives one idempotent request at a time.
 	Probation State = "trial"
 )
 
-// leastShare is the share of its work that a subject gets right after its return. Not measured:
-// a tenth of the slots, and at least one, is enough to show how it does.
-const leastShare = 0.1
+// minTrafficShare is the traffic share of a subject immediately after its reinstatement.
+const minTrafficShare = 0.1
 
-// ejection is whether and for how long a subject is ejected, and how it comes back.
+// ejection is the ejection state of a subject and its history.
 type ejection struct {
-	ejected  bool
-	began    time.Time // when it was ejected
-	until    time.Time // when its probation begins
-	level    float64   // how often the ejection time doubles, less what EjectionMemory took back
-	passes   int       // good answers of its probation
-	returned time.Time // when it last came back with a growing share
-	serving  time.Time // from when on it has served since it was ejected
-	cause    Cause
-	decided  Explanation // the evidence on which it was ejected
+	ejected          bool
+	startedAt        time.Time // start of the ejection
+	endsAt           time.Time // start of the probation
+	doublings        float64   // doublings of the ejection time, reduced by time in service
+	passes           int       // consecutive good responses during probation
+	reinstatedAt     time.Time // last reinstatement with a growing share
+	servingSince     time.Time // start of service after the last ejection; zero if never ejected
+	cause            Cause
+	decidingEvidence Explanation // evidence that caused the ejection
 }
 
-// Eject takes the subject out of service for its ejection time.
+// Eject takes the subject out of service for its ejection time. The time doubles with each
+// further ejection.
 func (s *Subject) Eject(now time.Time) {
 	x := &s.ejection
 	if !x.ejected {
-		x.forgetLevel(now, s.rules.EjectionMemory)
-		x.decided = s.evidenceNow()
+		x.decayDoublings(now, s.rules.EjectionMemory)
+		x.decidingEvidence = s.evidenceNow()
 	}
-	length := time.Duration(float64(s.rules.EjectionTime) * math.Exp2(x.level))
+	duration := time.Duration(float64(s.rules.EjectionTime) * math.Exp2(x.doublings))
 	x.ejected = true
-	x.began = now
-	x.until = now.Add(min(length, s.rules.EjectionTimeMax))
-	x.level++
+	x.startedAt = now
+	x.endsAt = now.Add(min(duration, s.rules.EjectionTimeMax))
+	x.doublings++
 	x.passes = 0
 	if verdict := s.Verdict(now); verdict.Unhealthy {
 		x.cause = verdict.Cause
 	}
-	s.forget()
+	s.resetEvidence()
 }
 
-// forgetLevel takes back one doubling of the ejection time for each time of that length in service. A failed
-// probation takes nothing back: the subject has not served since its ejection.
-func (x *ejection) forgetLevel(now time.Time, memory time.Duration) {
-	if x.serving.IsZero() {
+// decayDoublings removes one doubling of the ejection time for each memory period in service. A failed
+// probation removes nothing: the subject has not served since its ejection.
+func (x *ejection) decayDoublings(now time.Time, memory time.Duration) {
+	if x.servingSince.IsZero() {
 		return
 	}
-	x.level = math.Max(0, x.level-float64(now.Sub(x.serving))/float64(memory))
+	x.doublings = math.Max(0, x.doublings-float64(now.Sub(x.servingSince))/float64(memory))
 }
 
-// State returns where the subject stands.
+// State returns the subject's state.
 func (s *Subject) State(now time.Time) State {
 	switch {
 	case !s.ejection.ejected:
 		return Serving
-	case now.Before(s.ejection.until):
+	case now.Before(s.ejection.endsAt):
 		return Ejected
 	default:
 		return Probation
 	}
 }
 
-// EjectedFor returns how long the subject still stays ejected before its probation.
+// EjectedFor returns the remaining ejection time before the probation.
 func (s *Subject) EjectedFor(now time.Time) time.Duration {
-	return max(0, s.ejection.until.Sub(now))
+	return max(0, s.ejection.endsAt.Sub(now))
 }
 
-// ObserveProbation takes the outcome of a probation request and reports whether the subject has
-// returned. A failure, or a slow answer, ejects it again.
+// ObserveProbation records the outcome of a probation request and reports whether the subject was
+// reinstated. A failure or a slow response ejects it again.
 func (s *Subject) ObserveProbation(now time.Time, o Observation, others Baseline) bool {
 	if others.known() {
 		s.baseline = others
@@ -99,33 +99,33 @@
 	return true
 }
 
-// Reinstate puts the subject back in service.
+// Reinstate puts the subject back in service with a growing traffic share.
 func (s *Subject) Reinstate(now time.Time) {
 	s.ejection.ejected = false
-	s.ejection.returned = now
-	s.ejection.serving = now
+	s.ejection.reinstatedAt = now
+	s.ejection.servingSince = now
 	s.ejection.cause = CauseNone
-	s.forget()
+	s.resetEvidence()
 }
 
-// ReinstateFully puts the subject back in service with its whole share, on proof from
-// elsewhere that it is well.
+// ReinstateFully puts the subject back in service with its full traffic share, after other evidence has
+// shown that it is healthy.
 func (s *Subject) ReinstateFully(now time.Time) {
 	s.ejection.ejected = false
-	s.ejection.serving = now
+	s.ejection.servingSince = now
 	s.ejection.cause = CauseNone
-	s.forget()
+	s.resetEvidence()
 }
 
-// TrafficShare returns the part of its work that the subject should get, from 0 to 1:
-// after a return it grows to 1 over the ramp.
+// TrafficShare returns the fraction of its work that the subject should receive, from 0 to 1. After a
+// reinstatement it grows to 1 over Rules.Ramp.
 func (s *Subject) TrafficShare(now time.Time) float64 {
 	if s.ejection.ejected {
 		return 0
 	}
-	if s.ejection.returned.IsZero() {
+	if s.ejection.reinstatedAt.IsZero() {
 		return 1
 	}
-	grown := float64(now.Sub(s.ejection.returned)) / float64(s.rules.Ramp)
-	return math.Min(1, math.Max(leastShare, grown))
+	share := float64(now.Sub(s.ejection.reinstatedAt)) / float64(s.rules.Ramp)
+	return math.Min(1, math.Max(minTrafficShare, share))
 }
--- a/internal/detect/evidence.go
+++ b/internal/detect/evidence.go
@@ -5,36 +5,37 @@
 	"time"
 )
 
-// evidence is the cumulative sum for one kind of badness.
+// evidence is the cumulative sum for one kind of bad observation: failures or slow responses.
 type evidence struct {
-	sum      float64   // up to the interval before the present one
-	net      float64   // what the present interval adds, not below -sum
-	interval time.Time // when the present interval began
-	since    time.Time // when the sum last left zero
-	count    float64   // observations since then
-	bad      float64   // the bad ones among them
-	expected float64   // how many would be bad if the subject were like the others
-	seen     float64   // all observations
-	rate     float64   // share of bad observations in the recent past
-	longRate float64   // the same, further back
+	sum           float64   // sum up to the start of the current interval
+	intervalSum   float64   // contribution of the current interval, at least -sum
+	intervalStart time.Time // start of the current interval
+	since         time.Time // when the sum last left zero
+	count         float64   // observations since then
+	bad           float64   // bad observations since then
+	expected      float64   // bad observations expected since then at the baseline rate
+	observed      float64   // all observations
+	rate          float64   // recent rate of bad observations
+	longRate      float64   // rate of bad observations over a longer period
 }
 
-// rateWeight and longRateWeight are the weight of the newest observation in the recent and in
-// the longer rate, as one part in so many. Measured together with Rules, not alone.
+// rateWeight and longRateWeight are the divisors of the exponential moving averages rate and
+// longRate: a new observation has a weight of one divided by it, or by the number of observations
+// if that is smaller.
 const (
 	rateWeight     = 10
 	longRateWeight = 100
 )
 
-// add takes one observation. The rate normal is the others'.
-func (e *evidence) add(now time.Time, bad bool, normal, sickShare float64, rules Rules) {
-	e.seen++
-	e.rate += (indicator(bad) - e.rate) / math.Min(e.seen, rateWeight)
-	e.longRate += (indicator(bad) - e.longRate) / math.Min(e.seen, longRateWeight)
-	if now.Sub(e.interval) >= rules.Interval {
+// add records one observation.
+func (e *evidence) add(now time.Time, bad bool, baselineRate, unhealthyRate float64, rules Rules) {
+	e.observed++
+	e.rate += (indicator(bad) - e.rate) / math.Min(e.observed, rateWeight)
+	e.longRate += (indicator(bad) - e.longRate) / math.Min(e.observed, longRateWeight)
+	if now.Sub(e.intervalStart) >= rules.Interval {
 		e.sum = e.total(rules)
-		e.net = 0
-		e.interval = now
+		e.intervalSum = 0
+		e.intervalStart = now
 	}
 	if e.total(rules) == 0 {
 		e.since = now
@@ -42,39 +43,38 @@
 	}
 	e.count++
 	e.bad += indicator(bad)
-	e.expected += normal
-	e.net = math.Max(e.net+logRatio(bad, normal, sickShare), -e.sum)
+	e.expected += baselineRate
+	e.intervalSum = math.Max(e.intervalSum+logRatio(bad, baselineRate, unhealthyRate), -e.sum)
 }
 
-// total is the cumulative sum with the present interval's part.
+// total returns the cumulative sum including the current interval, whose part is capped.
 func (e *evidence) total(rules Rules) float64 {
-	return math.Max(0, e.sum+math.Min(e.net, rules.IntervalCap))
+	return math.Max(0, e.sum+math.Min(e.intervalSum, rules.IntervalCap))
 }
 
-// normal is what the rate says to others about what is normal: the higher of
-// the recent past, in which a cause that all share shows first, and of further
-// back, which is steadier.
-func (e *evidence) normal() float64 { return math.Max(e.rate, e.longRate) }
+// baselineRate returns the rate that the subject contributes to the baseline of others: the higher of the
+// recent rate, which shows a shared cause first, and the longer-term rate, which is more stable.
+func (e *evidence) baselineRate() float64 { return math.Max(e.rate, e.longRate) }
 
-// convinces reports whether the evidence is enough to call the subject sick. The
-// others' sum is taken off: what they all show is no fault of the subject.
-func (e *evidence) convinces(now time.Time, normal, othersSum float64, rules Rules) bool {
+// isSufficient reports whether the evidence suffices for an unhealthy verdict. The median sum of the
+// other servers is subtracted, since a shared cause is not a fault of the subject.
+func (e *evidence) isSufficient(now time.Time, baselineRate, othersSum float64, rules Rules) bool {
 	return e.total(rules)-othersSum >= rules.Threshold &&
 		e.bad >= rules.MinBad &&
 		now.Sub(e.since) >= rules.MinSpan &&
-		e.rate >= normal+rules.Margin &&
-		e.deviates(rules)
+		e.rate >= baselineRate+rules.Margin &&
+		e.isSignificant(rules)
 }
 
-// deviates reports whether there are more bad observations than chance would put
-// there, by the deviations that the rules ask for.
-func (e *evidence) deviates(rules Rules) bool {
-	return e.deviatesFrom(e.expected/e.count, rules)
+// isSignificant reports whether the bad observations exceed the expected number by Rules.Deviations
+// standard deviations.
+func (e *evidence) isSignificant(rules Rules) bool {
+	return e.isSignificantAgainst(e.expected/e.count, rules)
 }
 
-func (e *evidence) deviatesFrom(normal float64, rules Rules) bool {
-	deviation := math.Sqrt(e.count * normal * (1 - normal))
-	return e.bad-e.count*normal >= rules.Deviations*deviation
+func (e *evidence) isSignificantAgainst(expectedRate float64, rules Rules) bool {
+	deviation := math.Sqrt(e.count * expectedRate * (1 - expectedRate))
+	return e.bad-e.count*expectedRate >= rules.Deviations*deviation
 }
 
 func indicator(bad bool) float64 {
@@ -84,12 +84,11 @@
 	return 0
 }
 
-// logRatio is the logarithm of how much likelier the observation is if the
-// subject is sick than if it is like the others.
-func logRatio(bad bool, normal, sickShare float64) float64 {
-	sick := normal + (1-normal)*sickShare
+// logRatio returns the log-likelihood ratio of the observation: unhealthy against baseline.
+func logRatio(bad bool, baselineRate, unhealthyRate float64) float64 {
+	expectedRate := baselineRate + (1-baselineRate)*unhealthyRate
 	if bad {
-		return math.Log(sick / normal)
+		return math.Log(expectedRate / baselineRate)
 	}
-	return math.Log((1 - sick) / (1 - normal))
+	return math.Log((1 - expectedRate) / (1 - baselineRate))
 }
--- a/internal/detect/told.go
+++ b/internal/detect/told.go
@@ -2,39 +2,39 @@
 
 import "slices"
 
-// minTold is of how many others something has to be told. Not measured: the middle of three is not decided by one
-// that is sick.
-const minTold = 3
+// minReported is the minimum number of other servers with a reported rate: the median of three is not
+// decided by a single unhealthy one.
+const minReported = 3
 
-// ReportedFailureRates is what the sidecars of a service's backend servers say of these: the share of the recent requests that
-// failed, whoever sent them. An observer that sends each of many backend servers few requests sees too little to
-// compare them by itself.
+// ReportedFailureRates holds the failure rates of a service's backend servers as their sidecars report them: the
+// fraction of recent requests, from all senders, that failed. It serves observers that send each of
+// many backend servers too few requests to compare them.
 type ReportedFailureRates struct {
 	byName map[string]float64
 	sorted []float64
 }
 
-// NewReportedFailureRates returns what was told, by the name of the backend server.
-func NewReportedFailureRates(shares map[string]float64) ReportedFailureRates {
-	t := ReportedFailureRates{byName: shares, sorted: make([]float64, 0, len(shares))}
-	for _, share := range shares {
-		t.sorted = append(t.sorted, share)
+// NewReportedFailureRates returns the reported rates for a map keyed by the name of the backend server.
+func NewReportedFailureRates(rates map[string]float64) ReportedFailureRates {
+	r := ReportedFailureRates{byName: rates, sorted: make([]float64, 0, len(rates))}
+	for _, rate := range rates {
+		r.sorted = append(r.sorted, rate)
 	}
-	slices.Sort(t.sorted)
-	return t
+	slices.Sort(r.sorted)
+	return r
 }
 
-// Complete returns the baseline of that backend server, with the share of failures that is told of the others in
-// place of one that the observer does not know. The rest stays unknown.
-func (t ReportedFailureRates) Complete(name string, b Baseline) Baseline {
-	own, among := t.byName[name]
-	others := len(t.sorted)
-	if among {
+// Complete returns the baseline of the named backend server. If the observer does not know it, the
+// failure rate is the median of those reported for the others; the other fields stay unknown.
+func (r ReportedFailureRates) Complete(name string, b Baseline) Baseline {
+	own, reported := r.byName[name]
+	others := len(r.sorted)
+	if reported {
 		others--
 	}
-	if b.known() || others < minTold {
+	if b.known() || others < minReported {
 		return b
 	}
-	b.Failure = middleWithout(t.sorted, own, among)
+	b.Failure = medianWithout(r.sorted, own, reported)
 	return b
 }
--- a/internal/suspicion/suspicion_test.go
+++ b/internal/suspicion/suspicion_test.go
@@ -11,9 +11,9 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func TestWhatBeginsSuspicion(t *testing.T) {
-	good := func(s *suspicion.Suspicion) { s.RecordSuccess(epoch, epoch) }
-	bad := func(weight float64) func(*suspicion.Suspicion) {
+func TestSuspicionBegins(t *testing.T) {
+	success := func(s *suspicion.Suspicion) { s.RecordSuccess(epoch, epoch) }
+	failure := func(weight float64) func(*suspicion.Suspicion) {
 		return func(s *suspicion.Suspicion) { s.RecordFailure(epoch, weight) }
 	}
 	tests := []struct {
@@ -22,18 +22,18 @@
 		want  bool
 	}{
 		{"nothing", nil, false},
-		{"one broken connection", []func(*suspicion.Suspicion){bad(suspicion.BrokenConnectionWeight)}, true},
-		{"one failure", []func(*suspicion.Suspicion){bad(suspicion.ErrorWeight)}, false},
-		{"two failures in a row", []func(*suspicion.Suspicion){bad(suspicion.ErrorWeight), bad(suspicion.ErrorWeight)}, true},
-		{"two failures with a good answer between", []func(*suspicion.Suspicion){bad(suspicion.ErrorWeight), good, bad(suspicion.ErrorWeight)}, false},
-		{"one overdue and slow", []func(*suspicion.Suspicion){bad(suspicion.OverdueWeight), bad(suspicion.SlowWeight)}, false},
-		{"two slow", []func(*suspicion.Suspicion){bad(suspicion.SlowWeight), bad(suspicion.SlowWeight)}, false},
-		{"three slow in a row", []func(*suspicion.Suspicion){bad(suspicion.SlowWeight), bad(suspicion.SlowWeight), bad(suspicion.SlowWeight)}, true},
-		{"two in a row overdue and slow", []func(*suspicion.Suspicion){bad(suspicion.OverdueWeight), bad(suspicion.SlowWeight), bad(suspicion.OverdueWeight), bad(suspicion.SlowWeight)}, true},
-		{"by turns slow and good", []func(*suspicion.Suspicion){bad(suspicion.OverdueWeight), bad(suspicion.SlowWeight), good, bad(suspicion.OverdueWeight), good}, false},
-		{"two good answers after", []func(*suspicion.Suspicion){bad(suspicion.BrokenConnectionWeight), good, good}, true},
-		{"three good answers after", []func(*suspicion.Suspicion){bad(suspicion.BrokenConnectionWeight), good, good, good}, false},
-		{"a failure among them", []func(*suspicion.Suspicion){bad(suspicion.BrokenConnectionWeight), good, good, bad(suspicion.ErrorWeight), good}, true},
+		{"one broken connection", []func(*suspicion.Suspicion){failure(suspicion.BrokenConnectionWeight)}, true},
+		{"one failure", []func(*suspicion.Suspicion){failure(suspicion.ErrorWeight)}, false},
+		{"two failures in a row", []func(*suspicion.Suspicion){failure(suspicion.ErrorWeight), failure(suspicion.ErrorWeight)}, true},
+		{"two failures with a success between", []func(*suspicion.Suspicion){failure(suspicion.ErrorWeight), success, failure(suspicion.ErrorWeight)}, false},
+		{"one overdue and slow", []func(*suspicion.Suspicion){failure(suspicion.OverdueWeight), failure(suspicion.SlowWeight)}, false},
+		{"two slow", []func(*suspicion.Suspicion){failure(suspicion.SlowWeight), failure(suspicion.SlowWeight)}, false},
+		{"three slow in a row", []func(*suspicion.Suspicion){failure(suspicion.SlowWeight), failure(suspicion.SlowWeight), failure(suspicion.SlowWeight)}, true},
+		{"two in a row overdue and slow", []func(*suspicion.Suspicion){failure(suspicion.OverdueWeight), failure(suspicion.SlowWeight), failure(suspicion.OverdueWeight), failure(suspicion.SlowWeight)}, true},
+		{"alternately slow and good", []func(*suspicion.Suspicion){failure(suspicion.OverdueWeight), failure(suspicion.SlowWeight), success, failure(suspicion.OverdueWeight), success}, false},
+		{"two successes after", []func(*suspicion.Suspicion){failure(suspicion.BrokenConnectionWeight), success, success}, true},
+		{"three successes after", []func(*suspicion.Suspicion){failure(suspicion.BrokenConnectionWeight), success, success, success}, false},
+		{"a failure among them", []func(*suspicion.Suspicion){failure(suspicion.BrokenConnectionWeight), success, success, failure(suspicion.ErrorWeight), success}, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -48,9 +48,9 @@
 	}
 }
 
-// TestProbesAreFewAndNeverStop sends a probe whenever one may be sent, to a
-// backend server that fails all of them.
-func TestProbesAreFewAndNeverStop(t *testing.T) {
+// TestProbesAreLimitedAndNeverStop guards against probes that follow a failed one too soon, and against a
+// backend server that is no longer probed after many failures.
+func TestProbesAreLimitedAndNeverStop(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := suspicion.New()
 		s.RecordFailure(epoch, suspicion.BrokenConnectionWeight)
@@ -59,12 +59,12 @@
 			now = now.Add(time.Duration(rapid.IntRange(1, 50).Draw(t, "ms")) * time.Millisecond)
 			if !s.MayProbe(now) {
 				if now.Sub(last) > 2*time.Second {
-					t.Fatalf("no probe for %s", now.Sub(last))
+					t.Fatalf("no probe allowed for %s", now.Sub(last))
 				}
 				continue
 			}
 			if last != epoch && now.Sub(last) < 200*time.Millisecond {
-				t.Fatalf("two probes within %s", now.Sub(last))
+				t.Fatalf("two probes sent within %s", now.Sub(last))
 			}
 			last = now
 			s.RecordProbe(now)
@@ -73,16 +73,16 @@
 	})
 }
 
-// TestAProbeThatRunsIsCountedOnce counts a probe when it was not broken at once,
-// and not again when its answer comes.
-func TestAProbeThatRunsIsCountedOnce(t *testing.T) {
+// TestSurvivingProbeIsCountedOnce guards against a probe that is counted when it has outlived broken
+// connections and again when its response arrives.
+func TestSurvivingProbeIsCountedOnce(t *testing.T) {
 	s := suspicion.New()
 	s.RecordFailure(epoch, suspicion.BrokenConnectionWeight)
 	now := epoch
 	for range 2 {
 		s.RecordProbe(now)
 		if s.ProbeSurvived(now.Add(10 * time.Millisecond)) {
-			t.Fatal("a probe counts before it has survived")
+			t.Fatal("probe counted before its minimum run time")
 		}
 		now = now.Add(50 * time.Millisecond)
 		s.ProbeSurvived(now)
@@ -90,17 +90,17 @@
 	s.RecordSuccess(now, now)
 	s.RecordSuccess(now, now)
 	if !s.Suspected() {
-		t.Fatal("two probes were counted as four")
+		t.Fatal("two probes counted as four")
 	}
 	s.RecordProbe(now)
 	if !s.ProbeSurvived(now.Add(50 * time.Millisecond)) {
-		t.Fatal("the third probe does not end the suspicion")
+		t.Fatal("third probe did not end the suspicion")
 	}
 }
 
-// TestOnlyBreakingIsOutlived leaves a failure that comes as an answer to the
-// answers: a probe that runs proves nothing of it.
-func TestOnlyBreakingIsOutlived(t *testing.T) {
+// TestSurvivalCountsOnlyAfterBrokenConnections guards against a running probe that ends a suspicion caused by
+// failed responses; only a response shows success then.
+func TestSurvivalCountsOnlyAfterBrokenConnections(t *testing.T) {
 	s := suspicion.New()
 	s.RecordFailure(epoch, suspicion.ErrorWeight)
 	s.RecordFailure(epoch, suspicion.ErrorWeight)
@@ -108,91 +108,91 @@
 		now := epoch.Add(time.Duration(i) * time.Second)
 		s.RecordProbe(now)
 		if s.ProbeSurvived(now.Add(time.Second)) {
-			t.Fatal("trusted without an answer")
+			t.Fatal("suspicion ended without a response")
 		}
 	}
 }
 
-// TestHanging holds that a slow request shows hanging at once, and that a good answer to a
-// later one alone takes it back.
+// TestHanging guards against a slow request that does not show hanging immediately, and against a
+// success other than that of a later request ending it.
 func TestHanging(t *testing.T) {
 	s := suspicion.New()
 	if s.Hanging(epoch) {
-		t.Fatal("it hangs without a late request")
+		t.Fatal("hanging without a slow request")
 	}
-	began := epoch.Add(time.Second)
-	s.RecordSlowRequest(began)
-	s.RecordSuccess(began.Add(time.Second), began.Add(-time.Millisecond))
-	now := began.Add(2 * time.Second)
+	startedAt := epoch.Add(time.Second)
+	s.RecordSlowRequest(startedAt)
+	s.RecordSuccess(startedAt.Add(time.Second), startedAt.Add(-time.Millisecond))
+	now := startedAt.Add(2 * time.Second)
 	if !s.Hanging(now) {
-		t.Fatal("a good answer to an earlier request takes it back")
+		t.Fatal("not hanging after the success of an earlier request")
 	}
-	s.RecordSuccess(began.Add(2*time.Second), began.Add(time.Millisecond))
+	s.RecordSuccess(startedAt.Add(2*time.Second), startedAt.Add(time.Millisecond))
 	if s.Hanging(now) {
-		t.Fatal("it hangs after a good answer to a later request")
+		t.Fatal("hanging after the success of a later request")
 	}
-	s.RecordSlowRequest(began)
+	s.RecordSlowRequest(startedAt)
 	if s.Hanging(now) {
-		t.Fatal("an old request that is late at last shows hanging")
+		t.Fatal("hanging because of a slow request older than the last success")
 	}
 }
 
-// TestWithoutRepeatableRequestsOthersFindOut leaves a service with requests alone
-// that must not run twice.
-func TestWithoutRepeatableRequestsOthersFindOut(t *testing.T) {
+// TestNonIdempotentRequestsMayProbe guards against a permanent suspicion of a backend server
+// whose service has only non-idempotent requests.
+func TestNonIdempotentRequestsMayProbe(t *testing.T) {
 	s := suspicion.New()
 	s.RecordFailure(epoch, suspicion.BrokenConnectionWeight)
 	if s.MayProbeWithAny(epoch.Add(time.Second)) {
-		t.Fatal("the first second is not for them")
+		t.Fatal("a non-idempotent request may probe within the first second")
 	}
 	now := epoch
 	for range 3 {
 		now = now.Add(5 * time.Second)
 		if !s.MayProbeWithAny(now) {
-			t.Fatal("nobody may find out")
+			t.Fatal("no request may probe")
 		}
 		s.RecordProbe(now)
 		s.RecordSuccess(now, now)
 	}
 	if s.Suspected() {
-		t.Fatal("three good answers are not enough")
+		t.Fatal("still suspected after three successes")
 	}
 }
 
-// TestMostlyLate tells a backend server that hangs from one that fails at once.
-func TestMostlyLate(t *testing.T) {
+// TestMostlySlow guards against confusing a backend server that hangs with one that fails immediately.
+func TestMostlySlow(t *testing.T) {
 	hangs := suspicion.New()
 	hangs.RecordSlowness(epoch, suspicion.OverdueWeight)
 	hangs.RecordSlowness(epoch, suspicion.OverdueWeight)
 	if !hangs.Suspected() || !hangs.MostlySlow() {
-		t.Fatal("one that hangs twice is taken for one that fails at once")
+		t.Fatal("two overdue requests: not suspected or not mostly slow")
 	}
 	hangs.RecordFailure(epoch, suspicion.BrokenConnectionWeight)
 	if hangs.MostlySlow() {
-		t.Fatal("one that breaks connections as well is taken for one that only hangs")
+		t.Fatal("mostly slow although connections break as well")
 	}
 	fails := suspicion.New()
 	fails.RecordFailure(epoch, suspicion.ErrorWeight)
 	fails.RecordFailure(epoch, suspicion.ErrorWeight)
 	if !fails.Suspected() || fails.MostlySlow() {
-		t.Fatal("one that fails at once is taken for one that hangs")
+		t.Fatal("two failures: not suspected or mostly slow")
 	}
 }
 
-// TestHangingDoesNotLast ends a slow request without a good answer after it: nobody but one
-// that must not run twice may be there to find out.
-func TestHangingDoesNotLast(t *testing.T) {
+// TestHangingExpires guards against a backend server that counts as hanging forever because only
+// non-idempotent requests, which are sent elsewhere, could show otherwise.
+func TestHangingExpires(t *testing.T) {
 	s := suspicion.New()
 	s.RecordSlowRequest(epoch)
 	ended := epoch.Add(3 * time.Second)
 	if !s.Hanging(ended) {
-		t.Fatal("a request that is late shows nothing")
+		t.Fatal("not hanging while a slow request runs")
 	}
 	s.RecordSlowRequestEnd(ended, epoch)
 	if !s.Hanging(ended.Add(2 * time.Second)) {
-		t.Fatal("it counts for less than it ran")
+		t.Fatal("an ended slow request counted for less time than it ran")
 	}
 	if s.Hanging(ended.Add(4 * time.Second)) {
-		t.Fatal("it counts for longer than it ran")
+		t.Fatal("an ended slow request counted for longer than it ran")
 	}
 }
