--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,10 +1,10 @@
-// Package admission decides which requests a backend server runs, which wait
-// for a slot, and which are refused at once.
+// Package admission decides which requests a backend server runs, which wait for a slot, and
+// which are refused immediately.
 //
-// A Queue is the slots and the queue of one backend server. It is given what is known of
-// the backend server, a request and the time, and returns a decision; it has no clock,
-// goroutine or socket. The sidecar's task for the backend server owns it, and carries the
-// decision out.
+// A Queue holds the slots and the waiting requests of one backend server. Its methods take the
+// state of the backend server, a request and the time, and return a decision; a Queue has no
+// clock, goroutine or socket. The sidecar's task for the backend server owns it and carries
+// out its decisions.
 //
 // # Usage
 //
@@ -13,52 +13,49 @@
 //	switch decision.Verdict { ... }
 //	granted, expired := q.Done(now, took)
 //
-// Whether the backend server takes a request at all is in admit.go, the queue and an offer
-// to it in admission.go, what happens when the places run short in crowded.go, who gets a
-// slot that is freed in grant.go, who is taken out in remove.go, and the requests of one
-// priority in line.go.
+// File admit.go checks whether the backend server accepts a request at all, admission.go has
+// the queue and the decision on an offered request, crowded.go handles a full queue, grant.go
+// selects the request that gets a freed slot, remove.go removes waiting requests, and line.go
+// holds the waiting requests of one priority.
 //
 // # Order
 //
-// The first that applies decides (Queue.Admit, then Queue.Offer):
+// The first rule that applies decides (Queue.Admit, then Queue.Offer):
 //
 //  1. The backend server is draining: refused.
-//  2. It is suspected: refused, but for a request that nobody else takes, one that finds out
-//     how it does, and an idempotent one if what is held against it was mostly slow. An
-//     ejection is not looked at then.
-//  3. It is ejected: refused. In probation it takes one idempotent request at a time.
-//  4. It seems to hang, and the request asks not to be taken then: refused.
-//  5. The request is a retry, and retries for the calls that it will make are neither left
-//     nor lent: refused.
-//  6. No slot is free, and the request asks not to wait: refused.
+//  2. It is suspected: refused, except for a request that no other backend server is left for,
+//     a probe, and an idempotent request if the suspicion rests mostly on slow requests.
+//     Ejection is not checked in this case.
+//  3. It is ejected: refused. In probation it accepts one idempotent request at a time.
+//  4. It appears to hang, and the request is to be refused in that case: refused.
+//  5. The request is a retry, and the retry budgets of the calls that it will make have
+//     nothing left and cannot borrow: refused.
+//  6. No slot is free, and the request is not to wait: refused.
 //  7. A slot is free: granted.
 //  8. It would start too late, or the queue or its customer's share of it is full: refused.
-//  9. Else it waits.
+//  9. Otherwise it waits.
 //
 // # Rules of the queue
 //
-//   - A free slot is given at once.
-//   - A request that could not start before its deadline, by the time that
-//     recent requests took, is refused at once. So is one that would come too late for
-//     its latency target where more wait than there are slots: its slot is better given to one that
-//     can still be in time, and its caller knows at once.
-//   - The most urgent wait least: of two that wait the one of the lower priority
-//     number is served first, but for one grant in UrgentGrants, so that nobody
-//     starves. It may take the place of another that has just come.
-//   - Of one customer's requests those that can still meet their latency target are served
-//     before those that come late in any case.
-//   - Waiting customers of one priority take turns. A customer that has its fair
-//     part of the queue leaves a place free for each other that was seen in the last
-//     ActiveFor, so that one that floods is refused at once and the others still find
-//     a place.
-//   - When the queue is full all the same, a customer that waits with more requests than another
-//     loses its newest place, if it has had that for EvictWithin at most: a request that has waited
-//     longer keeps its place.
+//   - A free slot is granted immediately.
+//   - A request that could not start before its deadline, given the service time of recent
+//     requests, is refused immediately. So is one that would miss its latency target while
+//     more requests wait than there are slots: the slot goes to a request that can still be in
+//     time, and the caller gets its refusal early.
+//   - Of two waiting requests the one with the lower priority number is served first, except
+//     for one grant after every UrgentGrants, which prevents starvation. A more urgent request
+//     may evict a less urgent one that has only just been queued.
+//   - Of the requests of one priority those that can still meet their latency target are
+//     served before those that are late in any case.
+//   - Waiting customers of one priority take turns. A customer that has its fair share of the
+//     queue leaves a place free for each other customer seen within ActiveFor, so that a flood
+//     from one customer is refused immediately and the others still find a place.
+//   - If the queue is full nevertheless, a customer with more waiting requests than another
+//     loses its newest place, provided that the request was queued at most EvictWithin ago.
 //
-// State is bounded: customers share a fixed number of buckets by hash, so two
-// customers may share one turn. The hash is salted with the backend server's
-// name, so that those two share it at few backend servers. Times taken are
-// averaged with a weight of 1/16.
+// State is bounded: customers share a fixed number of buckets by hash, so two customers may
+// share one turn. The hash is salted with the backend server's name, so that the same two
+// customers collide at few backend servers. Service times are averaged with a weight of 1/16.
 package admission
 
 import (
@@ -69,7 +66,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Verdict is what becomes of an offered request.
+// Verdict is the outcome of an offered request.
 type Verdict string
 
 // The verdicts.
@@ -84,80 +81,84 @@
 	RefusedTooSlow Verdict = "refused-too-slow"
 	// RefusedShare means that the customer already has its share of a full queue.
 	RefusedShare Verdict = "refused-share"
-	// RefusedDraining means that the backend server takes nothing new.
+	// RefusedDraining means that the backend server accepts no new requests.
 	RefusedDraining Verdict = "refused-draining"
-	// RefusedSuspected means that it is suspected.
+	// RefusedSuspected means that the backend server is suspected.
 	RefusedSuspected Verdict = "refused-suspected"
-	// RefusedEjected means that it is ejected, or in probation with a request.
+	// RefusedEjected means that the backend server is ejected, or in probation with a request
+	// running.
 	RefusedEjected Verdict = "refused-ejected"
-	// RefusedHanging means that it seems to hang.
+	// RefusedHanging means that the backend server appears to hang.
 	RefusedHanging Verdict = "refused-hanging"
-	// RefusedRetry means that no retry is left for what the request would call.
+	// RefusedRetry means that the retry budget of a service that the request would call is
+	// exhausted.
 	RefusedRetry Verdict = "refused-retry"
-	// RefusedBusy means that the request does not wait and no slot is free.
+	// RefusedBusy means that no slot is free and the request is not to wait.
 	RefusedBusy Verdict = "refused-busy"
 )
 
 const (
-	// bucketCount bounds the state kept of customers. Not measured: an offer looks at each once
-	// when the queue is used; two of 20 customers share a bucket at every other backend server.
+	// bucketCount bounds the per-customer state. An offer that is not granted a slot scans all
+	// buckets.
 	bucketCount = 256
-	// averageWeight is the weight of the newest time taken in the average, as one part in so many.
-	// Not measured: it follows a change within some 16 requests.
+	// averageWeight is the divisor of the newest service time in the moving average.
 	averageWeight = 16
-	// initialServiceTime is assumed until a request has been run. Not measured: short, so that
-	// nothing is refused for a wait that was never seen.
+	// initialServiceTime is assumed until the first request has been run. It is short, so that
+	// no request is refused for a wait that was never observed.
 	initialServiceTime = 10 * time.Millisecond
 )
 
-// Config is the size of a backend server.
+// Config is the capacity of a backend server.
 type Config struct {
-	// Slots is how many requests it runs at once.
+	// Slots is the maximum number of requests that run concurrently.
 	Slots int
-	// Depth is how many requests may wait.
+	// Depth is the maximum number of requests that wait.
 	Depth int
-	// Salt makes the customers' buckets differ between backend servers.
+	// Salt makes the assignment of customers to buckets differ between backend servers.
 	Salt string
 }
 
 // Request is a request for a slot.
 type Request struct {
-	// ID tells requests apart.
+	// ID identifies the request.
 	ID uint64
-	// Customer is who the request is for.
+	// Customer is the customer that the request belongs to.
 	Customer string
 	// Priority is the rank; 0 is served first.
 	Priority int
-	// TargetAt is when the answer should be there; zero says nothing of it.
+	// TargetAt is the latency target: the time by which the answer should arrive; zero if there
+	// is none.
 	TargetAt time.Time
-	// Usual is how long its answer usually takes; zero if that is not known.
+	// Usual is how long an answer typically takes; zero if that is not known.
 	Usual time.Duration
-	// Deadline is when the answer has to be there.
+	// Deadline is the time by which the answer has to arrive.
 	Deadline time.Time
 }
 
-// Decision says what becomes of a request.
+// Decision is the outcome of an offered request, and what the caller needs to act on it.
 type Decision struct {
 	Verdict Verdict
-	// Probation says that a granted request shows whether an ejected backend server has
-	// recovered.
+	// Probation marks a granted request whose outcome shows whether an ejected backend server
+	// has recovered.
 	Probation bool
-	// RetryAfter is when a refused request may find a slot.
+	// RetryAfter is the delay after which a refused request may find a slot.
 	RetryAfter time.Duration
-	// Evicted is a request that lost its place in the queue to this one; zero if none did.
+	// Evicted is the ID of the request that lost its place in the queue to this one; zero if
+	// none did.
 	Evicted uint64
 }
 
-// Queue is the slots and the queue of one backend server.
+// Queue holds the slots and the waiting requests of one backend server.
 type Queue struct {
 	config      Config
 	running     int
-	stalled     int // of the running ones, those that have outlasted nearly all others
+	stalled     int // running requests that have outlasted nearly all others of their route
 	waiting     int
-	lines       []*line                // the most urgent first
-	seen        [bucketCount]time.Time // when a customer of the bucket last asked
+	lines       []*line                // most urgent first
+	seen        [bucketCount]time.Time // time of the last request of a customer in the bucket
 	serviceTime time.Duration
-	// urgentGrants counts the grants to the most urgent since the last to others.
+	// urgentGrants counts the grants to the most urgent priority since the last grant to
+	// another.
 	urgentGrants int
 }
 
@@ -166,27 +167,28 @@
 	return &Queue{config: config, serviceTime: initialServiceTime}
 }
 
-// Resize changes the number of slots and places. What runs or waits stays.
+// Resize changes the capacity. Running and waiting requests are kept, even those beyond it.
 func (q *Queue) Resize(config Config) { q.config = config }
 
-// Load returns the running and waiting requests as a share of the slots.
+// Load returns the number of running and waiting requests relative to the number of slots.
 func (q *Queue) Load() float64 {
 	return float64(q.running+q.waiting) / float64(q.config.Slots)
 }
 
-// Running returns how many requests have a slot.
+// Running returns the number of requests that hold a slot.
 func (q *Queue) Running() int { return q.running }
 
-// Waiting returns how many requests wait for one.
+// Waiting returns the number of requests that wait for a slot.
 func (q *Queue) Waiting() int { return q.waiting }
 
-// RetryAfter returns when what runs and waits now will have been served.
+// RetryAfter returns the estimated time until the running and waiting requests have been
+// served.
 func (q *Queue) RetryAfter() time.Duration { return q.wait(q.waiting + 1) }
 
-// HasSlot reports whether a request would be granted a slot at once.
+// HasSlot reports whether a request would be granted a slot immediately.
 func (q *Queue) HasSlot() bool { return q.running < q.config.Slots && q.waiting == 0 }
 
-// Offer decides on one request.
+// Offer decides on one request: it is granted a slot, queued or refused.
 func (q *Queue) Offer(now time.Time, r Request) Decision {
 	bucket := q.bucketOf(r.Customer)
 	q.seen[bucket] = now
@@ -208,8 +210,8 @@
 	return Decision{Verdict: Queued}
 }
 
-// missesTarget reports whether the request, run from then on, is answered after its latency target if it
-// takes as long as usual.
+// missesTarget reports whether a request that starts at the given time and takes its typical
+// time is answered after its latency target.
 func (q *Queue) missesTarget(from time.Time, r Request) bool {
 	usual := r.Usual
 	if usual == 0 {
@@ -218,7 +220,8 @@
 	return !r.TargetAt.IsZero() && from.Add(usual).After(r.TargetAt)
 }
 
-// before returns how many waiting requests are served before a new one of that priority.
+// before returns the number of waiting requests that are served before a new one of the
+// priority.
 func (q *Queue) before(priority int) int {
 	waiting := 0
 	for _, l := range q.lines {
@@ -229,7 +232,7 @@
 	return waiting
 }
 
-// line returns the line of that priority.
+// line returns the waiting requests of the priority, adding the level if it is new.
 func (q *Queue) line(priority int) *line {
 	at, ok := slices.BinarySearchFunc(q.lines, priority, func(l *line, priority int) int { return cmp.Compare(l.priority, priority) })
 	if !ok {
@@ -238,8 +241,8 @@
 	return q.lines[at]
 }
 
-// wait returns how long the request at that place in the queue waits. When a stalled slot
-// comes free is not known, so only the others are counted on.
+// wait returns the estimated waiting time at the position in the queue. Stalled slots are left
+// out, since it is not known when they are freed.
 func (q *Queue) wait(place int) time.Duration {
 	over := q.running + place - q.config.Slots
 	if over <= 0 {
@@ -252,16 +255,16 @@
 // Stalled records that a running request has outlasted nearly all others of its route.
 func (q *Queue) Stalled() { q.stalled++ }
 
-// Unstalled records that one of these has ended.
+// Unstalled records that a stalled request has ended.
 func (q *Queue) Unstalled() { q.stalled = max(0, q.stalled-1) }
 
-// push adds a request to the line of its priority.
+// push adds a request to the level of its priority.
 func (q *Queue) push(now time.Time, bucket int, r Request) {
 	q.line(r.Priority).push(now, bucket, r)
 	q.waiting++
 }
 
-// bucketOf returns the bucket that the customer shares.
+// bucketOf returns the bucket of the customer.
 func (q *Queue) bucketOf(customer string) int {
 	return int(xxhash.Sum64String(q.config.Salt+customer) % bucketCount)
 }
--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -7,53 +7,56 @@
 	"github.com/tideliftd/tidelift/internal/retryafter"
 )
 
-// Server is what is known of the backend server when a request asks for a slot.
+// Server is the state of the backend server at the time of a request.
 type Server struct {
-	// Draining says that it finishes what it runs and takes nothing new.
+	// Draining means that it finishes its running requests and accepts no new ones.
 	Draining bool
-	// Suspicion is what is held against it.
+	// Suspicion is the state of the suspicion against it.
 	Suspicion Suspicion
-	// State is whether it is ejected or in probation; EjectedFor is how long it still stays
-	// ejected.
+	// State says whether it is ejected or in probation; EjectedFor is the remaining ejection
+	// time.
 	State      detect.State
 	EjectedFor time.Duration
-	// ProbationRuns says that a probation request is running.
+	// ProbationRuns means that a probation request is running.
 	ProbationRuns bool
-	// Hanging says that a request is slow there and no later one has been answered well.
+	// Hanging means that a request is slow there and no later one has been answered
+	// successfully.
 	Hanging bool
-	// RetryLeft says that the retries that the calls of a retry will be are left in their
-	// budgets, or may be borrowed.
+	// RetryLeft means that the retry budgets of the calls that a retry will make have enough
+	// left or can borrow.
 	RetryLeft bool
-	// Size is its slots and queue now.
+	// Size is its current capacity.
 	Size Config
 }
 
-// Suspicion is what is held against a backend server; see package suspicion.
+// Suspicion is the state of the suspicion against a backend server; see package suspicion.
 type Suspicion struct {
-	// Suspected says that requests are better sent elsewhere for a moment.
+	// Suspected means that requests should go to other backend servers for now.
 	Suspected bool
-	// MostlySlow says that most of what is held against it was slow rather than failed.
+	// MostlySlow means that the suspicion rests mostly on slow requests rather than on failures.
 	MostlySlow bool
-	// MayProbe says that an idempotent request may find out how it does, MayProbeWithAny that any may.
+	// MayProbe means that an idempotent request may be sent as a probe, MayProbeWithAny that any
+	// request may.
 	MayProbe, MayProbeWithAny bool
-	// RetryAfter is when to come back.
+	// RetryAfter is the delay that a refused caller is given.
 	RetryAfter time.Duration
 }
 
-// Attempt is what a backend server has to know of an attempt beside its request for a slot.
+// Attempt holds the properties of an attempt that matter for admission beyond its request for a
+// slot.
 type Attempt struct {
-	// NonIdempotent says that the request must not run more than once.
+	// NonIdempotent means that the request must not run more than once.
 	NonIdempotent bool
-	// Retry says that the attempt is beyond its request's first.
+	// Retry means that the attempt is not the first one of its request.
 	Retry bool
-	// DespiteSuspicion says that nobody else takes the request.
+	// DespiteSuspicion means that no other backend server is left for the request.
 	DespiteSuspicion bool
-	// RefuseIfHanging asks for a refusal if the backend server seems to hang, RefuseIfBusy in
-	// place of a wait.
+	// RefuseIfHanging requests a refusal if the backend server appears to hang, RefuseIfBusy one
+	// instead of a wait for a slot.
 	RefuseIfHanging, RefuseIfBusy bool
 }
 
-// Admit decides on one attempt: whether the backend server takes it at all, and then whether
+// Admit decides on one attempt: whether the backend server accepts it at all, and then whether
 // it gets a slot or a place in the queue. The first rule that applies decides.
 func (q *Queue) Admit(now time.Time, s *Server, a Attempt, r Request) Decision {
 	switch {
@@ -79,15 +82,15 @@
 	return decision
 }
 
-// isEjected reports whether an ejection decides what the backend server takes. While it is
-// suspected the suspicion does: its probes show sooner that it is well again.
+// isEjected reports whether the ejection decides what the backend server accepts. While it is
+// suspected the suspicion decides, since its probes show a recovery sooner.
 func (s *Server) isEjected() bool {
 	return s.State != detect.Serving && !s.Suspicion.Suspected
 }
 
-// takes reports whether a suspected backend server takes the request: one that nobody else
-// takes, an idempotent one of which a hedge is sent in time if it is slow here too, or one that
-// finds out how the backend server does.
+// takes reports whether a suspected backend server accepts the attempt: one that no other
+// backend server is left for, an idempotent one that a hedge covers if it is slow here too, or
+// a probe.
 func (s *Suspicion) takes(a Attempt) bool {
 	switch {
 	case a.DespiteSuspicion:
--- a/internal/admission/crowded.go
+++ b/internal/admission/crowded.go
@@ -6,28 +6,23 @@
 )
 
 const (
-	// ActiveFor is how long a customer counts as active after a request. Not measured: within it
-	// a customer that asks every second or so finds a place.
+	// ActiveFor is how long a customer counts as active after a request.
 	ActiveFor = 2 * time.Second
-	// EvictLessUrgentWithin is how long a waiting request can lose its place to a
-	// more urgent one. Source: a refusal should come within a quarter of the time
-	// in which an answer is hoped for, some hundreds of milliseconds.
+	// EvictLessUrgentWithin is how long after being queued a request can be evicted by a more
+	// urgent one. It is short, because the evicted caller gets its refusal only then.
 	EvictLessUrgentWithin = 50 * time.Millisecond
-	// EvictWithin is how long a waiting request can lose its place to another customer's. Not
-	// measured: who loses it hears that about as soon as if it had been refused at once.
+	// EvictWithin is how long after being queued a request can be evicted by another customer's
+	// request of the same priority.
 	EvictWithin = 10 * time.Millisecond
 )
 
-// roomForOthers is the most of the places that are left free for others. Source: where
-// hundreds of customers ask a little each, most of those seen in the last ActiveFor have
-// nothing to ask now, and a queue kept free for them all turns away those that have one waiting: at
-// 1.2 times the capacity that was 0.06 of all requests of 81 customers
-// (TestManyCustomersInTimeGoFirst), and is none.
+// roomForOthers is the maximum share of the places that is kept free for other customers. Among
+// hundreds of customers most of the active ones have no request to queue, and a queue kept free
+// for all of them would refuse requests needlessly.
 const roomForOthers = 0.5
 
-// leavesRoom reports whether the bucket may take another place: if it has less than
-// its fair part of them, or a place stays free for each other that is active, up to
-// roomForOthers.
+// leavesRoom reports whether the bucket may take another place: it has less than its fair
+// share, or a place stays free for each other active bucket, up to roomForOthers.
 func (q *Queue) leavesRoom(now time.Time, bucket, priority int) bool {
 	others := q.activeOthers(now, bucket)
 	fair := max(1, q.config.Depth/(others+1))
@@ -36,7 +31,7 @@
 	return q.line(priority).waiting[bucket] < fair || free > kept
 }
 
-// activeOthers counts the other buckets whose customers asked lately.
+// activeOthers returns the number of other buckets with a request within ActiveFor.
 func (q *Queue) activeOthers(now time.Time, bucket int) int {
 	others := 0
 	for i := range q.seen {
@@ -47,8 +42,9 @@
 	return others
 }
 
-// offerFull lets a more urgent request take the newest place of the least urgent,
-// and a customer with a short queue that of the customer with the longest.
+// offerFull decides on a request while the queue is full. The request replaces the newest one
+// of the least urgent priority if it is more urgent, or that of the customer with the most
+// waiting requests if its own customer has fewer.
 func (q *Queue) offerFull(now time.Time, bucket int, r Request) Decision {
 	own := q.line(r.Priority)
 	if least := q.leastUrgent(); least.priority > r.Priority {
@@ -70,7 +66,7 @@
 	return q.exchange(now, own, longest, bucket, r)
 }
 
-// exchange gives the newest place of a bucket to the request.
+// exchange replaces the newest request of the evicted bucket by the given request.
 func (q *Queue) exchange(now time.Time, from *line, evicted, bucket int, r Request) Decision {
 	out := from.popNewest(evicted)
 	q.waiting--
@@ -78,7 +74,8 @@
 	return Decision{Verdict: Queued, Evicted: out.ID}
 }
 
-// leastUrgent returns the least urgent line in which a request waits. The queue is not empty.
+// leastUrgent returns the least urgent level in which a request waits. The queue must not be
+// empty.
 func (q *Queue) leastUrgent() *line {
 	for _, l := range slices.Backward(q.lines) {
 		if len(l.places) > 0 {
--- a/internal/admission/grant.go
+++ b/internal/admission/grant.go
@@ -2,19 +2,17 @@
 
 import "time"
 
-// UrgentGrants is how many grants go to the more urgent while the less urgent
-// wait, before one goes to those. Source: what is less urgent must get a
-// quarter of the share that the rest gets at the least.
+// UrgentGrants is the number of consecutive grants to the most urgent waiting priority after
+// which a less urgent one gets the next grant.
 const UrgentGrants = 3
 
-// hopelessPart is the part of the usual service time, as one part in so many, that has to be left
-// for a request to be run at all. Not measured: few requests are answered in half of it.
+// hopelessPart is the divisor of the average service time that yields the time a request needs
+// before its deadline to be run at all.
 const hopelessPart = 2
 
-// Done frees a slot after a request that took so long, and returns the
-// requests that get a slot and those that can no longer make their deadline.
-// A request that was granted a slot and never sent has taken zero, which the
-// average leaves out.
+// Done frees the slot of a request that took the given time, and returns the requests that get
+// a slot and those that can no longer meet their deadline. A request that was granted a slot
+// but never sent has taken zero, which is left out of the average.
 func (q *Queue) Done(now time.Time, took time.Duration) (granted, expired []uint64) {
 	q.running--
 	if took > 0 {
@@ -23,7 +21,7 @@
 	return q.grant(now)
 }
 
-// grant gives the free slots to the requests that are served next.
+// grant assigns the free slots to the requests that are served next.
 func (q *Queue) grant(now time.Time) (granted, expired []uint64) {
 	for q.running < q.config.Slots && q.waiting > 0 {
 		next := q.next(now)
@@ -37,14 +35,14 @@
 	return granted, expired
 }
 
-// next takes the request that is served next. The queue is not empty.
+// next removes and returns the request that is served next. The queue must not be empty.
 func (q *Queue) next(now time.Time) Request {
 	q.waiting--
 	return q.nextLine().popTurn(now.Add(q.serviceTime))
 }
 
-// nextLine returns the line that is served next: the most urgent, or after
-// UrgentGrants of those the next one that waits.
+// nextLine returns the level that is served next: the most urgent one with waiting requests, or
+// after UrgentGrants grants to it the one after that.
 func (q *Queue) nextLine() *line {
 	first := -1
 	for i, l := range q.lines {
@@ -64,8 +62,8 @@
 	return q.lines[first]
 }
 
-// isHopeless reports whether too little of the usual service time is left before the
-// deadline for the request to be run.
+// isHopeless reports whether too little time is left before the deadline for the request to be
+// run.
 func (q *Queue) isHopeless(now time.Time, r Request) bool {
 	return now.Add(q.serviceTime / hopelessPart).After(r.Deadline)
 }
--- a/internal/admission/line.go
+++ b/internal/admission/line.go
@@ -6,16 +6,15 @@
 	"time"
 )
 
-// line is the requests of one priority that wait. Their customers take turns, in rounds: in
-// each round a customer has one turn, and who comes first in a round is served first in it. So
-// requests of customers who ask little are served in the order in which they came, and one that
-// floods waits behind them with all requests but one.
+// line holds the waiting requests of one priority. Their customers take turns in rounds: each
+// customer has one turn in a round, and within a round requests are served in order of arrival.
+// A customer that floods the queue therefore delays only its own requests.
 type line struct {
 	priority int
-	places   []place // the oldest first
+	places   []place // oldest first
 	waiting  [bucketCount]int
-	round    uint64              // of the turn that was served last
-	next     [bucketCount]uint64 // the round of a bucket's next turn, if that is not over
+	round    uint64              // round of the turn served last
+	next     [bucketCount]uint64 // round of the bucket's next turn, unless that round is over
 }
 
 // place is a waiting request.
@@ -23,10 +22,10 @@
 	Request
 	since  time.Time
 	bucket int
-	round  uint64 // of its turn
+	round  uint64 // round of its turn
 }
 
-// push adds a request at the end of its customer's.
+// push adds a request after the others of its customer.
 func (l *line) push(now time.Time, bucket int, r Request) {
 	round := max(l.round, l.next[bucket])
 	l.next[bucket] = round + 1
@@ -34,14 +33,12 @@
 	l.waiting[bucket]++
 }
 
-// popTurn removes and returns the request whose turn is next among those whose latency target is not before ready,
-// which is when an answer could be there, or among all if there are none. The line is not
-// empty.
+// popTurn removes and returns the request whose turn is next among those whose latency target
+// is not before ready, the earliest time at which an answer could arrive, or among all requests
+// if there are none. The line must not be empty.
 //
-// Where many customers wait with one request each, a turn that goes to the next request, late
-// or not, leaves too few to those that can still be in time: of what 81 customers asked of a
-// backend server at 1.2 times its capacity, 0.63 was answered within its latency target and 0.19 later; so
-// it is 0.79 and 0.04, as with one customer (TestManyCustomersInTimeGoFirst).
+// Late requests come last because, with many customers waiting with one request each, serving
+// them in turn leaves too few slots for requests that can still be in time.
 func (l *line) popTurn(ready time.Time) Request {
 	next := l.firstTurn(func(r Request) bool { return r.TargetAt.IsZero() || !r.TargetAt.Before(ready) })
 	if next < 0 {
@@ -51,8 +48,8 @@
 	return l.take(next)
 }
 
-// firstTurn returns the index of the request whose turn is next among those of which the function
-// is true; it is less than zero if there are none.
+// firstTurn returns the index of the request whose turn is next among those that match, or -1
+// if none does.
 func (l *line) firstTurn(which func(Request) bool) int {
 	first := -1
 	for i, p := range l.places {
@@ -63,7 +60,7 @@
 	return first
 }
 
-// take removes the request at that index and returns it.
+// take removes and returns the request at the index.
 func (l *line) take(at int) Request {
 	p := l.places[at]
 	l.places = slices.Delete(l.places, at, at+1)
@@ -71,14 +68,14 @@
 	return p.Request
 }
 
-// inOrder returns what waits, in the order of turns.
+// inOrder returns the waiting requests in the order of their turns.
 func (l *line) inOrder() []place {
 	places := slices.Clone(l.places)
 	slices.SortStableFunc(places, func(a, b place) int { return cmp.Compare(a.round, b.round) })
 	return places
 }
 
-// newest returns the index of the bucket's newest request, of which there is one at least.
+// newest returns the index of the bucket's newest request. The bucket must not be empty.
 func (l *line) newest(bucket int) int {
 	at := len(l.places) - 1
 	for l.places[at].bucket != bucket {
@@ -87,14 +84,14 @@
 	return at
 }
 
-// popNewest removes the bucket's newest request and returns it; its turn is free again.
+// popNewest removes and returns the bucket's newest request; its turn becomes available again.
 func (l *line) popNewest(bucket int) Request {
 	at := l.newest(bucket)
 	l.next[bucket] = l.places[at].round
 	return l.take(at)
 }
 
-// longest returns the bucket in which most wait.
+// longest returns the bucket with the most waiting requests.
 func (l *line) longest() int {
 	longest := 0
 	for i, waiting := range l.waiting {
@@ -105,7 +102,7 @@
 	return longest
 }
 
-// remove removes the requests of which the function is true and returns their ids.
+// remove removes the requests that match and returns their IDs.
 func (l *line) remove(which func(Request) bool) []uint64 {
 	var removed []uint64
 	l.places = slices.DeleteFunc(l.places, func(p place) bool {
--- a/internal/admission/remove.go
+++ b/internal/admission/remove.go
@@ -2,14 +2,12 @@
 
 import "time"
 
-// Expire removes the waiting requests that can no longer be answered by their deadline or, in a crowded
-// queue, by their latency target, and returns their ids. A queue is crowded while more wait than there are
-// slots.
+// Expire removes the waiting requests that can no longer be answered by their deadline or,
+// while more requests wait than there are slots, by their latency target, and returns their
+// IDs.
 //
-// When a request will come is judged by its place now: what is more urgent may have come
-// after it. Who was refused only once its latency target was lost had waited for 406 ms of 600 on average
-// where a third of the requests were more urgent, at 1.4 times the capacity; so it is 289 ms,
-// and the same share is answered in time (TestWhoHasNoChanceHearsItSoon).
+// The estimate uses a request's current position, since more urgent requests may have been
+// queued after it; it is then refused before its target has passed.
 func (q *Queue) Expire(now time.Time) []uint64 {
 	out := make(map[uint64]bool)
 	kept := q.waiting
@@ -31,12 +29,12 @@
 	return q.remove(func(r Request) bool { return out[r.ID] })
 }
 
-// Clear removes every waiting request and returns their ids.
+// Clear removes all waiting requests and returns their IDs.
 func (q *Queue) Clear() []uint64 {
 	return q.remove(func(Request) bool { return true })
 }
 
-// remove removes the waiting requests of which the function is true and returns their ids.
+// remove removes the waiting requests that match and returns their IDs.
 func (q *Queue) remove(which func(Request) bool) []uint64 {
 	removed := make([]uint64, 0, q.waiting)
 	for _, l := range q.lines {
