--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -1,8 +1,7 @@
 // Package balance chooses the backend server for a request.
 //
-// A Pool is the aggregate of one service as one daemon sees it. Choosing reads
-// only atomic values, so that requests do not wait for each other; it does not
-// allocate.
+// A Pool holds the backend servers of one service as one daemon sees them. Pick reads only
+// atomic values, so that concurrent requests do not block each other, and does not allocate.
 //
 // # Usage
 //
@@ -13,18 +12,17 @@
 //	defer target.End()
 //	pool.Report(target, load, now)
 //
-// The rule is power of two choices on load: of two drawn at random the less
-// loaded is chosen, from the caller's own data centre first. A request spills
-// over to another data centre when the one chosen has no free slot and the one
-// drawn there is less loaded by SpillMargin.
+// The algorithm is power of two choices on load: of two targets drawn at random the less
+// loaded one is chosen, from the caller's own data centre first. A request spills over to
+// another data centre if the target chosen has no free slot and the one drawn there is less
+// loaded by more than SpillMargin.
 //
-// A target is passed over while it is paused, which is how long it said to stay
-// away, and while it is suspected, unless there is no other or the request is one that
-// finds out whether it is well again. It is drawn less often while its share is below
-// FullShare.
+// A target is skipped while it is paused, which lasts as long as it requested, and while it is
+// suspected, unless no other is left or the request is a probe. It is drawn less often while
+// its share is below FullShare.
 //
-// The choice is in balance.go, the drawing of two in draw.go, what is passed over in
-// pause.go, how often a free slot is found in busy.go, and one target in target.go.
+// File balance.go has the choice, draw.go the drawing of two targets, pause.go paused and
+// suspected targets, busy.go the share of busy targets, and target.go a single target.
 package balance
 
 import (
@@ -36,39 +34,39 @@
 )
 
 const (
-	// FullShare is the share of a target that gets its whole part of the work.
+	// FullShare is the share of a target that gets its full part of the requests.
 	FullShare = 1024
-	// SpillMargin is how much less loaded a backend server of another data
-	// centre must be to get a request that finds no free slot in its own. Not measured: bytes
-	// between data centres are dear and round trips long, so that a small difference is no reason.
+	// SpillMargin is how much less loaded a backend server of another data centre must be to get
+	// a request that finds no free slot in its own. Traffic between data centres is expensive
+	// and slow, so a small difference does not justify it.
 	SpillMargin = 0.25
-	// loadCounts is how long a reported load counts, less and less. Source: where it counted until
-	// the next report, a backend server that had returned got 4 requests in 12 s, since one with a
-	// high load gets no work and so reports no other.
+	// loadCounts is the time over which the weight of a reported load decreases to zero. A
+	// backend server with a high load gets no requests and so reports no lower one; without the
+	// decrease it would stay excluded after it has recovered.
 	loadCounts = time.Second
-	// failingCounts is how long a reported share of failures counts. Not measured: in a large fleet a daemon
-	// sends each backend server a request every few seconds, and a called service fails for some seconds.
+	// failingCounts is how long a reported failure share is used. In a large fleet a daemon
+	// sends each backend server a request only every few seconds.
 	failingCounts = 10 * time.Second
 )
 
-// Config says where the choosing daemon stands.
+// Config holds the data centre, the random source and the time base of a pool.
 type Config struct {
-	// DataCentre is the daemon's own.
+	// DataCentre is the daemon's own data centre.
 	DataCentre string
 	// Random returns 64 random bits and is safe for concurrent use.
 	Random func() uint64
-	// Start is the moment from which the pool counts time.
+	// Start is the time from which the pool counts.
 	Start time.Time
 }
 
-// Pool is the backend servers of one service.
+// Pool holds the backend servers of one service.
 type Pool struct {
 	config    Config
-	busyShare atomic.Int64 // of busyUnit
+	busyShare atomic.Int64 // in parts of busyUnit
 	view      atomic.Pointer[view]
 }
 
-// view is what Pick reads; it does not change once stored.
+// view is the state that Pick reads; it is immutable once stored.
 type view struct {
 	all   []*Target
 	own   []*Target
@@ -82,7 +80,7 @@
 	return p
 }
 
-// Reconfigure puts the service's backend servers in force. Those that were there keep
+// Reconfigure replaces the targets by the service's backend servers. Targets that remain keep
 // their state.
 func (p *Pool) Reconfigure(service fleet.Service, index *fleet.Index) {
 	old := make(map[string]*Target)
@@ -103,7 +101,7 @@
 	p.view.Store(next)
 }
 
-// add enters a target, of the own data centre or another.
+// add adds a target to the own data centre or to the others.
 func (v *view) add(t *Target, own bool) {
 	v.all = append(v.all, t)
 	if own {
@@ -113,25 +111,26 @@
 	v.other = append(v.other, t)
 }
 
-// clock returns the moment as the pool counts time, in nanoseconds since its start.
+// clock returns the time in nanoseconds since the pool's start.
 func (p *Pool) clock(at time.Time) int64 { return int64(at.Sub(p.config.Start)) }
 
-// Targets returns every target in the order of the declaration.
+// Targets returns all targets in the order of the declaration.
 func (p *Pool) Targets() []*Target { return p.view.Load().all }
 
-// Report records the load that came with a target's answer.
+// Report records the load that was reported with a target's answer.
 func (p *Pool) Report(t *Target, load float64, now time.Time) {
 	t.loadBits.Store(math.Float64bits(load))
 	t.reported.Store(p.clock(now))
 }
 
-// ReportFailing records the share of its requests that failed at the target, as its sidecar said.
+// ReportFailing records the share of failed requests that the target's sidecar reported.
 func (p *Pool) ReportFailing(t *Target, share float64, now time.Time) {
 	t.failingBits.Store(math.Float64bits(share))
 	t.failingAt.Store(p.clock(now))
 }
 
-// Failing returns the share of requests that failed at each target of which that was reported of late, by name.
+// Failing returns the share of failed requests by target name, for each target with a recent
+// report.
 func (p *Pool) Failing(now time.Time) map[string]float64 {
 	since := p.clock(now)
 	shares := make(map[string]float64)
@@ -144,8 +143,8 @@
 	return shares
 }
 
-// PickProbation takes a target on probation for an idempotent request, and reports whether there
-// is one.
+// PickProbation claims a target in probation for an idempotent request, and reports whether
+// there is one.
 func (p *Pool) PickProbation(now time.Time) (*Target, bool) {
 	since := p.clock(now)
 	for _, t := range p.view.Load().all {
@@ -159,7 +158,7 @@
 	return nil, false
 }
 
-// Pick chooses a target that is not among those tried, and reports whether there is one.
+// Pick chooses a target that has not been tried yet, and reports whether there is one.
 func (p *Pool) Pick(now time.Time, tried []*Target) (*Target, bool) {
 	v := p.view.Load()
 	since := p.clock(now)
--- a/internal/balance/busy.go
+++ b/internal/balance/busy.go
@@ -1,14 +1,13 @@
 package balance
 
 const (
-	// busyUnit is a share of one in BusyShare's counting, and busyWeight the part
-	// that the newest answer weighs. Not measured: some dozens of answers say how crowded a
-	// service is.
+	// busyUnit is the fixed-point representation of one in BusyShare, and busyWeight the divisor
+	// of the newest answer in the moving average.
 	busyUnit   = 1 << 20
 	busyWeight = 16
 )
 
-// Looked records whether a target had a free slot when it was asked for one.
+// Looked records whether a target had a free slot for a request.
 func (p *Pool) Looked(free bool) {
 	for {
 		old := p.busyShare.Load()
@@ -22,6 +21,5 @@
 	}
 }
 
-// BusyShare returns how many of the last targets asked had no free slot, from 0
-// to 1.
+// BusyShare returns the moving average share of targets without a free slot, from 0 to 1.
 func (p *Pool) BusyShare() float64 { return float64(p.busyShare.Load()) / busyUnit }
--- a/internal/balance/draw.go
+++ b/internal/balance/draw.go
@@ -3,14 +3,13 @@
 import "slices"
 
 const (
-	// draws is how often a target is drawn before all are looked through. Not measured: six miss
-	// once in 64 times where half of the targets may not be drawn.
+	// draws is the number of random draws before all targets are scanned.
 	draws = 6
-	// none is the place of no target.
+	// none is the index of no target.
 	none = -1
 )
 
-// drawTwo returns the less loaded of two targets drawn at random.
+// drawTwo returns the less loaded of two targets drawn at random, or nil if none is usable.
 func (p *Pool) drawTwo(targets []*Target, since int64, tried []*Target) *Target {
 	one := p.draw(targets, since, tried, none)
 	if one == none {
@@ -27,8 +26,8 @@
 	return targets[two]
 }
 
-// draw returns the place of a random usable target other than except, each as
-// likely as its share says. It gives up after a few draws.
+// draw returns the index of a random usable target other than except, with a probability in
+// proportion to its share. It returns none after a limited number of draws.
 func (p *Pool) draw(targets []*Target, since int64, tried []*Target, except int) int {
 	choices := len(targets)
 	if except != none {
@@ -51,8 +50,8 @@
 	return none
 }
 
-// firstUsable looks through all the targets from a random place and returns
-// that of the usable one with the largest share.
+// firstUsable scans all targets from a random index and returns the index of the usable one
+// with the largest share.
 func (p *Pool) firstUsable(targets []*Target, since int64, tried []*Target) int {
 	best := none
 	if len(targets) == 0 {
@@ -71,7 +70,7 @@
 	return best
 }
 
-// usable reports whether the target may be drawn: neither paused, suspected nor tried.
+// usable reports whether the target may be drawn: it is not paused, suspected or tried already.
 func usable(t *Target, since int64, tried []*Target) bool {
 	return t.pausedUntil.Load() <= since && t.suspectUntil.Load() <= since && !slices.Contains(tried, t)
 }
--- a/internal/balance/pause.go
+++ b/internal/balance/pause.go
@@ -5,21 +5,20 @@
 	"time"
 )
 
-// probeLasts is how long one probe keeps others from the target. Not measured: a request takes some
-// hundreds of milliseconds, and each ingress of the data centre sends probes of its own.
+// probeLasts is how long after a probe no further one is sent to the target.
 const probeLasts = 300 * time.Millisecond
 
-// Pause keeps the target from being chosen until then.
+// Pause excludes the target from the choice until the given time.
 func (p *Pool) Pause(t *Target, until time.Time) {
 	t.pausedUntil.Store(p.clock(until))
 }
 
-// Suspect keeps the target from being chosen until then, unless there is no other.
+// Suspect excludes the target from the choice until the given time, unless no other is left.
 func (p *Pool) Suspect(t *Target, until time.Time) {
 	t.suspectUntil.Store(p.clock(until))
 }
 
-// Trust lets the target be chosen again.
+// Trust makes a suspected target available again.
 func (p *Pool) Trust(t *Target) { t.suspectUntil.Store(0) }
 
 // Paused reports whether the target is paused.
@@ -27,8 +26,8 @@
 	return t.pausedUntil.Load() > p.clock(now)
 }
 
-// PickProbe takes a target of the own data centre that was suspected and may be
-// tried again, and reports whether there is one.
+// PickProbe claims a target of the own data centre that was suspected and is due for a probe,
+// and reports whether there is one.
 func (p *Pool) PickProbe(now time.Time) (*Target, bool) {
 	since := p.clock(now)
 	for _, t := range p.view.Load().own {
@@ -43,8 +42,8 @@
 	return nil, false
 }
 
-// PickSuspected chooses the least loaded target that is passed over for suspicion
-// alone, and reports whether there is one.
+// PickSuspected chooses the least loaded target that is excluded only by suspicion, and reports
+// whether there is one.
 func (p *Pool) PickSuspected(now time.Time, tried []*Target) (*Target, bool) {
 	since := p.clock(now)
 	var best *Target
--- a/internal/balance/target.go
+++ b/internal/balance/target.go
@@ -8,7 +8,7 @@
 	"github.com/tideliftd/tidelift/internal/fleet"
 )
 
-// Target is one backend server as a choice.
+// Target is one backend server of a pool.
 type Target struct {
 	// Name is the backend server's name.
 	Name string
@@ -18,7 +18,7 @@
 	loadBits     atomic.Uint64
 	reported     atomic.Int64 // nanoseconds since the pool's start
 	failingBits  atomic.Uint64
-	failingAt    atomic.Int64 // nanoseconds since the pool's start; zero if it was never reported
+	failingAt    atomic.Int64 // nanoseconds since the pool's start; zero if never reported
 	pausedUntil  atomic.Int64 // nanoseconds since the pool's start
 	suspectUntil atomic.Int64 // nanoseconds since the pool's start
 	share        atomic.Uint32
@@ -29,51 +29,51 @@
 	failures     atomic.Int64
 }
 
-// Placement returns the target's place in the declaration in force.
+// Placement returns the backend server's placement in the current declaration.
 func (t *Target) Placement() fleet.Placement { return *t.placement.Load() }
 
-// Begin counts a request that is on its way to the target.
+// Begin counts a request that is sent to the target.
 func (t *Target) Begin() {
 	t.inFlight.Add(1)
 	t.requests.Add(1)
 }
 
-// End counts the request's answer.
+// End counts the end of a request.
 func (t *Target) End() { t.inFlight.Add(-1) }
 
-// Fail counts a failure.
+// Fail counts a failed request.
 func (t *Target) Fail() { t.failures.Add(1) }
 
-// InFlight returns the requests on their way.
+// InFlight returns the number of requests in flight.
 func (t *Target) InFlight() int { return int(t.inFlight.Load()) }
 
-// Requests returns how many requests were sent to the target.
+// Requests returns the number of requests sent to the target.
 func (t *Target) Requests() int64 { return t.requests.Load() }
 
-// Failures returns how many of them failed.
+// Failures returns the number of requests that failed.
 func (t *Target) Failures() int64 { return t.failures.Load() }
 
-// Load returns the load last reported.
+// Load returns the last reported load.
 func (t *Target) Load() float64 { return math.Float64frombits(t.loadBits.Load()) }
 
-// SetShare sets how much of its part of the work the target gets, up to
-// FullShare.
+// SetShare sets the share of its part of the requests that the target gets, up to FullShare.
 func (t *Target) SetShare(share uint32) { t.share.Store(share) }
 
 // Share returns the target's share.
 func (t *Target) Share() uint32 { return t.share.Load() }
 
-// SetBaseline sets what is sent along to the target's sidecar on how the
-// service's others do, and how long those typically take.
+// SetBaseline sets the encoded baseline of the service's other backend servers, which is sent
+// to the target's sidecar with requests, and their typical response time.
 func (t *Target) SetBaseline(text string, typical time.Duration) {
 	t.baseline.Store(&text)
 	t.typical.Store(int64(typical))
 }
 
-// Typical returns how long the others typically take; zero if it is not known.
+// Typical returns the typical response time of the other backend servers; zero if it is not
+// known.
 func (t *Target) Typical() time.Duration { return time.Duration(t.typical.Load()) }
 
-// Baseline returns what SetBaseline set.
+// Baseline returns the encoded baseline set by SetBaseline.
 func (t *Target) Baseline() string {
 	if text := t.baseline.Load(); text != nil {
 		return *text
@@ -88,15 +88,14 @@
 	probationTaken
 )
 
-// OpenProbation lets one idempotent request be sent to the target, which otherwise
-// gets none.
+// OpenProbation allows one idempotent request to the target, which otherwise gets none.
 func (t *Target) OpenProbation() { t.probation.Store(probationOpen) }
 
-// CloseProbation lets no more be sent.
+// CloseProbation allows no further probation request.
 func (t *Target) CloseProbation() { t.probation.Store(probationNone) }
 
-// cost orders targets: the load reported last, as far as it still counts, or
-// what this daemon alone has on its way, whichever is more.
+// cost orders targets by load: the last reported load, weighted by its age, or the load of the
+// requests that this daemon has in flight, whichever is higher.
 func (t *Target) cost(since int64) float64 {
 	slots := float64(t.placement.Load().BackendServer.Slots)
 	age := float64(since-t.reported.Load()) / float64(loadCounts)
