--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -1,13 +1,15 @@
-// Package limits holds a daemon's requests to the customers' limits, which hold for the whole fleet.
+// Package limits enforces the customers' request limits, which apply to the whole fleet.
 //
-// Each daemon admits requests by its own gate and reports what it counted to a collector, a daemon of its
-// data centre. Collectors add up and report to the ledger, one daemon of the fleet, which answers with a
-// verdict: how much of each customer's requests every gate admits until the next. Any daemon is a
-// collector or the ledger when others report to it. One that does not answer is passed over for the next
-// in an order that all daemons work out alike.
+// Each daemon admits requests by its own gate and reports its counts to a collector, a daemon
+// of its data centre. Collectors add up the reports and forward them to the ledger, one daemon
+// of the fleet, which answers with a verdict: the share of each customer's requests that every
+// gate admits until the next verdict. Any daemon acts as collector or ledger when others
+// report to it. A daemon that does not answer is skipped in favour of the next one in an order
+// that all daemons compute alike.
 //
-// The package owns the gate, the collector and the ledger of this daemon, and when each reports to whom.
-// It relies on internal/quota, which decides, and on internal/control for the reports.
+// The package owns the gate, the collector and the ledger of this daemon, and decides when and
+// to which daemon each reports. It uses internal/quota for the decisions and internal/control
+// for the reports.
 //
 // # Usage
 //
@@ -28,36 +30,36 @@
 	"github.com/tideliftd/tidelift/internal/quota"
 )
 
-// Config holds who this daemon is and how it reaches the others.
+// Config identifies this daemon and holds its access to the others.
 type Config struct {
-	// Host and DataCentre name this daemon.
+	// Host and DataCentre are this daemon's names.
 	Host, DataCentre string
 	// Peers calls other daemons.
 	Peers *control.Client
-	// Away reports whether the host of that name does not answer.
+	// Away reports whether the host of that name is unreachable.
 	Away func(host string) bool
 }
 
-// Limits keeps the customers' limits with the other daemons: it is this daemon's gate, and
-// a collector or the ledger when others report here.
+// Limits enforces the customers' limits together with the other daemons: it is this daemon's
+// gate, and a collector or the ledger when others report to it.
 type Limits struct {
 	config        Config
-	verdictWanted chan struct{} // holds one while the gate should report at once
-	forwarding    sync.Mutex    // held while a data centre's report is on its way
+	verdictWanted chan struct{} // holds a value while the gate should report immediately
+	forwarding    sync.Mutex    // held while a data centre's report is in flight
 
-	mu         sync.Mutex // guards what follows
+	mu         sync.Mutex // guards the fields below
 	gate       *quota.Gate
 	collector  *quota.Collector
 	ledger     *quota.Ledger
-	customers  []fleet.Customer       // as they were declared last
-	declared   map[string]quota.Limit // theirs, of those that have one
-	collectors []fleet.Host           // to one of which this daemon reports, in this order
-	ledgers    []fleet.Host           // to one of which it reports as a collector, in this order
-	silent     map[string]time.Time   // until when hosts are passed over
+	customers  []fleet.Customer       // as last declared
+	declared   map[string]quota.Limit // limits of the customers that have one
+	collectors []fleet.Host           // candidates to report to, in order of preference
+	ledgers    []fleet.Host           // candidates to report to as a collector, in order of preference
+	silent     map[string]time.Time   // time until which hosts are skipped
 	refused    map[string]int64       // requests beyond the limit, by customer
 }
 
-// New returns the limits; nothing is limited before Reconfigure.
+// New returns limits that admit every request until Reconfigure is called.
 func New(config Config) *Limits {
 	return &Limits{
 		config:        config,
@@ -80,14 +82,14 @@
 	l.gate.Reconfigure(l.declared, len(d.Hosts))
 	l.ledger.Reconfigure(l.declared, len(d.Hosts))
 	if len(l.declared) == 0 {
-		return // nobody is asked to collect
+		return // no reports are sent
 	}
 	l.collectors, l.ledgers = collectorOrder(d.Hosts, l.config.Host, l.config.DataCentre)
 	now := time.Now()
 	maps.DeleteFunc(l.silent, func(_ string, until time.Time) bool { return now.After(until) })
 }
 
-// declare sets the customers' limits. The caller holds mu.
+// declare sets the customers' limits. The caller must hold mu.
 func (l *Limits) declare(customers []fleet.Customer) {
 	l.customers = customers
 	l.declared = make(map[string]quota.Limit)
@@ -102,7 +104,7 @@
 	})
 }
 
-// Admit decides on a request of the customer.
+// Admit decides whether a request of the customer is admitted.
 func (l *Limits) Admit(customer string) quota.Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -113,21 +115,21 @@
 	if l.gate.AwaitsVerdict() {
 		select {
 		case l.verdictWanted <- struct{}{}:
-		default: // it is known
+		default: // already requested
 		}
 	}
 	return decision
 }
 
-// Allowances returns where the customers near their limit stand, and how many requests of each
-// were refused here.
+// Allowances returns the allowances of the customers near their limit, and the number of
+// requests of each customer that this daemon refused.
 func (l *Limits) Allowances() (map[string]quota.Allowance, map[string]int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return maps.Clone(l.gate.Allowances()), maps.Clone(l.refused)
 }
 
-// GiveBack takes back the admission of a request that reached no backend server.
+// GiveBack reverts the admission of a request that reached no backend server.
 func (l *Limits) GiveBack(customer string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/limits/order.go
+++ b/internal/limits/order.go
@@ -10,21 +10,19 @@
 )
 
 const (
-	// maxOffered bounds how many daemons a report is offered to, in their order, before it is
-	// counted here. Source: with half of the hosts away, one of eight is there in 255 of 256
-	// cases.
+	// maxOffered bounds the number of daemons that a report is offered to before it is counted
+	// locally. It leaves a reachable one with high probability even if half of the hosts are
+	// unreachable.
 	maxOffered = 8
-	// hostsPerCollector is how many hosts of a data centre share a collector. Source: each
-	// reports three times a second while it is asked, and a report takes 0.1 ms of both ends
-	// together (BenchmarkReport), so that these take a hundredth of a core.
+	// hostsPerCollector is the number of hosts of a data centre that share a collector.
 	hostsPerCollector = 32
 )
 
-// collectorOrder returns the hosts of the data centre, and those of the whole fleet, in the
-// order in which this one asks them to collect. All daemons work out the same order of the
-// fleet; in a large data centre each begins with one of several collectors.
+// collectorOrder returns the hosts of the data centre and those of the whole fleet, in the
+// order in which this host reports to them. All daemons compute the same order of the fleet; in
+// a large data centre each starts at one of several collectors.
 func collectorOrder(hosts []fleet.Host, self, dataCentre string) (near, all []fleet.Host) {
-	const salt = "customers' limits " // so that it is not always the same host that does more
+	const salt = "customers' limits " // distinguishes the order from other rankings of hosts
 	rank := func(name string) uint64 { return xxhash.Sum64String(salt + name) }
 	all = slices.Clone(hosts)
 	slices.SortFunc(all, func(a, b fleet.Host) int { return cmp.Compare(rank(a.Name), rank(b.Name)) })
--- a/internal/limits/report.go
+++ b/internal/limits/report.go
@@ -12,27 +12,28 @@
 )
 
 const (
-	// checkEvery is how often a report may become due. Source: half of the
-	// shortest pause between two reports.
+	// checkEvery is the interval of the check for due reports: half of the shortest pause
+	// between two reports.
 	checkEvery = 50 * time.Millisecond
-	// checkEveryIdle is the same while no customer has a limit.
+	// checkEveryIdle is the interval of the check while no customer has a limit.
 	checkEveryIdle = time.Second
-	// reportTimeout bounds a report and its answer. Source: fifty round trips between data
-	// centres; a second one may be lost before a limit is much exceeded.
+	// reportTimeout bounds a report and its answer. It is short, so that two reports can fail
+	// before a limit is exceeded by much.
 	reportTimeout = 150 * time.Millisecond
-	// passOverFor is how long a daemon that did not answer a report is passed over. Source:
-	// twice as long as a daemon that was killed takes to be back.
+	// passOverFor is how long a daemon that did not answer a report is skipped. It exceeds the
+	// restart time of a daemon.
 	passOverFor = 2 * time.Second
 )
 
-// Run reports until ctx ends. What this daemon counted and what others reported to it have
-// a task each, so that neither waits for the other's answer.
+// Run sends reports until ctx ends. The reports of this daemon and those that it forwards for
+// others run in separate goroutines, so that neither waits for the other's answer.
 func (l *Limits) Run(ctx context.Context) {
 	go l.repeatWhileLimited(ctx, nil, l.forwardIfDue)
 	l.repeatWhileLimited(ctx, l.verdictWanted, l.reportIfDue)
 }
 
-// repeatWhileLimited calls the function as often as a report may be due, and when woken.
+// repeatWhileLimited calls report at each check interval and when woken, while a customer has a
+// limit.
 func (l *Limits) repeatWhileLimited(ctx context.Context, wake <-chan struct{}, report func(context.Context)) {
 	for ctx.Err() == nil {
 		l.mu.Lock()
@@ -47,7 +48,7 @@
 	}
 }
 
-// reportIfDue tells the data centre's collector what was counted here, if that is due.
+// reportIfDue sends this daemon's counts to the data centre's collector if a report is due.
 func (l *Limits) reportIfDue(ctx context.Context) {
 	now := time.Now()
 	l.mu.Lock()
@@ -75,8 +76,8 @@
 	l.gate.SetVerdict(verdict)
 }
 
-// collect counts a daemon's report and returns the ledger's last verdict. An urgent one is
-// forwarded before.
+// collect adds a daemon's report and returns the last verdict of the ledger. An urgent report
+// is forwarded first, so that the verdict takes it into account.
 func (l *Limits) collect(ctx context.Context, counted control.Counted) quota.Verdict {
 	l.mu.Lock()
 	verdict := l.collector.Add(time.Now(), counted.Report)
@@ -90,8 +91,7 @@
 	return l.collector.Verdict(time.Now())
 }
 
-// forwardIfDue tells the fleet's ledger what this data centre's daemons reported here, if that is
-// due.
+// forwardIfDue forwards the reports of this data centre's daemons to the ledger if that is due.
 func (l *Limits) forwardIfDue(ctx context.Context) {
 	l.mu.Lock()
 	due := l.collector.Due(time.Now())
@@ -101,8 +101,8 @@
 	}
 }
 
-// forward tells the ledger at once, or once the report before has been answered: what was counted
-// meanwhile goes with one report.
+// forward sends the collected counts to the ledger. It waits for a report in flight, and counts
+// that arrive in the meantime go out in a single report.
 func (l *Limits) forward(ctx context.Context) {
 	l.forwarding.Lock()
 	defer l.forwarding.Unlock()
@@ -110,7 +110,7 @@
 	now := time.Now()
 	if !l.collector.Added() {
 		l.mu.Unlock()
-		return // another report has taken it along
+		return // a concurrent report included it
 	}
 	counted := l.collector.Drain(now, l.config.Host)
 	to, remote := l.firstPresent(l.ledgers, now)
@@ -130,8 +130,8 @@
 	l.collector.SetVerdict(time.Now(), verdict)
 }
 
-// firstPresent returns the first host in the order that is not passed over; false if that is
-// this one, or if none is left. The caller holds mu.
+// firstPresent returns the first host in the order that is not skipped; false if that is this
+// host or none is left. The caller must hold mu.
 func (l *Limits) firstPresent(order []fleet.Host, now time.Time) (fleet.Host, bool) {
 	for _, h := range order {
 		if h.Name == l.config.Host {
@@ -144,7 +144,7 @@
 	return fleet.Host{}, false
 }
 
-// send sends a report, and passes the host over for a while if it does not answer.
+// send sends a report, and marks the host to be skipped for a while if it does not answer.
 func (l *Limits) send(ctx context.Context, to fleet.Host, counted control.Counted) (quota.Verdict, bool) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
@@ -159,7 +159,7 @@
 	return quota.Verdict{}, false
 }
 
-// HandleCounted answers another daemon's report.
+// HandleCounted handles the report of another daemon.
 func (l *Limits) HandleCounted(ctx context.Context, params json.RawMessage) (any, error) {
 	var counted control.Counted
 	if err := control.Decode(params, &counted); err != nil {
