--- a/internal/quota/collector.go
+++ b/internal/quota/collector.go
@@ -3,31 +3,29 @@
 import "time"
 
 const (
-	// presentFor is how long a reporter counts as present after a report. Source: reports
-	// come every 400 ms at least, so that two may be lost.
+	// presentFor is how long a reporter counts as present after a report. At the usual pause
+	// between reports two may be lost.
 	presentFor = time.Second
-	// forwardEvery is the pause between two reports of a collector while it has something
-	// to forward. Source: ten calls a second of each data centre to one daemon.
+	// forwardEvery is the minimum pause between two reports of a collector to the ledger.
 	forwardEvery = 100 * time.Millisecond
-	// verdictKeptFor is how long a collector passes its last verdict to a ledger that begins. Source: verdicts
-	// come ten times a second; a daemon that collects again after a while knows nothing yet.
+	// verdictKeptFor is how long a collector sends its last verdict to a new ledger.
 	verdictKeptFor = 2 * time.Second
-	// verdictFreshFor is how long gates are told it. Source: three reports to the ledger. A gate that
-	// is told an older one would conclude that a customer is below its limit,
-	// while the ledger is gone and the customer's rate rises.
+	// verdictFreshFor is how long a collector returns its last verdict to gates. An older one
+	// would let a gate conclude that a customer is below its limit while the ledger is gone and
+	// the rate rises.
 	verdictFreshFor = 300 * time.Millisecond
 )
 
-// present records who reported of late, for how many hosts.
+// present holds the recent reporters by host name.
 type present map[string]presence
 
-// presence is when a reporter last reported, and for how many hosts.
+// presence holds the time of a reporter's last report and the number of its hosts.
 type presence struct {
 	at    time.Time
 	hosts int
 }
 
-// hosts returns how many hosts reported of late, and forgets the others.
+// hosts returns the number of hosts with recent reports, and removes expired reporters.
 func (p present) hosts(now time.Time) int {
 	sum := 0
 	for from, seen := range p {
@@ -48,7 +46,7 @@
 	verdictAt   time.Time
 	forwardedAt time.Time
 	added       bool
-	follows     bool // who reported since the last report had a verdict before
+	follows     bool // a reporter since the last forwarded report had a verdict before
 }
 
 // NewCollector returns a collector without reports.
@@ -56,7 +54,7 @@
 	return &Collector{present: make(present), counts: make(map[string]Count)}
 }
 
-// Add counts a daemon's report and returns what the ledger last said.
+// Add adds a daemon's report and returns the last verdict of the ledger.
 func (c *Collector) Add(now time.Time, r Report) Verdict {
 	c.present[r.From] = presence{at: now, hosts: r.Hosts}
 	c.added = true
@@ -65,11 +63,11 @@
 	return c.Verdict(now)
 }
 
-// Verdict returns what the ledger last said, for gates; it is unknown if that is no longer
-// fresh.
+// Verdict returns the last verdict of the ledger for gates; it is unknown once the verdict is
+// no longer fresh.
 func (c *Collector) Verdict(now time.Time) Verdict { return c.verdictWithin(now, verdictFreshFor) }
 
-// verdictWithin returns the last verdict, unless that was longer ago.
+// verdictWithin returns the last verdict unless it is older than length.
 func (c *Collector) verdictWithin(now time.Time, length time.Duration) Verdict {
 	if now.Sub(c.verdictAt) > length {
 		return Verdict{}
@@ -77,13 +75,13 @@
 	return c.verdict
 }
 
-// Added reports whether there is something to forward.
+// Added reports whether there are counts to forward.
 func (c *Collector) Added() bool { return c.added }
 
-// Due reports whether it is time to forward something.
+// Due reports whether forwarding is due.
 func (c *Collector) Due(now time.Time) bool { return c.added && now.Sub(c.forwardedAt) >= forwardEvery }
 
-// Drain returns the report to forward under that name.
+// Drain returns the report to forward under the host name and resets the counts.
 func (c *Collector) Drain(now time.Time, from string) Report {
 	c.forwardedAt = now
 	c.added = false
@@ -92,13 +90,13 @@
 	return Report{From: from, Hosts: c.present.hosts(now), Counts: drain(c.counts), Follows: follows, Heard: c.verdictWithin(now, verdictKeptFor)}
 }
 
-// Restore adds again the counts of a report that was not answered.
+// Restore adds back the counts of a report that was not answered.
 func (c *Collector) Restore(counts []Count) {
 	c.added = c.added || len(counts) > 0
 	merge(c.counts, counts)
 }
 
-// SetVerdict sets what Verdict returns, if the ledger has answered.
+// SetVerdict stores a verdict of the ledger. It ignores a verdict that is not known.
 func (c *Collector) SetVerdict(now time.Time, v Verdict) {
 	if v.Known {
 		c.verdict, c.verdictAt = v, now
--- a/internal/quota/gate.go
+++ b/internal/quota/gate.go
@@ -3,72 +3,71 @@
 import "time"
 
 const (
-	// urgentCount is how many unreported requests of one customer are worth a report at
-	// once. Source: a customer whose rate rises eightfold sends a busy host three requests
-	// in an eighth of a second; at its usual rate a host gets as many in a second or more.
+	// urgentCount is the number of unreported requests of one customer that makes a report
+	// urgent.
 	urgentCount = 3
-	// urgentEvery is the pause between two reports at least.
+	// urgentEvery is the minimum pause between urgent reports, and between reports before the
+	// first verdict.
 	urgentEvery = 100 * time.Millisecond
-	// awaitEvery is the pause after which a gate reports that refuses until the next verdict.
-	// Source: ten round trips between data centres.
+	// awaitEvery is the minimum pause between reports while the gate refuses requests until the
+	// next verdict.
 	awaitEvery = 20 * time.Millisecond
-	// nearEvery is the pause while a customer is near its limit or beyond. Source: the
-	// shares of a customer that comes back below its limit have to rise again soon.
+	// nearEvery is the pause while a customer is near or beyond its limit. It is shorter than
+	// reportEvery, so that shares rise soon after the customer is below its limit again.
 	nearEvery = 200 * time.Millisecond
-	// reportEvery is the pause otherwise. Source: together with a collector's it stays
-	// below half a second, in which a customer at eight times its usual rate, whose limit is
-	// 1.6 times that, spends what the limit gives in two and a half seconds.
+	// reportEvery is the pause between other reports. Together with a collector's pause it stays
+	// below half a second, which bounds the requests admitted before a rise in a customer's rate
+	// is counted.
 	reportEvery = 400 * time.Millisecond
 )
 
 const (
-	// unconfirmedPart is maxUnconfirmed in parts of the burst that fall to a host. Source: callers are
-	// not spread evenly; a flood gets no more than two bursts before the ledger knows.
+	// unconfirmedPart is the factor on a host's part of the burst that gives maxUnconfirmed. It
+	// allows for an uneven spread of callers.
 	unconfirmedPart = 2.0
-	// unconfirmedPartEarly is the same before the first verdict. Source: where all daemons start
-	// again each second, more than half of the burst a time is beyond the limit.
+	// unconfirmedPartEarly is the factor before the first verdict. It is smaller, because with
+	// frequent restarts each start grants this amount again.
 	unconfirmedPartEarly = 0.5
 )
 
 const (
-	// minRetryAfter and maxRetryAfter bound what a refused caller is told. Source: the
-	// allowances are renewed a few times a second, and callers wait seconds at most.
+	// minRetryAfter and maxRetryAfter bound the retry delay of a refused request.
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 5 * time.Second
 )
 
-// Decision tells whether a request is admitted.
+// Decision says whether a request is admitted.
 type Decision struct {
 	Admitted bool
-	// RetryAfter is when the limit has room for a refused one.
+	// RetryAfter is the delay after which the limit has room for a refused request.
 	RetryAfter time.Duration
 }
 
-// Gate admits the requests of one daemon's callers.
+// Gate admits requests of one daemon's callers.
 type Gate struct {
 	limits        map[string]Limit
-	hosts         int            // that share the limits
-	hasVerdict    bool           // there ever was one
+	hosts         int            // number of hosts that share the limits
+	hasVerdict    bool           // a verdict was received
 	unconfirmed   map[string]int // admitted since the last verdict
 	counts        map[string]Count
 	allowances    map[string]Allowance
-	credit        map[string]float64 // parts of a request that are left from the shares
-	awaitsVerdict bool               // some customer has maxUnconfirmed requests admitted since the last verdict
-	urgent        bool               // some customer has urgentCount unreported requests
-	near          bool               // some customer's share is below one
+	credit        map[string]float64 // fractions of a request accumulated from the shares
+	awaitsVerdict bool               // a customer has maxUnconfirmed requests admitted since the last verdict
+	urgent        bool               // a customer has urgentCount unreported requests
+	near          bool               // a customer's share is below one
 	reported      time.Time
 }
 
-// NewGate returns a gate without limits, which admits everything.
+// NewGate returns a gate without limits, which admits every request.
 func NewGate() *Gate {
 	return &Gate{unconfirmed: make(map[string]int), counts: make(map[string]Count), allowances: make(map[string]Allowance), credit: make(map[string]float64)}
 }
 
-// Reconfigure sets the limits by customer, and how many hosts share them. Customers without
-// a limit are admitted uncounted.
+// Reconfigure sets the limits by customer, and the number of hosts that share them. Requests of
+// customers without a limit are admitted and not counted.
 func (g *Gate) Reconfigure(limits map[string]Limit, hosts int) { g.limits, g.hosts = limits, hosts }
 
-// Admit decides on one request.
+// Admit decides on one request and counts it.
 func (g *Gate) Admit(customer string) Decision {
 	limit, limited := g.limits[customer]
 	if !limited {
@@ -89,8 +88,9 @@
 	return decision
 }
 
-// admits decides by the customer's allowance, if there is one, and admits no more than the
-// maxUnconfirmed between two verdicts: the first share that a flood gets is taken from few requests.
+// admits reports whether a request is within the customer's allowance, if there is one, and
+// within maxUnconfirmed since the last verdict. The second check applies to customers with an
+// allowance as well, because the first share of a flood is derived from few requests.
 func (g *Gate) admits(customer string, limit Limit, allowance Allowance, near bool) bool {
 	if near && !g.spend(customer, allowance.Share) {
 		return false
@@ -103,14 +103,11 @@
 	return false
 }
 
-// maxUnconfirmed is how many requests of one customer are admitted between two verdicts: twice this
-// host's part of the burst, which the bucket holds while the customer is below its limit. It
-// bounds what a flood gets before the ledger knows of it. Three daemons that were asked 13,000
-// times a second for a customer with a limit of 40 ran 612 requests in four seconds without it,
-// 180 being due, and up to 368 while it held only without that bound
-// (TestALimitHoldsForTheWholeFleet). Who has used it up
-// reports at once, so that a customer whose callers are all on one host waits for one answer
-// and is held to nothing else.
+// maxUnconfirmed returns the number of requests of one customer that are admitted between two
+// verdicts: twice this host's part of the burst, which the bucket holds while the customer is
+// below its limit. It bounds what a flood gets before the ledger has counted it. When it is
+// used up, the gate reports immediately, so that a customer whose callers are all on one host
+// waits for a single answer and is not limited otherwise.
 func (g *Gate) maxUnconfirmed(limit Limit) float64 {
 	part := limit.Burst / float64(max(1, g.hosts))
 	if !g.hasVerdict {
@@ -119,8 +116,9 @@
 	return max(urgentCount, unconfirmedPart*part)
 }
 
-// spend adds the share to the customer's credit and takes one request from it, if it is there.
-// So the gate admits exactly the share, spread evenly, however few the requests are.
+// spend adds the share to the customer's credit and takes one request from it, and reports
+// whether the credit sufficed. The gate thus admits exactly the share, evenly spread, even of
+// few requests.
 func (g *Gate) spend(customer string, share float64) bool {
 	credit := g.credit[customer] + share
 	if credit < 1 {
@@ -131,8 +129,9 @@
 	return true
 }
 
-// retryAfter is how long the bucket takes to hold a request again, then to let through what is
-// asked within a second beyond the limit, and until what is asked now no longer counts.
+// retryAfter returns the time until the bucket holds a request again, plus the time for the
+// requests that exceed the limit, plus the horizon, after which current requests no longer
+// count.
 func retryAfter(limit Limit, s Allowance) time.Duration {
 	seconds := horizon.Seconds() + max(0, 1-s.Level)/limit.Rate
 	if s.Share > 0 {
@@ -141,7 +140,7 @@
 	return min(maxRetryAfter, max(minRetryAfter, time.Duration(min(seconds, maxRetryAfter.Seconds())*float64(time.Second))))
 }
 
-// GiveBack takes back the admission of a request that never reached a backend server.
+// GiveBack reverts the admission of a request that never reached a backend server.
 func (g *Gate) GiveBack(customer string) {
 	if _, limited := g.limits[customer]; !limited {
 		return
@@ -152,7 +151,7 @@
 	g.counts[customer] = count
 }
 
-// Due reports whether it is time for a report.
+// Due reports whether a report is due.
 func (g *Gate) Due(now time.Time) bool {
 	since := now.Sub(g.reported)
 	switch {
@@ -169,24 +168,24 @@
 	}
 }
 
-// AwaitsVerdict reports whether requests are refused until the next verdict, which the ledger should
-// give at once.
+// AwaitsVerdict reports whether requests are refused until the next verdict, which should be
+// requested immediately.
 func (g *Gate) AwaitsVerdict() bool { return g.awaitsVerdict }
 
-// HasVerdict reports whether there ever was a verdict.
+// HasVerdict reports whether a verdict has been received.
 func (g *Gate) HasVerdict() bool { return g.hasVerdict }
 
-// Drain returns what was counted since the last report.
+// Drain returns the counts since the last report and resets them.
 func (g *Gate) Drain(now time.Time) []Count {
 	g.reported = now
 	g.awaitsVerdict, g.urgent = false, false
 	return drain(g.counts)
 }
 
-// Restore adds again the counts of a report that was not answered.
+// Restore adds back the counts of a report that was not answered.
 func (g *Gate) Restore(counts []Count) { merge(g.counts, counts) }
 
-// SetVerdict sets what is admitted until the next verdict.
+// SetVerdict applies a verdict until the next one. It ignores a verdict that is not known.
 func (g *Gate) SetVerdict(v Verdict) {
 	if !v.Known {
 		return
@@ -207,5 +206,5 @@
 	}
 }
 
-// Allowances returns the customers whose requests are not all admitted.
+// Allowances returns the allowances of the customers whose requests are not all admitted.
 func (g *Gate) Allowances() map[string]Allowance { return g.allowances }
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -6,45 +6,43 @@
 )
 
 const (
-	// horizon is the time for which the bucket's level and what flows in are compared with
-	// what is asked. Source: a report, its passing on and the answer take some 400 ms
-	// together.
+	// horizon is the time over which the level and the inflow of a bucket are compared with the
+	// expected requests. It covers a report, its forwarding and the answer.
 	horizon = 500 * time.Millisecond
-	// rateWindow is the time over which the rate of requests is taken, with weights that fall
-	// off. Source: shorter than the horizon, so that a rise is seen within it.
+	// rateWindow is the time constant of the decaying request rate. It is shorter than the
+	// horizon, so that a rise is visible within it.
 	rateWindow = 400 * time.Millisecond
-	// leeway is how many requests a bucket may owe before a customer is held to a share of
-	// its requests. Source: at a few requests a second the rate cannot be known within half
-	// a second, and five requests more disturb nobody.
+	// leeway is the debt in requests that a bucket may have before the customer gets a share of
+	// its requests only. At a few requests per second the rate cannot be estimated within half a
+	// second.
 	leeway = 5
-	// toldBelow is the part of its burst below which a bucket's level is told, so that another
-	// ledger can go on from it.
+	// toldBelow is the part of its burst below which a bucket's level is included in the
+	// verdict, so that another ledger can continue from it.
 	toldBelow = 0.5
-	// adoptOwnFor is how long a ledger that begins adopts levels from verdicts of its own, which an
-	// earlier start of it may have given. It goes on from another's at any time: where daemons
-	// come and go, reports go to one host and back to another within a second, whose buckets
-	// have filled meanwhile.
+	// adoptOwnFor is how long a new ledger adopts levels from verdicts under its own name, which
+	// an earlier start of it may have given. Levels of other ledgers are adopted at any time:
+	// while daemons restart, reports can move to another host and back within a second, and the
+	// buckets here have filled meanwhile.
 	adoptOwnFor = time.Second
-	// settleFor is how long a ledger counts before it gives a verdict. Source: in a start of all
-	// it takes so long until each daemon has reported twice, and until then a customer at
-	// eight times its usual rate looks like one that asks little.
+	// settleFor is how long a ledger counts before it gives a verdict. After a simultaneous
+	// start each daemon needs this time to report twice; before, a customer far above its usual
+	// rate appears to send few requests.
 	settleFor = 250 * time.Millisecond
-	// leastAge is the time over which the first requests of a bucket are taken for its rate.
+	// leastAge is the minimum time over which the rate of a new bucket is computed.
 	leastAge = 100 * time.Millisecond
-	// startDuration is the time for whose tokens a bucket begins after a start of all. Source: a
-	// kill and a start of every daemon take half a second or more, in which nobody is admitted.
+	// startDuration is the time whose inflow a bucket begins with after a simultaneous start. It
+	// is less than the restart time of a daemon, in which no request is admitted.
 	startDuration = 400 * time.Millisecond
-	// startPart and startWithin are the least part of the hosts that a ledger counts on, and
-	// for how long, after a start of all. Source: daemons are back one after the other within
-	// a second and a half, while their callers ask as before; if the fleet is in two parts
-	// just then, both together go beyond the limit by three quarters of a second's requests,
-	// which the rule's tenth allows.
+	// startPart is the minimum part of the hosts that a ledger assumes within startWithin after
+	// a simultaneous start, since the daemons return one after the other while their callers
+	// continue to send requests. If the fleet is in two partitions at that time, they may
+	// together exceed the limit by three quarters of a second's requests.
 	startPart   = 0.75
 	startWithin = 1500 * time.Millisecond
-	// backWithin is how long after hosts were no longer heard of they may be back without having been
-	// cut off. Source: a collector that starts again has heard of all of its hosts after two reports of each.
+	// backWithin is how long after their reports ended hosts can return without counting as
+	// partitioned. A restarted collector has reports of all its hosts within this time.
 	backWithin = time.Second
-	// leastBurst is what a bucket can hold however small a part of the fleet is.
+	// leastBurst is the minimum burst of a bucket, regardless of the part of the fleet.
 	leastBurst = 1
 )
 
@@ -54,28 +52,28 @@
 	limits     map[string]Limit
 	buckets    map[string]*bucket
 	present    present
-	known      int     // hosts
-	filledPart float64 // the part of them that the buckets are filled for
-	lostPart   float64 // the part that was taken from the buckets of late, at lostAt the last time
+	known      int     // number of declared hosts
+	filledPart float64 // part of the known hosts that the buckets are filled for
+	lostPart   float64 // part recently taken from the buckets, last at lostAt
 	lostAt     time.Time
 	began      time.Time
-	follows    bool // some reporter had a verdict before: not all have just started
+	follows    bool // a reporter had a verdict before, so that not all daemons have just started
 }
 
-// bucket holds a customer's tokens, each good for a request.
+// bucket is a customer's token bucket; a token is good for one request.
 type bucket struct {
 	level float64
-	sum   float64 // of what was asked, each request with a weight that falls off over rateWindow
+	sum   float64 // number of requests, each with a weight that decays over rateWindow
 	at    time.Time
 	began time.Time
 }
 
-// NewLedger returns a ledger without limits, on the host of that name.
+// NewLedger returns a ledger without limits on the named host.
 func NewLedger(name string) *Ledger {
 	return &Ledger{name: name, buckets: make(map[string]*bucket), present: make(present)}
 }
 
-// Reconfigure sets the limits by customer, and how many hosts are known to be there.
+// Reconfigure sets the limits by customer, and the number of declared hosts.
 func (l *Ledger) Reconfigure(limits map[string]Limit, knownHosts int) {
 	l.limits = limits
 	l.known = knownHosts
@@ -86,10 +84,10 @@
 	}
 }
 
-// Add counts a report and returns the verdict.
+// Add adds a report and returns the verdict.
 func (l *Ledger) Add(now time.Time, r Report) Verdict {
 	if l.present.hosts(now) == 0 {
-		l.began, l.follows = now, false // nobody has reported for a while: what was known is old
+		l.began, l.follows = now, false // no recent report: the state is outdated
 		clear(l.buckets)
 		l.filledPart, l.lostPart = 0, 0
 	}
@@ -108,8 +106,8 @@
 	return l.verdict(now, part)
 }
 
-// presentPart is the share of the known hosts that report here. Just after a start of all those that
-// are not back yet are counted on, up to startPart.
+// presentPart returns the share of the known hosts that report here. Shortly after a
+// simultaneous start, hosts that have not returned yet are included, up to startPart.
 func (l *Ledger) presentPart(now time.Time) float64 {
 	part := min(1, float64(l.present.hosts(now))/float64(max(1, l.known)))
 	if !l.follows && now.Sub(l.began) < startWithin {
@@ -118,12 +116,11 @@
 	return part
 }
 
-// resize has the buckets filled for that part of the hosts from now on. Hosts that no longer
-// report may be cut off, with a ledger of their own, into whose buckets their part has flowed since they were
-// last heard of: it is taken out of these. Without that a flood that begins with a cut of half of the
-// hosts, while a fifth of them restart each second, went above the rule in 5 of 240 simulated plays, by
-// up to 84 requests of 2,411; none since, at 0.015 more of what is below the limit refused while the cut
-// lasts. Hosts that are back at once were not cut off: their collector has started again.
+// resize fills the buckets for the given part of the hosts from now on. Hosts that no longer
+// report may be partitioned with a ledger of their own, whose buckets have been filled for them
+// since their last report here; that inflow is taken out of the buckets here, or a flood that
+// begins with the partition would exceed the limit. Hosts that return within backWithin were
+// not partitioned, but their collector has restarted; their inflow is put back.
 func (l *Ledger) resize(now time.Time, part float64) {
 	change := part - l.filledPart
 	l.filledPart = part
@@ -144,7 +141,7 @@
 	}
 }
 
-// adoptLevels sets the buckets to the levels of a verdict of the ledger before.
+// adoptLevels sets the buckets to the levels in the verdict of a previous ledger.
 func (l *Ledger) adoptLevels(now time.Time, part float64, heard Verdict) {
 	if !heard.Known {
 		return
@@ -170,8 +167,9 @@
 	}
 }
 
-// bucket returns the customer's. One that nothing was heard of began with the ledger, with
-// what flows in while all start, unless it goes on from another.
+// bucket returns the customer's bucket. A new one counts from the start of the ledger; its
+// level is zero if the ledger continues from another, and otherwise the inflow of
+// startDuration.
 func (l *Ledger) bucket(now time.Time, customer string, limit Limit) *bucket {
 	b, ok := l.buckets[customer]
 	if !ok {
@@ -184,19 +182,19 @@
 	return b
 }
 
-// scale returns the limit of a part of the fleet.
+// scale returns the limit for a part of the fleet.
 func (l Limit) scale(part float64) Limit {
 	return Limit{Rate: l.Rate * part, Burst: max(leastBurst, l.Burst*part)}
 }
 
-// add fills the bucket for the time since the last count and takes out what was admitted.
+// add fills the bucket up to now and takes out the admitted requests.
 func (b *bucket) add(now time.Time, limit Limit, c Count) {
 	b.fill(now, limit)
 	b.level -= float64(c.Admitted)
 	b.sum += float64(c.Asked)
 }
 
-// fill fills the bucket and lets the rate fall off for the time since it was last filled.
+// fill adds the tokens and decays the rate for the time since the last call.
 func (b *bucket) fill(now time.Time, limit Limit) {
 	since := max(0, now.Sub(b.at)).Seconds()
 	b.at = now
@@ -204,14 +202,15 @@
 	b.sum *= math.Exp(-since / rateWindow.Seconds())
 }
 
-// rate is what is asked, in requests a second. Over a time shorter than rateWindow the weights add
-// up to less, which is made good.
+// rate returns the request rate per second. For a bucket younger than rateWindow it is
+// corrected for the smaller sum of weights.
 func (b *bucket) rate() float64 {
 	age := max(leastAge, b.at.Sub(b.began))
 	return b.sum / (rateWindow.Seconds() * (1 - math.Exp(-age.Seconds()/rateWindow.Seconds())))
 }
 
-// share is which share of the requests leaves the bucket just empty at the horizon.
+// share returns the share of the requests that leaves the bucket empty at the horizon, apart
+// from leeway.
 func (b *bucket) share(limit Limit) float64 {
 	room := b.level + leeway + limit.Rate*horizon.Seconds()
 	asked := b.rate() * horizon.Seconds()
@@ -221,7 +220,8 @@
 	return max(0, room/asked)
 }
 
-// verdict returns the allowances of the customers near their limit.
+// verdict returns the allowances of the customers near their limit. It is unknown during
+// settleFor.
 func (l *Ledger) verdict(now time.Time, part float64) Verdict {
 	if now.Sub(l.began) < settleFor {
 		return Verdict{}
@@ -238,7 +238,7 @@
 	return v
 }
 
-// round keeps three decimals, which is what is told.
+// round rounds to the three decimals sent in a verdict.
 func round(value float64) float64 {
 	const kept = 1000
 	return math.Round(value*kept) / kept
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,13 +1,14 @@
 // Package quota decides whether a customer's request is within the customer's limit, which
-// holds for the whole fleet.
+// applies to the whole fleet.
 //
-// Nobody is asked on a request's way. Each daemon counts what its callers ask and what it
-// admits (Gate), and reports that a few times a second to a collector of its data centre
-// (Collector), which adds up the reports and forwards the sum to one daemon of the fleet
-// (Ledger). The ledger keeps a bucket of tokens for each customer. While there is room in
-// the bucket, gates admit everything. When there is not, the ledger tells which share of the
-// customer's requests to admit, and each gate admits that share of its own. So a customer
-// that is far below its limit costs a line in a report, and no request waits for an answer.
+// No decision waits for another daemon. Each daemon counts the requests that its callers send
+// and those that it admits (Gate), and reports the counts several times a second to a
+// collector of its data centre (Collector), which adds up the reports and forwards the sum to
+// one daemon of the fleet (Ledger). The ledger keeps a token bucket for each customer. While
+// the bucket has room, gates admit every request. Otherwise the ledger sends the share of the
+// customer's requests to admit, and each gate admits that share of its own requests. A
+// customer far below its limit thus costs one line in a report, and no request waits for an
+// answer.
 //
 // # Usage
 //
@@ -23,88 +24,88 @@
 //
 // # Rules
 //
-//   - What was admitted before its count arrived is taken from the bucket all the same, whose
-//     level may be below zero: it is paid back by admitting less. So a count that is late by
-//     less than a second moves requests within a window and adds none to it.
+//   - A request admitted before its count has arrived is still taken from the bucket, whose
+//     level may become negative; the debt is repaid by admitting less. A count that is less
+//     than a second late therefore shifts requests within a window, but adds none to it.
 //
-//   - A part of the fleet that is cut off has its own collector and ledger, which counts the
-//     hosts that report and fills the bucket with their share of the known hosts. The shares
-//     of all parts add up to the limit.
+//   - A partition of the fleet has its own collector and ledger, which counts the hosts that
+//     report and fills the bucket by their share of the known hosts. The shares of all
+//     partitions add up to the limit.
 //
-//   - A ledger that begins takes the levels that collectors last heard of. Without any, as
-//     after a kill of all, buckets begin with what flows in while daemons start, so that no
-//     start grants a burst.
+//   - A new ledger adopts the levels that collectors last received. Without any, as after a
+//     simultaneous restart of all daemons, buckets begin with the tokens that accrue while
+//     daemons start, so that a restart does not grant a burst.
 //
-//   - A request that never reached a backend server is given back.
+//   - A request that never reached a backend server is refunded.
 //
-//   - A report that may be lost is sent again: a count that arrives twice makes the limit
-//     stricter for a moment, one that is lost would make it laxer.
+//   - A report that may have been lost is sent again: a count that arrives twice makes the
+//     limit stricter for a moment, whereas a lost one would make it laxer.
 //
-//   - A gate that admits more of a customer's requests than its part of the burst without a
-//     verdict of the ledger reports at once and refuses until it is answered. So a flood gets
-//     little before the ledger knows of it.
+//   - A gate that has admitted its part of a customer's burst without a verdict of the ledger
+//     reports immediately and refuses requests until the report is answered. This bounds what
+//     a flood gets before the ledger has counted it.
 //
-// The bound: in any time w all parts together admit at most rate*w + burst, and in addition
-// what is asked within one delay of the reports after the customer's rate rises, as far as
-// the bucket has not got it back by the end of w, and one request for each part of a fleet
-// in parts. TestSimulatedFleetKeepsLimits has the figures.
+// The bound: in any time w all partitions together admit at most rate*w + burst, plus the
+// requests that arrive within one reporting delay after the customer's rate rises, as far as
+// the bucket has not recovered them by the end of w, plus one request for each partition.
+// TestSimulatedFleetKeepsLimits checks it.
 //
-// Units: rates are in requests a second, bursts, levels and counts in requests, shares from
+// Units: rates are in requests per second; bursts, levels and counts in requests; shares from
 // 0 to 1. A Gate, Collector or Ledger has no clock, socket or goroutine and is not safe for
 // concurrent use; the daemon's task owns it.
 package quota
 
-// Limit is what a customer may ask of the whole fleet.
+// Limit is the request limit of a customer for the whole fleet.
 type Limit struct {
-	// Rate is in requests a second, more than zero.
+	// Rate is in requests per second and greater than zero.
 	Rate float64
-	// Burst is how many requests may come at once beyond the rate.
+	// Burst is the number of requests allowed at once beyond the rate.
 	Burst float64
 }
 
-// Count is what was counted of one customer since the last report.
+// Count holds the number of requests of one customer since the last report.
 type Count struct {
 	Customer string `json:"c"`
-	// Asked are all requests, Admitted those that were let through, less those given back.
+	// Asked counts all requests, Admitted the admitted ones without those refunded.
 	Asked    int `json:"a"`
 	Admitted int `json:"d"`
 }
 
-// Report is what one daemon or one data centre counted since its last report.
+// Report holds the counts of one daemon or one data centre since its last report.
 type Report struct {
-	// From names the host that reports.
+	// From is the name of the reporting host.
 	From string `json:"from"`
-	// Hosts is how many hosts' counts are in it.
+	// Hosts is the number of hosts whose counts are included.
 	Hosts  int     `json:"hosts"`
 	Counts []Count `json:"counts,omitempty"`
-	// Follows says that the reporter, or who reported to it, has heard a verdict before: not
-	// all have just started.
+	// Follows means that the reporter, or a daemon that reported to it, has received a verdict
+	// before, so that not all daemons have just started.
 	Follows bool `json:"follows,omitempty"`
-	// Heard is the last verdict that the reporter got, for a ledger that begins.
+	// Heard is the last verdict that the reporter received, from which a new ledger continues.
 	Heard Verdict `json:"heard,omitzero"`
 }
 
-// Verdict tells how much of their customers' requests gates admit.
+// Verdict holds the shares of the customers' requests that gates admit.
 type Verdict struct {
-	// Known is false if no ledger has given one yet.
+	// Known is false if no ledger has given a verdict yet.
 	Known bool `json:"known,omitempty"`
-	// By names the ledger's host.
+	// By is the name of the ledger's host.
 	By string `json:"by,omitempty"`
-	// Allowances are of the customers near their limit or beyond; those of all others are
-	// admitted whole.
+	// Allowances holds the customers near or beyond their limit; all requests of other customers
+	// are admitted.
 	Allowances []Allowance `json:"standings,omitempty"`
 }
 
-// Allowance is where one customer stands.
+// Allowance is what one customer is allowed until the next verdict.
 type Allowance struct {
 	Customer string `json:"c"`
-	// Share of its requests is admitted.
+	// Share is the share of its requests that is admitted.
 	Share float64 `json:"s"`
-	// Level is what the bucket holds; below zero it owes.
+	// Level is the level of the bucket; a negative level is a debt.
 	Level float64 `json:"l"`
 }
 
-// merge adds the counts to those by customer.
+// merge adds the counts to the sums by customer.
 func merge(into map[string]Count, counts []Count) {
 	for _, c := range counts {
 		sum := into[c.Customer]
@@ -112,7 +113,7 @@
 	}
 }
 
-// drain returns the counts that say something and forgets them.
+// drain returns the non-zero counts and clears the map.
 func drain(from map[string]Count) []Count {
 	counts := make([]Count, 0, len(from))
 	for _, c := range from {
