--- a/internal/customer/customer.go
+++ b/internal/customer/customer.go
@@ -1,8 +1,8 @@
-// Package customer finds the customer to whom a caller's key belongs.
+// Package customer finds the customer that a caller's API key belongs to.
 //
 // A key is known only by its SHA-256 digest: neither the declaration nor a daemon's memory,
-// log or answers hold the key itself. Keys are long and drawn at random, so that a digest
-// without a salt gives nothing away; a key that a person chose could be guessed from it.
+// log or answers contain the key itself. The digest is unsalted, which is safe only for long
+// random keys; a key chosen by a person could be guessed from its digest.
 //
 // # Usage
 //
@@ -11,8 +11,8 @@
 //		found, ok := table.Find(key)
 //	}
 //
-// A look-up takes one digest and one map access, whatever the number of customers, and
-// allocates nothing: BenchmarkFind has the figures.
+// A lookup takes one digest and one map access, regardless of the number of customers, and
+// does not allocate; see BenchmarkFind.
 package customer
 
 import (
@@ -27,27 +27,27 @@
 	"github.com/tideliftd/tidelift/internal/fleet"
 )
 
-// Header carries a caller's key, after scheme and a blank.
+// Header is the name of the header that carries a caller's key, after the scheme and a space.
 const (
 	Header = "Authorization"
 	scheme = "Bearer"
 )
 
-// MaxKeyBytes is the longest key that is looked up, in bytes. Source: tidelift key makes keys
-// of 64 characters; a digest of anything longer is work that any caller could ask for.
+// MaxKeyBytes is the longest key that is looked up, in bytes. It bounds the hashing work that a
+// caller can cause; generated keys have 64 characters.
 const MaxKeyBytes = 256
 
-// keyBytes is how many random bytes a new key has: as many as its digest, so that neither of
-// the two is easier to guess.
+// keyBytes is the number of random bytes of a new key. It equals the digest size, so that
+// neither is easier to guess.
 const keyBytes = sha256.Size
 
-// Table finds customers by key. It is read-only and may be shared.
+// Table finds customers by key. It is immutable and safe for concurrent use.
 type Table struct {
 	customers []fleet.Customer
-	byDigest  map[[sha256.Size]byte]int32 // an index in customers
+	byDigest  map[[sha256.Size]byte]int32 // index in customers
 }
 
-// NewTable returns the table of the declared customers.
+// NewTable returns the table of the declared customers, or an error if a key digest is invalid.
 func NewTable(customers []fleet.Customer) (*Table, error) {
 	t := &Table{customers: customers, byDigest: make(map[[sha256.Size]byte]int32, 2*len(customers))}
 	for i, c := range customers {
@@ -62,7 +62,7 @@
 	return t, nil
 }
 
-// Find returns the customer to whom the key belongs.
+// Find returns the customer that the key belongs to, and reports whether there is one.
 func (t *Table) Find(key string) (*fleet.Customer, bool) {
 	if len(key) > MaxKeyBytes {
 		return nil, false
@@ -76,15 +76,16 @@
 	return &t.customers[i], true
 }
 
-// KeyOf returns the key that the headers carry, or false if they carry none. Headers that carry
-// something else, or several keys, give the empty key, which belongs to no customer.
+// KeyOf returns the key in the headers, and reports whether they carry an Authorization header.
+// A header of another scheme, or several headers, give the empty key, which belongs to no
+// customer.
 func KeyOf(h http.Header) (string, bool) {
 	values := h[Header]
 	if len(values) == 0 {
 		return "", false
 	}
 	if len(values) > 1 {
-		return "", true // which of them counts would be a guess
+		return "", true // ambiguous
 	}
 	name, key, _ := strings.Cut(values[0], " ")
 	if !strings.EqualFold(name, scheme) {
@@ -93,15 +94,15 @@
 	return strings.TrimSpace(key), true
 }
 
-// Digest returns the key's digest as a declaration has it.
+// Digest returns the key's digest in the form used by declarations.
 func Digest(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// NewKey draws a key.
+// NewKey returns a new random key.
 func NewKey() string {
 	var data [keyBytes]byte
-	_, _ = rand.Read(data[:]) // documented never to fail
+	_, _ = rand.Read(data[:]) // never returns an error
 	return hex.EncodeToString(data[:])
 }
