--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -154,8 +154,8 @@
 	running     int
 	stalled     int // running requests that have outlasted nearly all others of their route
 	waiting     int
-	lines       []*line                // most urgent first
-	seen        [bucketCount]time.Time // time of the last request of a customer in the bucket
+	levels      []*priorityLevel       // most urgent first
+	lastSeen    [bucketCount]time.Time // time of the last request of a customer in the bucket
 	serviceTime time.Duration
 	// urgentGrants counts the grants to the most urgent priority since the last grant to
 	// another.
@@ -183,7 +183,7 @@
 
 // RetryAfter returns the estimated time until the running and waiting requests have been
 // served.
-func (q *Queue) RetryAfter() time.Duration { return q.wait(q.waiting + 1) }
+func (q *Queue) RetryAfter() time.Duration { return q.estimatedWait(q.waiting + 1) }
 
 // HasSlot reports whether a request would be granted a slot immediately.
 func (q *Queue) HasSlot() bool { return q.running < q.config.Slots && q.waiting == 0 }
@@ -191,19 +191,19 @@
 // Offer decides on one request: it is granted a slot, queued or refused.
 func (q *Queue) Offer(now time.Time, r Request) Decision {
 	bucket := q.bucketOf(r.Customer)
-	q.seen[bucket] = now
+	q.lastSeen[bucket] = now
 	if q.HasSlot() {
 		q.running++
 		return Decision{Verdict: Granted}
 	}
-	start := now.Add(q.wait(q.before(r.Priority) + 1))
+	start := now.Add(q.estimatedWait(q.countAhead(r.Priority) + 1))
 	if start.After(r.Deadline) || q.waiting >= q.config.Slots && q.missesTarget(start, r) {
 		return Decision{Verdict: RefusedTooSlow, RetryAfter: q.RetryAfter()}
 	}
 	if q.waiting >= q.config.Depth {
 		return q.offerFull(now, bucket, r)
 	}
-	if !q.leavesRoom(now, bucket, r.Priority) {
+	if !q.hasRoom(now, bucket, r.Priority) {
 		return Decision{Verdict: RefusedShare, RetryAfter: q.RetryAfter()}
 	}
 	q.push(now, bucket, r)
@@ -220,36 +220,36 @@
 	return !r.TargetAt.IsZero() && from.Add(usual).After(r.TargetAt)
 }
 
-// before returns the number of waiting requests that are served before a new one of the
+// countAhead returns the number of waiting requests that are served before a new one of the
 // priority.
-func (q *Queue) before(priority int) int {
+func (q *Queue) countAhead(priority int) int {
 	waiting := 0
-	for _, l := range q.lines {
+	for _, l := range q.levels {
 		if l.priority <= priority {
-			waiting += len(l.places)
+			waiting += len(l.entries)
 		}
 	}
 	return waiting
 }
 
-// line returns the waiting requests of the priority, adding the level if it is new.
-func (q *Queue) line(priority int) *line {
-	at, ok := slices.BinarySearchFunc(q.lines, priority, func(l *line, priority int) int { return cmp.Compare(l.priority, priority) })
+// level returns the waiting requests of the priority, adding the level if it is new.
+func (q *Queue) level(priority int) *priorityLevel {
+	at, ok := slices.BinarySearchFunc(q.levels, priority, func(l *priorityLevel, priority int) int { return cmp.Compare(l.priority, priority) })
 	if !ok {
-		q.lines = slices.Insert(q.lines, at, &line{priority: priority})
+		q.levels = slices.Insert(q.levels, at, &priorityLevel{priority: priority})
 	}
-	return q.lines[at]
+	return q.levels[at]
 }
 
-// wait returns the estimated waiting time at the position in the queue. Stalled slots are left
-// out, since it is not known when they are freed.
-func (q *Queue) wait(place int) time.Duration {
-	over := q.running + place - q.config.Slots
-	if over <= 0 {
+// estimatedWait returns the estimated waiting time at the position in the queue. Stalled slots
+// are left out, since it is not known when they are freed.
+func (q *Queue) estimatedWait(position int) time.Duration {
+	ahead := q.running + position - q.config.Slots
+	if ahead <= 0 {
 		return 0
 	}
-	moving := max(1, q.config.Slots-q.stalled)
-	return time.Duration(over) * q.serviceTime / time.Duration(moving)
+	unstalled := max(1, q.config.Slots-q.stalled)
+	return time.Duration(ahead) * q.serviceTime / time.Duration(unstalled)
 }
 
 // Stalled records that a running request has outlasted nearly all others of its route.
@@ -260,7 +260,7 @@
 
 // push adds a request to the level of its priority.
 func (q *Queue) push(now time.Time, bucket int, r Request) {
-	q.line(r.Priority).push(now, bucket, r)
+	q.level(r.Priority).push(now, bucket, r)
 	q.waiting++
 }
 
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -50,13 +50,13 @@
 	}
 }
 
-func TestNewcomerTakesAPlaceOfAFullQueue(t *testing.T) {
+func TestFullQueueEvictsNewestOfLongest(t *testing.T) {
 	q := admission.NewQueue(admission.Config{Slots: 1, Depth: 4})
 	for id := range uint64(5) {
 		q.Offer(start, request(id+1, "flood"))
 	}
 	if got := q.Offer(start, request(9, "quiet")); got.Verdict != admission.Queued || got.Evicted != 5 {
-		t.Fatalf("%+v, want a place in exchange for request 5", got)
+		t.Fatalf("%+v, want request 5 evicted", got)
 	}
 	granted, _ := q.Done(start, time.Millisecond)
 	next, _ := q.Done(start, time.Millisecond)
@@ -77,10 +77,10 @@
 	offer(3, 1)
 	offer(4, 2)
 	if got := offer(5, 0); got.Verdict != admission.Queued || got.Evicted != 4 {
-		t.Fatalf("%+v, want the place of request 4", got)
+		t.Fatalf("%+v, want request 4 evicted", got)
 	}
 	if got := offer(6, 2); got.Verdict != admission.RefusedFull {
-		t.Fatalf("%+v, want no place for the least urgent", got)
+		t.Fatalf("%+v, want a refusal of the least urgent", got)
 	}
 	for _, want := range []uint64{5, 3, 2} { // 2 is the only one left
 		if granted, _ := q.Done(start, time.Millisecond); !contains(granted, want) {
@@ -108,11 +108,11 @@
 	}
 }
 
-func TestWhatCanStillMeetItsAimGoesFirst(t *testing.T) {
+func TestReachableTargetsAreServedFirst(t *testing.T) {
 	q := admission.NewQueue(admission.Config{Slots: 1, Depth: 10})
-	for id, aim := range []time.Duration{time.Second, 50 * time.Millisecond, 60 * time.Millisecond, time.Second} {
+	for id, target := range []time.Duration{time.Second, 50 * time.Millisecond, 60 * time.Millisecond, time.Second} {
 		r := request(uint64(id)+1, "a")
-		r.TargetAt = start.Add(aim)
+		r.TargetAt = start.Add(target)
 		q.Offer(start, r)
 	}
 	late := start.Add(55 * time.Millisecond)
@@ -132,9 +132,8 @@
 	return false
 }
 
-// TestQueueKeepsItsBounds offers, ends and cancels at random: never more run
-// than there are slots or wait than there are places, every request is granted,
-// refused, cancelled or late exactly once, and nothing waits beside a free slot.
+// TestQueueKeepsItsBounds guards against exceeded slots or places, requests with no outcome or
+// several, and requests that wait beside a free slot.
 func TestQueueKeepsItsBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := admission.Config{Slots: rapid.IntRange(1, 4).Draw(t, "slots"), Depth: rapid.IntRange(1, 6).Draw(t, "depth")}
@@ -146,7 +145,7 @@
 		grant := func(granted, late []uint64) {
 			for _, id := range append(granted, late...) {
 				if _, ok := waiting[id]; !ok {
-					t.Fatalf("%d was not waiting", id)
+					t.Fatalf("request %d was not waiting", id)
 				}
 				delete(waiting, id)
 			}
@@ -170,7 +169,7 @@
 				case admission.RefusedFull, admission.RefusedTooSlow, admission.RefusedShare:
 				case admission.RefusedDraining, admission.RefusedSuspected, admission.RefusedEjected,
 					admission.RefusedHanging, admission.RefusedRetry, admission.RefusedBusy:
-					t.Fatalf("the queue decided %s", decision.Verdict)
+					t.Fatalf("Offer returned %s, want a verdict of the queue", decision.Verdict)
 				}
 			},
 			"done": func(t *rapid.T) {
@@ -182,7 +181,7 @@
 			"cancel": func(t *rapid.T) {
 				for id := range waiting {
 					if !q.Cancel(id) {
-						t.Fatalf("%d was not waiting", id)
+						t.Fatalf("request %d was not waiting", id)
 					}
 					delete(waiting, id)
 					return
@@ -191,13 +190,13 @@
 			"pass": func(*rapid.T) { now = now.Add(30 * time.Millisecond) },
 			"": func(t *rapid.T) {
 				if q.Running() != running || q.Waiting() != len(waiting) {
-					t.Fatalf("runs %d, want %d; waits %d, want %d", q.Running(), running, q.Waiting(), len(waiting))
+					t.Fatalf("running %d, want %d; waiting %d, want %d", q.Running(), running, q.Waiting(), len(waiting))
 				}
 				if running > config.Slots || len(waiting) > config.Depth {
-					t.Fatalf("%d run, %d wait: %+v", running, len(waiting), config)
+					t.Fatalf("%d running and %d waiting exceed %+v", running, len(waiting), config)
 				}
 				if len(waiting) > 0 && running < config.Slots {
-					t.Fatalf("%d wait beside a free slot", len(waiting))
+					t.Fatalf("%d requests wait although a slot is free", len(waiting))
 				}
 			},
 		})
@@ -213,35 +212,35 @@
 	}
 }
 
-// TestACrowdedQueueRefusesWhatMissesItsAim holds that a request which would come after its
-// latency target is refused at once where more wait than there are slots, and waits where few do.
-func TestACrowdedQueueRefusesWhatMissesItsAim(t *testing.T) {
+// TestCrowdedQueueRefusesMissedTargets guards against requests that wait in a crowded queue
+// although they will miss their latency target.
+func TestCrowdedQueueRefusesMissedTargets(t *testing.T) {
 	now := time.Now()
 	q := admission.NewQueue(admission.Config{Slots: 2, Depth: 100})
-	offer := func(id uint64, aim time.Duration) admission.Verdict {
+	offer := func(id uint64, target time.Duration) admission.Verdict {
 		return q.Offer(now, admission.Request{
-			ID: id, TargetAt: now.Add(aim), Usual: 400 * time.Millisecond, Deadline: now.Add(time.Minute),
+			ID: id, TargetAt: now.Add(target), Usual: 400 * time.Millisecond, Deadline: now.Add(time.Minute),
 		}).Verdict
 	}
 	for id := range uint64(4) {
 		if verdict := offer(id+1, 100*time.Millisecond); verdict != admission.Granted && verdict != admission.Queued {
-			t.Fatalf("request %d of a short queue: %s", id+1, verdict)
+			t.Fatalf("request %d in a short queue: %s, want it granted or queued", id+1, verdict)
 		}
 	}
 	if verdict := offer(5, 100*time.Millisecond); verdict != admission.RefusedTooSlow {
-		t.Fatalf("a request that comes after its aim: %s", verdict)
+		t.Fatalf("request that misses its target: %s, want a refusal", verdict)
 	}
 	if verdict := offer(6, 10*time.Second); verdict != admission.Queued {
-		t.Fatalf("a request that is in time: %s", verdict)
+		t.Fatalf("request that meets its target: %s, want it queued", verdict)
 	}
 	if late := q.Expire(now.Add(time.Second)); len(late) != 1 || late[0] != 3 {
-		t.Fatalf("%v left, want the oldest that comes too late, after which the queue is not crowded", late)
+		t.Fatalf("expired %v, want only request 3, after which the queue is no longer crowded", late)
 	}
 }
 
-// TestStuckSlotsAreNotCountedOn holds that a wait is as long as the slots that move make
-// it.
-func TestStuckSlotsAreNotCountedOn(t *testing.T) {
+// TestStalledSlotsAreLeftOutOfWait guards against waits that are underestimated while slots are
+// stalled.
+func TestStalledSlotsAreLeftOutOfWait(t *testing.T) {
 	now := time.Now()
 	q := admission.NewQueue(admission.Config{Slots: 4, Depth: 100})
 	for id := range uint64(6) {
@@ -251,12 +250,12 @@
 	q.Stalled()
 	q.Stalled()
 	if half := q.RetryAfter(); half != 2*all {
-		t.Fatalf("with half of the slots stuck a wait takes %v, %v before", half, all)
+		t.Fatalf("wait with half of the slots stalled: %v, without: %v; want twice as long", half, all)
 	}
 	q.Unstalled()
 	q.Unstalled()
-	q.Unstalled() // one more than there are
+	q.Unstalled() // one more than are stalled
 	if again := q.RetryAfter(); again != all {
-		t.Fatalf("a wait takes %v once none is stuck, %v before", again, all)
+		t.Fatalf("wait after the stalled slots are freed: %v, want %v", again, all)
 	}
 }
--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -62,7 +62,7 @@
 	switch {
 	case s.Draining:
 		return Decision{Verdict: RefusedDraining}
-	case s.Suspicion.Suspected && !s.Suspicion.takes(a):
+	case s.Suspicion.Suspected && !s.Suspicion.accepts(a):
 		return Decision{Verdict: RefusedSuspected, RetryAfter: s.Suspicion.RetryAfter}
 	case s.isEjected() && s.State == detect.Ejected:
 		return Decision{Verdict: RefusedEjected, RetryAfter: retryafter.Ejected(s.EjectedFor)}
@@ -88,10 +88,10 @@
 	return s.State != detect.Serving && !s.Suspicion.Suspected
 }
 
-// takes reports whether a suspected backend server accepts the attempt: one that no other
+// accepts reports whether a suspected backend server accepts the attempt: one that no other
 // backend server is left for, an idempotent one that a hedge covers if it is slow here too, or
 // a probe.
-func (s *Suspicion) takes(a Attempt) bool {
+func (s *Suspicion) accepts(a Attempt) bool {
 	switch {
 	case a.DespiteSuspicion:
 		return true
--- a/internal/admission/admit_test.go
+++ b/internal/admission/admit_test.go
@@ -9,7 +9,7 @@
 	"github.com/tideliftd/tidelift/internal/retryafter"
 )
 
-// admitCase is a request, what is known of the backend server, and what is to become of it.
+// admitCase is a request, the state of the backend server, and the expected decision.
 type admitCase struct {
 	name       string
 	server     admission.Server
@@ -25,8 +25,8 @@
 	suspected := admission.Suspicion{Suspected: true, RetryAfter: suspectedFor}
 	slow := admission.Suspicion{Suspected: true, MostlySlow: true}
 	probed := admission.Suspicion{Suspected: true, MayProbe: true}
-	risked := admission.Suspicion{Suspected: true, MayProbe: true, MayProbeWithAny: true}
-	once := admission.Attempt{NonIdempotent: true}
+	probedByAny := admission.Suspicion{Suspected: true, MayProbe: true, MayProbeWithAny: true}
+	nonIdempotent := admission.Attempt{NonIdempotent: true}
 	return []admitCase{
 		{name: "nothing is known", want: admission.Granted},
 		{
@@ -39,10 +39,10 @@
 			attempt: admission.Attempt{NonIdempotent: true, DespiteSuspicion: true}, want: admission.Granted,
 		},
 		{name: "suspected as slow, idempotent", server: admission.Server{Suspicion: slow}, want: admission.Granted},
-		{name: "suspected as slow, not idempotent", server: admission.Server{Suspicion: slow}, attempt: once, want: admission.RefusedSuspected},
+		{name: "suspected as slow, not idempotent", server: admission.Server{Suspicion: slow}, attempt: nonIdempotent, want: admission.RefusedSuspected},
 		{name: "a probe is due, idempotent", server: admission.Server{Suspicion: probed}, want: admission.Granted},
-		{name: "a probe is due, not idempotent", server: admission.Server{Suspicion: probed}, attempt: once, want: admission.RefusedSuspected},
-		{name: "a probe is long due, not idempotent", server: admission.Server{Suspicion: risked}, attempt: once, want: admission.Granted},
+		{name: "a probe is due, not idempotent", server: admission.Server{Suspicion: probed}, attempt: nonIdempotent, want: admission.RefusedSuspected},
+		{name: "a probe is long due, not idempotent", server: admission.Server{Suspicion: probedByAny}, attempt: nonIdempotent, want: admission.Granted},
 		{name: "suspicion goes before ejection", server: admission.Server{Suspicion: probed, State: detect.Ejected}, want: admission.Granted},
 		{
 			name: "ejected", server: admission.Server{State: detect.Ejected, EjectedFor: 400 * time.Millisecond},
@@ -50,7 +50,7 @@
 		},
 		{name: "in probation", server: admission.Server{State: detect.Probation}, want: admission.Granted, probation: true},
 		{
-			name: "in probation, not idempotent", server: admission.Server{State: detect.Probation}, attempt: once,
+			name: "in probation, not idempotent", server: admission.Server{State: detect.Probation}, attempt: nonIdempotent,
 			want: admission.RefusedEjected, retryAfter: retryafter.Probation,
 		},
 		{
@@ -74,7 +74,7 @@
 	}
 }
 
-// TestTheFirstRuleThatAppliesDecides holds the order of the rules and what each refuses.
+// TestTheFirstRuleThatAppliesDecides guards the order of the rules and the refusal of each.
 func TestTheFirstRuleThatAppliesDecides(t *testing.T) {
 	for _, test := range admitCases() {
 		t.Run(test.name, func(t *testing.T) {
@@ -96,14 +96,14 @@
 	}
 }
 
-// TestAReturnedBackendServerGetsItsSizeOfNow holds that an offer is decided by the slots that
-// the backend server has then.
-func TestAReturnedBackendServerGetsItsSizeOfNow(t *testing.T) {
+// TestAdmitUsesTheCurrentSize guards against an offer that is decided by an outdated number of
+// slots.
+func TestAdmitUsesTheCurrentSize(t *testing.T) {
 	q := admission.NewQueue(admission.Config{Slots: 4, Depth: 4})
 	q.Offer(start, request(1, "county-7"))
 	ramping := admission.Server{State: detect.Serving, Size: admission.Config{Slots: 1, Depth: 4}}
 	if got := q.Admit(start, &ramping, admission.Attempt{}, request(2, "county-7")); got.Verdict != admission.Queued {
-		t.Fatalf("a second request at one slot: %s", got.Verdict)
+		t.Fatalf("second request with one slot: %s, want it queued", got.Verdict)
 	}
 }
 
--- a/internal/admission/crowded.go
+++ b/internal/admission/crowded.go
@@ -16,26 +16,26 @@
 	EvictWithin = 10 * time.Millisecond
 )
 
-// roomForOthers is the maximum share of the places that is kept free for other customers. Among
-// hundreds of customers most of the active ones have no request to queue, and a queue kept free
-// for all of them would refuse requests needlessly.
-const roomForOthers = 0.5
+// maxReservedShare is the maximum share of the places that is kept free for other customers.
+// Among hundreds of customers most of the active ones have no request to queue, and a queue
+// kept free for all of them would refuse requests needlessly.
+const maxReservedShare = 0.5
 
-// leavesRoom reports whether the bucket may take another place: it has less than its fair
-// share, or a place stays free for each other active bucket, up to roomForOthers.
-func (q *Queue) leavesRoom(now time.Time, bucket, priority int) bool {
+// hasRoom reports whether the bucket may take another place: it has less than its fair share,
+// or a place stays free for each other active bucket, up to maxReservedShare.
+func (q *Queue) hasRoom(now time.Time, bucket, priority int) bool {
 	others := q.activeOthers(now, bucket)
 	fair := max(1, q.config.Depth/(others+1))
 	free := q.config.Depth - q.waiting
-	kept := min(others, int(roomForOthers*float64(q.config.Depth)))
-	return q.line(priority).waiting[bucket] < fair || free > kept
+	reserved := min(others, int(maxReservedShare*float64(q.config.Depth)))
+	return q.level(priority).waiting[bucket] < fair || free > reserved
 }
 
 // activeOthers returns the number of other buckets with a request within ActiveFor.
 func (q *Queue) activeOthers(now time.Time, bucket int) int {
 	others := 0
-	for i := range q.seen {
-		if i != bucket && now.Sub(q.seen[i]) < ActiveFor {
+	for i := range q.lastSeen {
+		if i != bucket && now.Sub(q.lastSeen[i]) < ActiveFor {
 			others++
 		}
 	}
@@ -46,41 +46,41 @@
 // of the least urgent priority if it is more urgent, or that of the customer with the most
 // waiting requests if its own customer has fewer.
 func (q *Queue) offerFull(now time.Time, bucket int, r Request) Decision {
-	own := q.line(r.Priority)
+	own := q.level(r.Priority)
 	if least := q.leastUrgent(); least.priority > r.Priority {
-		out := least.longest()
-		if now.Sub(least.places[least.newest(out)].since) <= EvictLessUrgentWithin {
-			return q.exchange(now, least, out, bucket, r)
+		evicted := least.longestBucket()
+		if now.Sub(least.entries[least.newestIndex(evicted)].since) <= EvictLessUrgentWithin {
+			return q.replace(now, least, evicted, bucket, r)
 		}
 	}
-	longest := own.longest()
-	if longest == bucket && own.waiting[bucket] < len(own.places) {
+	longest := own.longestBucket()
+	if longest == bucket && own.waiting[bucket] < len(own.entries) {
 		return Decision{Verdict: RefusedShare, RetryAfter: q.RetryAfter()}
 	}
 	if longest == bucket || own.waiting[longest] <= own.waiting[bucket]+1 {
 		return Decision{Verdict: RefusedFull, RetryAfter: q.RetryAfter()}
 	}
-	if now.Sub(own.places[own.newest(longest)].since) > EvictWithin {
+	if now.Sub(own.entries[own.newestIndex(longest)].since) > EvictWithin {
 		return Decision{Verdict: RefusedFull, RetryAfter: q.RetryAfter()}
 	}
-	return q.exchange(now, own, longest, bucket, r)
+	return q.replace(now, own, longest, bucket, r)
 }
 
-// exchange replaces the newest request of the evicted bucket by the given request.
-func (q *Queue) exchange(now time.Time, from *line, evicted, bucket int, r Request) Decision {
-	out := from.popNewest(evicted)
+// replace replaces the newest request of the evicted bucket by the given request.
+func (q *Queue) replace(now time.Time, from *priorityLevel, evicted, bucket int, r Request) Decision {
+	removed := from.popNewest(evicted)
 	q.waiting--
 	q.push(now, bucket, r)
-	return Decision{Verdict: Queued, Evicted: out.ID}
+	return Decision{Verdict: Queued, Evicted: removed.ID}
 }
 
 // leastUrgent returns the least urgent level in which a request waits. The queue must not be
 // empty.
-func (q *Queue) leastUrgent() *line {
-	for _, l := range slices.Backward(q.lines) {
-		if len(l.places) > 0 {
+func (q *Queue) leastUrgent() *priorityLevel {
+	for _, l := range slices.Backward(q.levels) {
+		if len(l.entries) > 0 {
 			return l
 		}
 	}
-	return q.lines[0]
+	return q.levels[0]
 }
--- a/internal/admission/grant.go
+++ b/internal/admission/grant.go
@@ -6,9 +6,9 @@
 // which a less urgent one gets the next grant.
 const UrgentGrants = 3
 
-// hopelessPart is the divisor of the average service time that yields the time a request needs
-// before its deadline to be run at all.
-const hopelessPart = 2
+// minServiceDivisor is the divisor of the average service time that yields the time a request
+// needs before its deadline to be run at all.
+const minServiceDivisor = 2
 
 // Done frees the slot of a request that took the given time, and returns the requests that get
 // a slot and those that can no longer meet their deadline. A request that was granted a slot
@@ -24,8 +24,8 @@
 // grant assigns the free slots to the requests that are served next.
 func (q *Queue) grant(now time.Time) (granted, expired []uint64) {
 	for q.running < q.config.Slots && q.waiting > 0 {
-		next := q.next(now)
-		if q.isHopeless(now, next) {
+		next := q.popNext(now)
+		if q.cannotMeetDeadline(now, next) {
 			expired = append(expired, next.ID)
 			continue
 		}
@@ -35,18 +35,18 @@
 	return granted, expired
 }
 
-// next removes and returns the request that is served next. The queue must not be empty.
-func (q *Queue) next(now time.Time) Request {
+// popNext removes and returns the request that is served next. The queue must not be empty.
+func (q *Queue) popNext(now time.Time) Request {
 	q.waiting--
-	return q.nextLine().popTurn(now.Add(q.serviceTime))
+	return q.nextLevel().popNext(now.Add(q.serviceTime))
 }
 
-// nextLine returns the level that is served next: the most urgent one with waiting requests, or
+// nextLevel returns the level that is served next: the most urgent one with waiting requests, or
 // after UrgentGrants grants to it the one after that.
-func (q *Queue) nextLine() *line {
+func (q *Queue) nextLevel() *priorityLevel {
 	first := -1
-	for i, l := range q.lines {
-		if len(l.places) == 0 {
+	for i, l := range q.levels {
+		if len(l.entries) == 0 {
 			continue
 		}
 		if first >= 0 {
@@ -59,11 +59,11 @@
 		}
 	}
 	q.urgentGrants++
-	return q.lines[first]
+	return q.levels[first]
 }
 
-// isHopeless reports whether too little time is left before the deadline for the request to be
-// run.
-func (q *Queue) isHopeless(now time.Time, r Request) bool {
-	return now.Add(q.serviceTime / hopelessPart).After(r.Deadline)
+// cannotMeetDeadline reports whether too little time is left before the deadline for the
+// request to be run.
+func (q *Queue) cannotMeetDeadline(now time.Time, r Request) bool {
+	return now.Add(q.serviceTime / minServiceDivisor).After(r.Deadline)
 }
--- a/internal/admission/line.go
+++ b/internal/admission/line.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// line holds the waiting requests of one priority. Their customers take turns in rounds: each
-// customer has one turn in a round, and within a round requests are served in order of arrival.
-// A customer that floods the queue therefore delays only its own requests.
-type line struct {
-	priority int
-	places   []place // oldest first
-	waiting  [bucketCount]int
-	round    uint64              // round of the turn served last
-	next     [bucketCount]uint64 // round of the bucket's next turn, unless that round is over
+// priorityLevel holds the waiting requests of one priority. Their customers take turns in
+// rounds: each customer has one turn in a round, and within a round requests are served in
+// order of arrival. A customer that floods the queue therefore delays only its own requests.
+type priorityLevel struct {
+	priority  int
+	entries   []entry // oldest first
+	waiting   [bucketCount]int
+	round     uint64              // round of the turn served last
+	nextRound [bucketCount]uint64 // round of the bucket's next turn, unless that round is over
 }
 
-// place is a waiting request.
-type place struct {
+// entry is a waiting request.
+type entry struct {
 	Request
 	since  time.Time
 	bucket int
@@ -26,73 +26,73 @@
 }
 
 // push adds a request after the others of its customer.
-func (l *line) push(now time.Time, bucket int, r Request) {
-	round := max(l.round, l.next[bucket])
-	l.next[bucket] = round + 1
-	l.places = append(l.places, place{Request: r, since: now, bucket: bucket, round: round})
+func (l *priorityLevel) push(now time.Time, bucket int, r Request) {
+	round := max(l.round, l.nextRound[bucket])
+	l.nextRound[bucket] = round + 1
+	l.entries = append(l.entries, entry{Request: r, since: now, bucket: bucket, round: round})
 	l.waiting[bucket]++
 }
 
-// popTurn removes and returns the request whose turn is next among those whose latency target
+// popNext removes and returns the request whose turn is next among those whose latency target
 // is not before ready, the earliest time at which an answer could arrive, or among all requests
-// if there are none. The line must not be empty.
+// if there are none. The level must not be empty.
 //
 // Late requests come last because, with many customers waiting with one request each, serving
 // them in turn leaves too few slots for requests that can still be in time.
-func (l *line) popTurn(ready time.Time) Request {
-	next := l.firstTurn(func(r Request) bool { return r.TargetAt.IsZero() || !r.TargetAt.Before(ready) })
+func (l *priorityLevel) popNext(ready time.Time) Request {
+	next := l.firstMatching(func(r Request) bool { return r.TargetAt.IsZero() || !r.TargetAt.Before(ready) })
 	if next < 0 {
-		next = l.firstTurn(func(Request) bool { return true })
+		next = l.firstMatching(func(Request) bool { return true })
 	}
-	l.round = max(l.round, l.places[next].round)
-	return l.take(next)
+	l.round = max(l.round, l.entries[next].round)
+	return l.removeAt(next)
 }
 
-// firstTurn returns the index of the request whose turn is next among those that match, or -1
+// firstMatching returns the index of the request whose turn is next among those that match, or -1
 // if none does.
-func (l *line) firstTurn(which func(Request) bool) int {
+func (l *priorityLevel) firstMatching(match func(Request) bool) int {
 	first := -1
-	for i, p := range l.places {
-		if which(p.Request) && (first < 0 || p.round < l.places[first].round) {
+	for i, e := range l.entries {
+		if match(e.Request) && (first < 0 || e.round < l.entries[first].round) {
 			first = i
 		}
 	}
 	return first
 }
 
-// take removes and returns the request at the index.
-func (l *line) take(at int) Request {
-	p := l.places[at]
-	l.places = slices.Delete(l.places, at, at+1)
-	l.waiting[p.bucket]--
-	return p.Request
+// removeAt removes and returns the request at the index.
+func (l *priorityLevel) removeAt(index int) Request {
+	e := l.entries[index]
+	l.entries = slices.Delete(l.entries, index, index+1)
+	l.waiting[e.bucket]--
+	return e.Request
 }
 
-// inOrder returns the waiting requests in the order of their turns.
-func (l *line) inOrder() []place {
-	places := slices.Clone(l.places)
-	slices.SortStableFunc(places, func(a, b place) int { return cmp.Compare(a.round, b.round) })
-	return places
+// inTurnOrder returns the waiting requests in the order of their turns.
+func (l *priorityLevel) inTurnOrder() []entry {
+	entries := slices.Clone(l.entries)
+	slices.SortStableFunc(entries, func(a, b entry) int { return cmp.Compare(a.round, b.round) })
+	return entries
 }
 
-// newest returns the index of the bucket's newest request. The bucket must not be empty.
-func (l *line) newest(bucket int) int {
-	at := len(l.places) - 1
-	for l.places[at].bucket != bucket {
-		at--
+// newestIndex returns the index of the bucket's newest request. The bucket must not be empty.
+func (l *priorityLevel) newestIndex(bucket int) int {
+	index := len(l.entries) - 1
+	for l.entries[index].bucket != bucket {
+		index--
 	}
-	return at
+	return index
 }
 
 // popNewest removes and returns the bucket's newest request; its turn becomes available again.
-func (l *line) popNewest(bucket int) Request {
-	at := l.newest(bucket)
-	l.next[bucket] = l.places[at].round
-	return l.take(at)
+func (l *priorityLevel) popNewest(bucket int) Request {
+	index := l.newestIndex(bucket)
+	l.nextRound[bucket] = l.entries[index].round
+	return l.removeAt(index)
 }
 
-// longest returns the bucket with the most waiting requests.
-func (l *line) longest() int {
+// longestBucket returns the bucket with the most waiting requests.
+func (l *priorityLevel) longestBucket() int {
 	longest := 0
 	for i, waiting := range l.waiting {
 		if waiting > l.waiting[longest] {
@@ -103,14 +103,14 @@
 }
 
 // remove removes the requests that match and returns their IDs.
-func (l *line) remove(which func(Request) bool) []uint64 {
+func (l *priorityLevel) remove(match func(Request) bool) []uint64 {
 	var removed []uint64
-	l.places = slices.DeleteFunc(l.places, func(p place) bool {
-		if !which(p.Request) {
+	l.entries = slices.DeleteFunc(l.entries, func(e entry) bool {
+		if !match(e.Request) {
 			return false
 		}
-		removed = append(removed, p.ID)
-		l.waiting[p.bucket]--
+		removed = append(removed, e.ID)
+		l.waiting[e.bucket]--
 		return true
 	})
 	return removed
--- a/internal/admission/remove.go
+++ b/internal/admission/remove.go
@@ -9,24 +9,24 @@
 // The estimate uses a request's current position, since more urgent requests may have been
 // queued after it; it is then refused before its target has passed.
 func (q *Queue) Expire(now time.Time) []uint64 {
-	out := make(map[uint64]bool)
-	kept := q.waiting
+	expired := make(map[uint64]bool)
+	remaining := q.waiting
 	ahead := 0
-	for _, l := range q.lines {
-		for _, r := range l.inOrder() {
-			late := kept > q.config.Slots && q.missesTarget(now.Add(q.wait(ahead+1)), r.Request)
-			if late || q.isHopeless(now, r.Request) {
-				out[r.ID] = true
-				kept--
+	for _, l := range q.levels {
+		for _, r := range l.inTurnOrder() {
+			late := remaining > q.config.Slots && q.missesTarget(now.Add(q.estimatedWait(ahead+1)), r.Request)
+			if late || q.cannotMeetDeadline(now, r.Request) {
+				expired[r.ID] = true
+				remaining--
 				continue
 			}
 			ahead++
 		}
 	}
-	if len(out) == 0 {
+	if len(expired) == 0 {
 		return nil
 	}
-	return q.remove(func(r Request) bool { return out[r.ID] })
+	return q.remove(func(r Request) bool { return expired[r.ID] })
 }
 
 // Clear removes all waiting requests and returns their IDs.
@@ -35,10 +35,10 @@
 }
 
 // remove removes the waiting requests that match and returns their IDs.
-func (q *Queue) remove(which func(Request) bool) []uint64 {
+func (q *Queue) remove(match func(Request) bool) []uint64 {
 	removed := make([]uint64, 0, q.waiting)
-	for _, l := range q.lines {
-		removed = append(removed, l.remove(which)...)
+	for _, l := range q.levels {
+		removed = append(removed, l.remove(match)...)
 	}
 	q.waiting -= len(removed)
 	return removed
