--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -40,13 +40,13 @@
 	// a request that finds no free slot in its own. Traffic between data centres is expensive
 	// and slow, so a small difference does not justify it.
 	SpillMargin = 0.25
-	// loadCounts is the time over which the weight of a reported load decreases to zero. A
+	// loadDecay is the time over which the weight of a reported load decreases to zero. A
 	// backend server with a high load gets no requests and so reports no lower one; without the
 	// decrease it would stay excluded after it has recovered.
-	loadCounts = time.Second
-	// failingCounts is how long a reported failure share is used. In a large fleet a daemon
+	loadDecay = time.Second
+	// failureShareTTL is how long a reported failure share is used. In a large fleet a daemon
 	// sends each backend server a request only every few seconds.
-	failingCounts = 10 * time.Second
+	failureShareTTL = 10 * time.Second
 )
 
 // Config holds the data centre, the random source and the time base of a pool.
@@ -111,8 +111,8 @@
 	v.other = append(v.other, t)
 }
 
-// clock returns the time in nanoseconds since the pool's start.
-func (p *Pool) clock(at time.Time) int64 { return int64(at.Sub(p.config.Start)) }
+// sinceStart returns the time in nanoseconds since the pool's start.
+func (p *Pool) sinceStart(at time.Time) int64 { return int64(at.Sub(p.config.Start)) }
 
 // Targets returns all targets in the order of the declaration.
 func (p *Pool) Targets() []*Target { return p.view.Load().all }
@@ -120,24 +120,24 @@
 // Report records the load that was reported with a target's answer.
 func (p *Pool) Report(t *Target, load float64, now time.Time) {
 	t.loadBits.Store(math.Float64bits(load))
-	t.reported.Store(p.clock(now))
+	t.loadAt.Store(p.sinceStart(now))
 }
 
 // ReportFailing records the share of failed requests that the target's sidecar reported.
 func (p *Pool) ReportFailing(t *Target, share float64, now time.Time) {
-	t.failingBits.Store(math.Float64bits(share))
-	t.failingAt.Store(p.clock(now))
+	t.failureShareBits.Store(math.Float64bits(share))
+	t.failureShareAt.Store(p.sinceStart(now))
 }
 
 // Failing returns the share of failed requests by target name, for each target with a recent
 // report.
 func (p *Pool) Failing(now time.Time) map[string]float64 {
-	since := p.clock(now)
+	elapsed := p.sinceStart(now)
 	shares := make(map[string]float64)
 	for _, t := range p.view.Load().all {
-		at := t.failingAt.Load()
-		if at != 0 && since-at < int64(failingCounts) {
-			shares[t.Name] = math.Float64frombits(t.failingBits.Load())
+		reportedAt := t.failureShareAt.Load()
+		if reportedAt != 0 && elapsed-reportedAt < int64(failureShareTTL) {
+			shares[t.Name] = math.Float64frombits(t.failureShareBits.Load())
 		}
 	}
 	return shares
@@ -146,9 +146,9 @@
 // PickProbation claims a target in probation for an idempotent request, and reports whether
 // there is one.
 func (p *Pool) PickProbation(now time.Time) (*Target, bool) {
-	since := p.clock(now)
+	elapsed := p.sinceStart(now)
 	for _, t := range p.view.Load().all {
-		if t.probation.Load() != probationOpen || t.pausedUntil.Load() > since {
+		if t.probation.Load() != probationOpen || t.pausedUntil.Load() > elapsed {
 			continue
 		}
 		if t.probation.CompareAndSwap(probationOpen, probationTaken) {
@@ -161,18 +161,18 @@
 // Pick chooses a target that has not been tried yet, and reports whether there is one.
 func (p *Pool) Pick(now time.Time, tried []*Target) (*Target, bool) {
 	v := p.view.Load()
-	since := p.clock(now)
-	own := p.drawTwo(v.own, since, tried)
-	if own != nil && own.cost(since) < 1 {
+	elapsed := p.sinceStart(now)
+	own := p.drawTwo(v.own, elapsed, tried)
+	if own != nil && own.cost(elapsed) < 1 {
 		return own, true
 	}
-	other := p.drawTwo(v.other, since, tried)
+	other := p.drawTwo(v.other, elapsed, tried)
 	switch {
 	case own == nil && other == nil:
 		return nil, false
 	case own == nil:
 		return other, true
-	case other != nil && other.cost(since) < own.cost(since)-SpillMargin:
+	case other != nil && other.cost(elapsed) < own.cost(elapsed)-SpillMargin:
 		return other, true
 	default:
 		return own, true
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -12,8 +12,8 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// newPool returns a pool of the data centre csepel with own targets there and
-// other targets in obuda.
+// newPool returns a pool of the data centre csepel with own targets there and other targets in
+// obuda.
 func newPool(tb testing.TB, own, other int) *balance.Pool {
 	tb.Helper()
 	service := fleet.Service{Name: "lookup"}
@@ -34,7 +34,7 @@
 	return pool
 }
 
-// picks counts how often each target is chosen.
+// picks returns how often each target is chosen.
 func picks(p *balance.Pool, now time.Time, times int) map[string]int {
 	counts := make(map[string]int)
 	for range times {
@@ -112,33 +112,34 @@
 	tried := []*balance.Target{pool.Targets()[0], pool.Targets()[1]}
 	for range 100 {
 		if target, ok := pool.Pick(start, tried); !ok || target.Name != "s2" {
-			t.Fatalf("chosen: %+v, %t", target, ok)
+			t.Fatalf("chose %+v, %t, want s2", target, ok)
 		}
 	}
 	if target, ok := pool.Pick(start, pool.Targets()); ok {
-		t.Fatalf("chosen although all were tried: %s", target.Name)
+		t.Fatalf("%s chosen although all targets were tried", target.Name)
 	}
 }
 
-func TestPickTrialOnce(t *testing.T) {
+func TestPickProbationOnce(t *testing.T) {
 	pool := newPool(t, 2, 0)
 	pool.Targets()[1].OpenProbation()
 	if target, ok := pool.PickProbation(start); !ok || target.Name != "s1" {
-		t.Fatal("the target on trial was not chosen")
+		t.Fatal("the target in probation was not chosen")
 	}
 	if _, ok := pool.PickProbation(start); ok {
-		t.Fatal("a second request was sent to a target on trial")
+		t.Fatal("a second request was sent to the target in probation")
 	}
 }
 
-// BenchmarkPick measures the choice among 43 targets, the mean of a service in a fleet of the size to design for.
+// BenchmarkPick measures the choice among 43 targets, the mean of a service at the design size
+// of a fleet.
 func BenchmarkPick(b *testing.B) {
 	pool := newPool(b, 9, 34)
 	now := start.Add(time.Minute)
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, ok := pool.Pick(now, nil); !ok {
-			b.Fatal("nothing chosen")
+			b.Fatal("no target chosen")
 		}
 	}
 }
--- a/internal/balance/draw.go
+++ b/internal/balance/draw.go
@@ -3,24 +3,24 @@
 import "slices"
 
 const (
-	// draws is the number of random draws before all targets are scanned.
-	draws = 6
+	// maxDraws is the number of random draws before all targets are scanned.
+	maxDraws = 6
 	// none is the index of no target.
 	none = -1
 )
 
 // drawTwo returns the less loaded of two targets drawn at random, or nil if none is usable.
-func (p *Pool) drawTwo(targets []*Target, since int64, tried []*Target) *Target {
-	one := p.draw(targets, since, tried, none)
+func (p *Pool) drawTwo(targets []*Target, elapsed int64, tried []*Target) *Target {
+	one := p.draw(targets, elapsed, tried, none)
 	if one == none {
-		one = p.firstUsable(targets, since, tried)
+		one = p.firstUsable(targets, elapsed, tried)
 	}
 	if one == none {
 		return nil
 	}
 	first := targets[one]
-	two := p.draw(targets, since, tried, one)
-	if two == none || first.cost(since) <= targets[two].cost(since) {
+	two := p.draw(targets, elapsed, tried, one)
+	if two == none || first.cost(elapsed) <= targets[two].cost(elapsed) {
 		return first
 	}
 	return targets[two]
@@ -28,7 +28,7 @@
 
 // draw returns the index of a random usable target other than except, with a probability in
 // proportion to its share. It returns none after a limited number of draws.
-func (p *Pool) draw(targets []*Target, since int64, tried []*Target, except int) int {
+func (p *Pool) draw(targets []*Target, elapsed int64, tried []*Target, except int) int {
 	choices := len(targets)
 	if except != none {
 		choices--
@@ -36,15 +36,15 @@
 	if choices <= 0 {
 		return none
 	}
-	for range draws {
+	for range maxDraws {
 		random := p.config.Random()
-		place := int(uint32(random>>32)) % choices
-		if except != none && place >= except {
-			place++
+		index := int(uint32(random>>32)) % choices
+		if except != none && index >= except {
+			index++
 		}
-		t := targets[place]
-		if usable(t, since, tried) && uint32(random%FullShare) < t.share.Load() {
-			return place
+		t := targets[index]
+		if usable(t, elapsed, tried) && uint32(random%FullShare) < t.share.Load() {
+			return index
 		}
 	}
 	return none
@@ -52,25 +52,25 @@
 
 // firstUsable scans all targets from a random index and returns the index of the usable one
 // with the largest share.
-func (p *Pool) firstUsable(targets []*Target, since int64, tried []*Target) int {
+func (p *Pool) firstUsable(targets []*Target, elapsed int64, tried []*Target) int {
 	best := none
 	if len(targets) == 0 {
 		return best
 	}
 	from := int(uint32(p.config.Random()>>32)) % len(targets)
 	for i := range targets {
-		place := (from + i) % len(targets)
-		if !usable(targets[place], since, tried) {
+		index := (from + i) % len(targets)
+		if !usable(targets[index], elapsed, tried) {
 			continue
 		}
-		if best == none || targets[place].share.Load() > targets[best].share.Load() {
-			best = place
+		if best == none || targets[index].share.Load() > targets[best].share.Load() {
+			best = index
 		}
 	}
 	return best
 }
 
 // usable reports whether the target may be drawn: it is not paused, suspected or tried already.
-func usable(t *Target, since int64, tried []*Target) bool {
-	return t.pausedUntil.Load() <= since && t.suspectUntil.Load() <= since && !slices.Contains(tried, t)
+func usable(t *Target, elapsed int64, tried []*Target) bool {
+	return t.pausedUntil.Load() <= elapsed && t.suspectedUntil.Load() <= elapsed && !slices.Contains(tried, t)
 }
--- a/internal/balance/target.go
+++ b/internal/balance/target.go
@@ -13,20 +13,20 @@
 	// Name is the backend server's name.
 	Name string
 
-	placement    atomic.Pointer[fleet.Placement]
-	inFlight     atomic.Int64
-	loadBits     atomic.Uint64
-	reported     atomic.Int64 // nanoseconds since the pool's start
-	failingBits  atomic.Uint64
-	failingAt    atomic.Int64 // nanoseconds since the pool's start; zero if never reported
-	pausedUntil  atomic.Int64 // nanoseconds since the pool's start
-	suspectUntil atomic.Int64 // nanoseconds since the pool's start
-	share        atomic.Uint32
-	probation    atomic.Uint32
-	baseline     atomic.Pointer[string]
-	typical      atomic.Int64
-	requests     atomic.Int64
-	failures     atomic.Int64
+	placement        atomic.Pointer[fleet.Placement]
+	inFlight         atomic.Int64
+	loadBits         atomic.Uint64
+	loadAt           atomic.Int64 // nanoseconds since the pool's start
+	failureShareBits atomic.Uint64
+	failureShareAt   atomic.Int64 // nanoseconds since the pool's start; zero if never reported
+	pausedUntil      atomic.Int64 // nanoseconds since the pool's start
+	suspectedUntil   atomic.Int64 // nanoseconds since the pool's start
+	share            atomic.Uint32
+	probation        atomic.Uint32
+	baseline         atomic.Pointer[string]
+	typicalDuration  atomic.Int64
+	requests         atomic.Int64
+	failures         atomic.Int64
 }
 
 // Placement returns the backend server's placement in the current declaration.
@@ -66,12 +66,12 @@
 // to the target's sidecar with requests, and their typical response time.
 func (t *Target) SetBaseline(text string, typical time.Duration) {
 	t.baseline.Store(&text)
-	t.typical.Store(int64(typical))
+	t.typicalDuration.Store(int64(typical))
 }
 
 // Typical returns the typical response time of the other backend servers; zero if it is not
 // known.
-func (t *Target) Typical() time.Duration { return time.Duration(t.typical.Load()) }
+func (t *Target) Typical() time.Duration { return time.Duration(t.typicalDuration.Load()) }
 
 // Baseline returns the encoded baseline set by SetBaseline.
 func (t *Target) Baseline() string {
@@ -96,9 +96,9 @@
 
 // cost orders targets by load: the last reported load, weighted by its age, or the load of the
 // requests that this daemon has in flight, whichever is higher.
-func (t *Target) cost(since int64) float64 {
+func (t *Target) cost(elapsed int64) float64 {
 	slots := float64(t.placement.Load().BackendServer.Slots)
-	age := float64(since-t.reported.Load()) / float64(loadCounts)
+	age := float64(elapsed-t.loadAt.Load()) / float64(loadDecay)
 	load := t.Load() * math.Max(0, 1-age)
 	return math.Max(load, float64(t.inFlight.Load())/slots)
 }
