--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -47,16 +47,16 @@
 	verdictWanted chan struct{} // holds a value while the gate should report immediately
 	forwarding    sync.Mutex    // held while a data centre's report is in flight
 
-	mu         sync.Mutex // guards the fields below
-	gate       *quota.Gate
-	collector  *quota.Collector
-	ledger     *quota.Ledger
-	customers  []fleet.Customer       // as last declared
-	declared   map[string]quota.Limit // limits of the customers that have one
-	collectors []fleet.Host           // candidates to report to, in order of preference
-	ledgers    []fleet.Host           // candidates to report to as a collector, in order of preference
-	silent     map[string]time.Time   // time until which hosts are skipped
-	refused    map[string]int64       // requests beyond the limit, by customer
+	mu           sync.Mutex // guards the fields below
+	gate         *quota.Gate
+	collector    *quota.Collector
+	ledger       *quota.Ledger
+	customers    []fleet.Customer       // as last declared
+	declared     map[string]quota.Limit // limits of the customers that have one
+	collectors   []fleet.Host           // candidates to report to, in order of preference
+	ledgers      []fleet.Host           // candidates to report to as a collector, in order of preference
+	skippedUntil map[string]time.Time   // time until which hosts are skipped
+	refused      map[string]int64       // number of refused requests, by customer
 }
 
 // New returns limits that admit every request until Reconfigure is called.
@@ -67,7 +67,7 @@
 		gate:          quota.NewGate(),
 		collector:     quota.NewCollector(),
 		ledger:        quota.NewLedger(config.Host),
-		silent:        make(map[string]time.Time),
+		skippedUntil:  make(map[string]time.Time),
 		refused:       make(map[string]int64),
 	}
 }
@@ -86,7 +86,7 @@
 	}
 	l.collectors, l.ledgers = collectorOrder(d.Hosts, l.config.Host, l.config.DataCentre)
 	now := time.Now()
-	maps.DeleteFunc(l.silent, func(_ string, until time.Time) bool { return now.After(until) })
+	maps.DeleteFunc(l.skippedUntil, func(_ string, until time.Time) bool { return now.After(until) })
 }
 
 // declare sets the customers' limits. The caller must hold mu.
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -13,8 +13,8 @@
 	"github.com/tideliftd/tidelift/internal/quota"
 )
 
-// TestCollectorsShareTheirWork lets every host of a data centre choose its collector: all agree
-// on a few, none of which has many more hosts than it should, and on one ledger.
+// TestCollectorsShareTheirWork guards against hosts that disagree on the collectors or the
+// ledger, and against collectors with far more hosts than hostsPerCollector.
 func TestCollectorsShareTheirWork(t *testing.T) {
 	for _, count := range []int{1, 3, 31, 100, 300} {
 		hosts := make([]fleet.Host, 0, 2*count)
@@ -41,8 +41,8 @@
 	}
 }
 
-// BenchmarkReport sends a collector a report of twelve customers, as a busy daemon does, and
-// gets a verdict on two. Both ends are in the figure.
+// BenchmarkReport measures a report of twelve customers, as a busy daemon sends it, and a
+// verdict on two. The result includes both ends.
 func BenchmarkReport(b *testing.B) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/limits/report.go
+++ b/internal/limits/report.go
@@ -20,9 +20,9 @@
 	// reportTimeout bounds a report and its answer. It is short, so that two reports can fail
 	// before a limit is exceeded by much.
 	reportTimeout = 150 * time.Millisecond
-	// passOverFor is how long a daemon that did not answer a report is skipped. It exceeds the
+	// skipFor is how long a daemon that did not answer a report is skipped. It is twice the
 	// restart time of a daemon.
-	passOverFor = 2 * time.Second
+	skipFor = 2 * time.Second
 )
 
 // Run sends reports until ctx ends. The reports of this daemon and those that it forwards for
@@ -58,7 +58,7 @@
 	}
 	counted := control.Counted{Urgent: l.gate.AwaitsVerdict()}
 	counted.Report = quota.Report{From: l.config.Host, Hosts: 1, Counts: l.gate.Drain(now), Follows: l.gate.HasVerdict()}
-	to, remote := l.firstPresent(l.collectors, now)
+	to, remote := l.firstReachable(l.collectors, now)
 	l.mu.Unlock()
 	var verdict quota.Verdict
 	ok := true
@@ -113,7 +113,7 @@
 		return // a concurrent report included it
 	}
 	counted := l.collector.Drain(now, l.config.Host)
-	to, remote := l.firstPresent(l.ledgers, now)
+	to, remote := l.firstReachable(l.ledgers, now)
 	if !remote {
 		l.collector.SetVerdict(now, l.ledger.Add(now, counted))
 		l.mu.Unlock()
@@ -130,14 +130,14 @@
 	l.collector.SetVerdict(time.Now(), verdict)
 }
 
-// firstPresent returns the first host in the order that is not skipped; false if that is this
+// firstReachable returns the first host in the order that is not skipped; false if that is this
 // host or none is left. The caller must hold mu.
-func (l *Limits) firstPresent(order []fleet.Host, now time.Time) (fleet.Host, bool) {
+func (l *Limits) firstReachable(order []fleet.Host, now time.Time) (fleet.Host, bool) {
 	for _, h := range order {
 		if h.Name == l.config.Host {
 			break
 		}
-		if now.After(l.silent[h.Name]) && !l.config.Away(h.Name) {
+		if now.After(l.skippedUntil[h.Name]) && !l.config.Away(h.Name) {
 			return h, true
 		}
 	}
@@ -155,7 +155,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.silent[to.Name] = time.Now().Add(passOverFor)
+	l.skippedUntil[to.Name] = time.Now().Add(skipFor)
 	return quota.Verdict{}, false
 }
 
