--- a/internal/customer/customer_test.go
+++ b/internal/customer/customer_test.go
@@ -29,12 +29,12 @@
 	table := newTable(t, 50)
 	for key, want := range map[string]string{"county-7-a": "county-7", "county-7-b": "county-7", "county-49-a": "county-49"} {
 		if found, ok := table.Find(key); !ok || found.Name != want {
-			t.Errorf("%s: %v, %v", key, found, ok)
+			t.Errorf("%s: got %v, %v", key, found, ok)
 		}
 	}
 	for _, key := range []string{"", "county-50-a", "county-7", strings.Repeat("x", customer.MaxKeyBytes+1), customer.Digest("county-7-a")} {
 		if found, ok := table.Find(key); ok {
-			t.Errorf("%q belongs to %s", key, found.Name)
+			t.Errorf("%q found as a key of %s, want none", key, found.Name)
 		}
 	}
 }
@@ -69,11 +69,11 @@
 func TestNewKeysDiffer(t *testing.T) {
 	first, second := customer.NewKey(), customer.NewKey()
 	if first == second || len(first) < 40 || customer.Digest(first) == customer.Digest(second) {
-		t.Fatalf("%q and %q", first, second)
+		t.Fatalf("keys %q and %q are too short or do not differ", first, second)
 	}
 }
 
-// BenchmarkFind looks a key up among 150,000 customers with two keys each.
+// BenchmarkFind measures a lookup among 150,000 customers with two keys each.
 func BenchmarkFind(b *testing.B) {
 	const count = 150_000
 	var before, after runtime.MemStats
