--- a/internal/quota/collector.go
+++ b/internal/quota/collector.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	// presentFor is how long a reporter counts as present after a report. At the usual pause
+	// reporterTTL is how long a reporter counts as present after a report. At the usual pause
 	// between reports two may be lost.
-	presentFor = time.Second
+	reporterTTL = time.Second
 	// forwardEvery is the minimum pause between two reports of a collector to the ledger.
 	forwardEvery = 100 * time.Millisecond
 	// verdictKeptFor is how long a collector sends its last verdict to a new ledger.
@@ -16,21 +16,21 @@
 	verdictFreshFor = 300 * time.Millisecond
 )
 
-// present holds the recent reporters by host name.
-type present map[string]presence
+// reporters holds the recent reporters by host name.
+type reporters map[string]reporter
 
-// presence holds the time of a reporter's last report and the number of its hosts.
-type presence struct {
+// reporter holds the time of a reporter's last report and the number of its hosts.
+type reporter struct {
 	at    time.Time
 	hosts int
 }
 
 // hosts returns the number of hosts with recent reports, and removes expired reporters.
-func (p present) hosts(now time.Time) int {
+func (r reporters) hosts(now time.Time) int {
 	sum := 0
-	for from, seen := range p {
-		if now.Sub(seen.at) > presentFor {
-			delete(p, from)
+	for from, seen := range r {
+		if now.Sub(seen.at) > reporterTTL {
+			delete(r, from)
 			continue
 		}
 		sum += seen.hosts
@@ -40,25 +40,25 @@
 
 // Collector adds up the reports of a data centre's daemons.
 type Collector struct {
-	present     present
+	reporters   reporters
 	counts      map[string]Count
 	verdict     Verdict
 	verdictAt   time.Time
 	forwardedAt time.Time
-	added       bool
-	follows     bool // a reporter since the last forwarded report had a verdict before
+	pending     bool
+	hadVerdict  bool // a reporter since the last forwarded report had a verdict before
 }
 
 // NewCollector returns a collector without reports.
 func NewCollector() *Collector {
-	return &Collector{present: make(present), counts: make(map[string]Count)}
+	return &Collector{reporters: make(reporters), counts: make(map[string]Count)}
 }
 
 // Add adds a daemon's report and returns the last verdict of the ledger.
 func (c *Collector) Add(now time.Time, r Report) Verdict {
-	c.present[r.From] = presence{at: now, hosts: r.Hosts}
-	c.added = true
-	c.follows = c.follows || r.Follows
+	c.reporters[r.From] = reporter{at: now, hosts: r.Hosts}
+	c.pending = true
+	c.hadVerdict = c.hadVerdict || r.Follows
 	merge(c.counts, r.Counts)
 	return c.Verdict(now)
 }
@@ -67,32 +67,34 @@
 // no longer fresh.
 func (c *Collector) Verdict(now time.Time) Verdict { return c.verdictWithin(now, verdictFreshFor) }
 
-// verdictWithin returns the last verdict unless it is older than length.
-func (c *Collector) verdictWithin(now time.Time, length time.Duration) Verdict {
-	if now.Sub(c.verdictAt) > length {
+// verdictWithin returns the last verdict unless it is older than maxAge.
+func (c *Collector) verdictWithin(now time.Time, maxAge time.Duration) Verdict {
+	if now.Sub(c.verdictAt) > maxAge {
 		return Verdict{}
 	}
 	return c.verdict
 }
 
 // Added reports whether there are counts to forward.
-func (c *Collector) Added() bool { return c.added }
+func (c *Collector) Added() bool { return c.pending }
 
 // Due reports whether forwarding is due.
-func (c *Collector) Due(now time.Time) bool { return c.added && now.Sub(c.forwardedAt) >= forwardEvery }
+func (c *Collector) Due(now time.Time) bool {
+	return c.pending && now.Sub(c.forwardedAt) >= forwardEvery
+}
 
 // Drain returns the report to forward under the host name and resets the counts.
 func (c *Collector) Drain(now time.Time, from string) Report {
 	c.forwardedAt = now
-	c.added = false
-	follows := c.follows
-	c.follows = false
-	return Report{From: from, Hosts: c.present.hosts(now), Counts: drain(c.counts), Follows: follows, Heard: c.verdictWithin(now, verdictKeptFor)}
+	c.pending = false
+	follows := c.hadVerdict
+	c.hadVerdict = false
+	return Report{From: from, Hosts: c.reporters.hosts(now), Counts: drain(c.counts), Follows: follows, Heard: c.verdictWithin(now, verdictKeptFor)}
 }
 
 // Restore adds back the counts of a report that was not answered.
 func (c *Collector) Restore(counts []Count) {
-	c.added = c.added || len(counts) > 0
+	c.pending = c.pending || len(counts) > 0
 	merge(c.counts, counts)
 }
 
--- a/internal/quota/gate.go
+++ b/internal/quota/gate.go
@@ -54,8 +54,8 @@
 	credit        map[string]float64 // fractions of a request accumulated from the shares
 	awaitsVerdict bool               // a customer has maxUnconfirmed requests admitted since the last verdict
 	urgent        bool               // a customer has urgentCount unreported requests
-	near          bool               // a customer's share is below one
-	reported      time.Time
+	nearLimit     bool               // a customer's share is below one
+	reportedAt    time.Time
 }
 
 // NewGate returns a gate without limits, which admits every request.
@@ -129,9 +129,9 @@
 	return true
 }
 
-// retryAfter returns the time until the bucket holds a request again, plus the time for the
-// requests that exceed the limit, plus the horizon, after which current requests no longer
-// count.
+// retryAfter returns the time until the bucket holds a request again, plus the time to serve
+// those of one second that exceed the limit, plus the horizon, after which current requests no
+// longer count.
 func retryAfter(limit Limit, s Allowance) time.Duration {
 	seconds := horizon.Seconds() + max(0, 1-s.Level)/limit.Rate
 	if s.Share > 0 {
@@ -153,7 +153,7 @@
 
 // Due reports whether a report is due.
 func (g *Gate) Due(now time.Time) bool {
-	since := now.Sub(g.reported)
+	since := now.Sub(g.reportedAt)
 	switch {
 	case g.awaitsVerdict:
 		return since >= awaitEvery
@@ -161,7 +161,7 @@
 		return since >= urgentEvery
 	case !g.hasVerdict:
 		return since >= urgentEvery
-	case g.near:
+	case g.nearLimit:
 		return since >= nearEvery
 	default:
 		return since >= reportEvery
@@ -177,7 +177,7 @@
 
 // Drain returns the counts since the last report and resets them.
 func (g *Gate) Drain(now time.Time) []Count {
-	g.reported = now
+	g.reportedAt = now
 	g.awaitsVerdict, g.urgent = false, false
 	return drain(g.counts)
 }
@@ -190,13 +190,13 @@
 	if !v.Known {
 		return
 	}
-	g.hasVerdict, g.near = true, false
+	g.hasVerdict, g.nearLimit = true, false
 	clear(g.unconfirmed)
 	clear(g.allowances)
 	for _, s := range v.Allowances {
 		if s.Share < 1 {
 			g.allowances[s.Customer] = s
-			g.near = true
+			g.nearLimit = true
 		}
 	}
 	for customer := range g.credit {
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -16,34 +16,34 @@
 	// its requests only. At a few requests per second the rate cannot be estimated within half a
 	// second.
 	leeway = 5
-	// toldBelow is the part of its burst below which a bucket's level is included in the
+	// reportedBelow is the part of its burst below which a bucket's level is included in the
 	// verdict, so that another ledger can continue from it.
-	toldBelow = 0.5
+	reportedBelow = 0.5
 	// adoptOwnFor is how long a new ledger adopts levels from verdicts under its own name, which
 	// an earlier start of it may have given. Levels of other ledgers are adopted at any time:
 	// while daemons restart, reports can move to another host and back within a second, and the
-	// buckets here have filled meanwhile.
+	// buckets here have filled in between.
 	adoptOwnFor = time.Second
-	// settleFor is how long a ledger counts before it gives a verdict. After a simultaneous
+	// warmUpFor is how long a ledger counts before it gives a verdict. After a simultaneous
 	// start each daemon needs this time to report twice; before, a customer far above its usual
 	// rate appears to send few requests.
-	settleFor = 250 * time.Millisecond
-	// leastAge is the minimum time over which the rate of a new bucket is computed.
-	leastAge = 100 * time.Millisecond
-	// startDuration is the time whose inflow a bucket begins with after a simultaneous start. It
+	warmUpFor = 250 * time.Millisecond
+	// minRateAge is the minimum time over which the rate of a new bucket is computed.
+	minRateAge = 100 * time.Millisecond
+	// startupInflow is the time whose inflow a bucket starts with after a simultaneous start. It
 	// is less than the restart time of a daemon, in which no request is admitted.
-	startDuration = 400 * time.Millisecond
-	// startPart is the minimum part of the hosts that a ledger assumes within startWithin after
-	// a simultaneous start, since the daemons return one after the other while their callers
-	// continue to send requests. If the fleet is in two partitions at that time, they may
-	// together exceed the limit by three quarters of a second's requests.
-	startPart   = 0.75
-	startWithin = 1500 * time.Millisecond
-	// backWithin is how long after their reports ended hosts can return without counting as
+	startupInflow = 400 * time.Millisecond
+	// minStartupPart is the minimum part of the hosts that a ledger assumes within startupWithin
+	// after a simultaneous start, since the daemons return one after the other while their
+	// callers continue to send requests. If the fleet is in two partitions at that time, they
+	// may together exceed the limit by three quarters of a second's requests.
+	minStartupPart = 0.75
+	startupWithin  = 1500 * time.Millisecond
+	// returnWithin is how long after their reports ended hosts can return without counting as
 	// partitioned. A restarted collector has reports of all its hosts within this time.
-	backWithin = time.Second
-	// leastBurst is the minimum burst of a bucket, regardless of the part of the fleet.
-	leastBurst = 1
+	returnWithin = time.Second
+	// minBurst is the minimum burst of a bucket, regardless of the part of the fleet.
+	minBurst = 1
 )
 
 // Ledger keeps the buckets of all customers for the hosts that report to it.
@@ -51,26 +51,26 @@
 	name       string
 	limits     map[string]Limit
 	buckets    map[string]*bucket
-	present    present
+	reporters  reporters
 	known      int     // number of declared hosts
 	filledPart float64 // part of the known hosts that the buckets are filled for
 	lostPart   float64 // part recently taken from the buckets, last at lostAt
 	lostAt     time.Time
-	began      time.Time
-	follows    bool // a reporter had a verdict before, so that not all daemons have just started
+	startedAt  time.Time
+	hadVerdict bool // a reporter had a verdict before, so that not all daemons have just started
 }
 
 // bucket is a customer's token bucket; a token is good for one request.
 type bucket struct {
-	level float64
-	sum   float64 // number of requests, each with a weight that decays over rateWindow
-	at    time.Time
-	began time.Time
+	level     float64
+	sum       float64 // number of requests, each with a weight that decays over rateWindow
+	at        time.Time
+	startedAt time.Time
 }
 
 // NewLedger returns a ledger without limits on the named host.
 func NewLedger(name string) *Ledger {
-	return &Ledger{name: name, buckets: make(map[string]*bucket), present: make(present)}
+	return &Ledger{name: name, buckets: make(map[string]*bucket), reporters: make(reporters)}
 }
 
 // Reconfigure sets the limits by customer, and the number of declared hosts.
@@ -86,16 +86,16 @@
 
 // Add adds a report and returns the verdict.
 func (l *Ledger) Add(now time.Time, r Report) Verdict {
-	if l.present.hosts(now) == 0 {
-		l.began, l.follows = now, false // no recent report: the state is outdated
+	if l.reporters.hosts(now) == 0 {
+		l.startedAt, l.hadVerdict = now, false // no recent report: the state is outdated
 		clear(l.buckets)
 		l.filledPart, l.lostPart = 0, 0
 	}
-	l.follows = l.follows || r.Follows || r.Heard.Known
-	l.present[r.From] = presence{at: now, hosts: r.Hosts}
-	part := l.presentPart(now)
+	l.hadVerdict = l.hadVerdict || r.Follows || r.Heard.Known
+	l.reporters[r.From] = reporter{at: now, hosts: r.Hosts}
+	part := l.reportingPart(now)
 	l.resize(now, part)
-	if r.Heard.By != l.name || now.Sub(l.began) < adoptOwnFor {
+	if r.Heard.By != l.name || now.Sub(l.startedAt) < adoptOwnFor {
 		l.adoptLevels(now, part, r.Heard)
 	}
 	for _, c := range r.Counts {
@@ -106,12 +106,12 @@
 	return l.verdict(now, part)
 }
 
-// presentPart returns the share of the known hosts that report here. Shortly after a
-// simultaneous start, hosts that have not returned yet are included, up to startPart.
-func (l *Ledger) presentPart(now time.Time) float64 {
-	part := min(1, float64(l.present.hosts(now))/float64(max(1, l.known)))
-	if !l.follows && now.Sub(l.began) < startWithin {
-		return max(startPart, part)
+// reportingPart returns the share of the known hosts that report here. Shortly after a
+// simultaneous start, hosts that have not returned yet are included, up to minStartupPart.
+func (l *Ledger) reportingPart(now time.Time) float64 {
+	part := min(1, float64(l.reporters.hosts(now))/float64(max(1, l.known)))
+	if !l.hadVerdict && now.Sub(l.startedAt) < startupWithin {
+		return max(minStartupPart, part)
 	}
 	return part
 }
@@ -119,7 +119,7 @@
 // resize fills the buckets for the given part of the hosts from now on. Hosts that no longer
 // report may be partitioned with a ledger of their own, whose buckets have been filled for them
 // since their last report here; that inflow is taken out of the buckets here, or a flood that
-// begins with the partition would exceed the limit. Hosts that return within backWithin were
+// begins with the partition would exceed the limit. Hosts that return within returnWithin were
 // not partitioned, but their collector has restarted; their inflow is put back.
 func (l *Ledger) resize(now time.Time, part float64) {
 	change := part - l.filledPart
@@ -127,7 +127,7 @@
 	switch {
 	case change < 0:
 		l.lostPart, l.lostAt = l.lostPart-change, now
-	case now.Sub(l.lostAt) < backWithin:
+	case now.Sub(l.lostAt) < returnWithin:
 		change = min(change, l.lostPart)
 		l.lostPart -= change
 	default:
@@ -137,7 +137,7 @@
 	for customer, b := range l.buckets {
 		limit := l.limits[customer]
 		b.fill(now, limit.scale(part))
-		b.level += change * limit.Rate * presentFor.Seconds()
+		b.level += change * limit.Rate * reporterTTL.Seconds()
 	}
 }
 
@@ -152,16 +152,16 @@
 	}
 	for customer, declared := range l.limits {
 		limit := declared.scale(part)
-		level, low := levels[customer]
-		if !low {
+		level, reported := levels[customer]
+		if !reported {
 			level = limit.Burst
 		}
-		b, begun := l.buckets[customer]
-		if !begun {
-			l.buckets[customer] = &bucket{level: min(level, limit.Burst), at: now, began: now}
+		b, exists := l.buckets[customer]
+		if !exists {
+			l.buckets[customer] = &bucket{level: min(level, limit.Burst), at: now, startedAt: now}
 			continue
 		}
-		if low {
+		if reported {
 			b.level = min(b.level, level)
 		}
 	}
@@ -169,13 +169,13 @@
 
 // bucket returns the customer's bucket. A new one counts from the start of the ledger; its
 // level is zero if the ledger continues from another, and otherwise the inflow of
-// startDuration.
+// startupInflow.
 func (l *Ledger) bucket(now time.Time, customer string, limit Limit) *bucket {
 	b, ok := l.buckets[customer]
 	if !ok {
-		b = &bucket{at: l.began, began: now}
-		if !l.follows {
-			b.level = limit.Rate * startDuration.Seconds()
+		b = &bucket{at: l.startedAt, startedAt: now}
+		if !l.hadVerdict {
+			b.level = limit.Rate * startupInflow.Seconds()
 		}
 		l.buckets[customer] = b
 	}
@@ -184,7 +184,7 @@
 
 // scale returns the limit for a part of the fleet.
 func (l Limit) scale(part float64) Limit {
-	return Limit{Rate: l.Rate * part, Burst: max(leastBurst, l.Burst*part)}
+	return Limit{Rate: l.Rate * part, Burst: max(minBurst, l.Burst*part)}
 }
 
 // add fills the bucket up to now and takes out the admitted requests.
@@ -205,7 +205,7 @@
 // rate returns the request rate per second. For a bucket younger than rateWindow it is
 // corrected for the smaller sum of weights.
 func (b *bucket) rate() float64 {
-	age := max(leastAge, b.at.Sub(b.began))
+	age := max(minRateAge, b.at.Sub(b.startedAt))
 	return b.sum / (rateWindow.Seconds() * (1 - math.Exp(-age.Seconds()/rateWindow.Seconds())))
 }
 
@@ -221,9 +221,9 @@
 }
 
 // verdict returns the allowances of the customers near their limit. It is unknown during
-// settleFor.
+// warmUpFor.
 func (l *Ledger) verdict(now time.Time, part float64) Verdict {
-	if now.Sub(l.began) < settleFor {
+	if now.Sub(l.startedAt) < warmUpFor {
 		return Verdict{}
 	}
 	v := Verdict{Known: true, By: l.name}
@@ -231,7 +231,7 @@
 		limit := l.limits[customer].scale(part)
 		b.fill(now, limit)
 		share := b.share(limit)
-		if share < 1 || b.level < toldBelow*limit.Burst {
+		if share < 1 || b.level < reportedBelow*limit.Burst {
 			v.Allowances = append(v.Allowances, Allowance{Customer: customer, Share: round(share), Level: round(b.level)})
 		}
 	}
@@ -240,6 +240,6 @@
 
 // round rounds to the three decimals sent in a verdict.
 func round(value float64) float64 {
-	const kept = 1000
-	return math.Round(value*kept) / kept
+	const scale = 1000
+	return math.Round(value*scale) / scale
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -9,40 +9,43 @@
 	"github.com/tideliftd/tidelift/internal/quota"
 )
 
-// TestFloodsAndRestartsKeepLimits draws a flood, restarts and a lower limit together: no window
-// is above the rule.
+// TestFloodsAndRestartsKeepLimits guards against windows beyond the rule during a flood,
+// restarts and a lowered limit.
 func TestFloodsAndRestartsKeepLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { keepsLimits(t, simEvent{restart: drawRestart(t)}) })
 }
 
-// TestFloodsAndCutsKeepLimits draws a flood, a cut and a lower limit together.
-func TestFloodsAndCutsKeepLimits(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) { keepsLimits(t, simEvent{cut: drawCut(t)}) })
+// TestFloodsAndPartitionsKeepLimits guards against windows beyond the rule during a flood, a
+// partition and a lowered limit.
+func TestFloodsAndPartitionsKeepLimits(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) { keepsLimits(t, simEvent{partitioned: drawPartition(t)}) })
 }
 
-// TestFloodsCutsAndRestartsKeepLimits draws all of them together.
-func TestFloodsCutsAndRestartsKeepLimits(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) { keepsLimits(t, simEvent{cut: drawCut(t), restart: drawRestart(t)}) })
+// TestFloodsPartitionsAndRestartsKeepLimits guards against windows beyond the rule during all
+// of these together.
+func TestFloodsPartitionsAndRestartsKeepLimits(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) { keepsLimits(t, simEvent{partitioned: drawPartition(t), restart: drawRestart(t)}) })
 }
 
-func drawCut(t *rapid.T) float64     { return rapid.Float64Range(0, 0.5).Draw(t, "cut") }
-func drawRestart(t *rapid.T) float64 { return rapid.Float64Range(0, 0.2).Draw(t, "restart") }
+func drawPartition(t *rapid.T) float64 { return rapid.Float64Range(0, 0.5).Draw(t, "cut") }
+func drawRestart(t *rapid.T) float64   { return rapid.Float64Range(0, 0.2).Draw(t, "restart") }
 
-// keepsLimits plays the event with a flood and a lower limit that are drawn.
+// keepsLimits simulates the event with a drawn flood and lowered limit.
 func keepsLimits(t *rapid.T, event simEvent) {
 	event.hot = rapid.Float64Range(1, 12).Draw(t, "hot")
 	event.lowered = rapid.Float64Range(0.2, 1).Draw(t, "lowered")
-	if f := play(event, collected(), rapid.Uint64().Draw(t, "seed")); f.over > 0 {
-		t.Fatalf("%.0f requests above the rule", f.over)
+	if f := simulate(event, collected(), rapid.Uint64().Draw(t, "seed")); f.excess > 0 {
+		t.Fatalf("%.0f requests beyond the rule", f.excess)
 	}
 }
 
-// TestAFloodACutAndRestartsAtOnce begins a flood and a cut of half of the hosts at once, while a
-// fifth of the hosts restart each second, with a seed that has shown more than the rule allows.
-func TestAFloodACutAndRestartsAtOnce(t *testing.T) {
+// TestFloodPartitionAndRestartsKeepLimits guards against a flood that exceeds the rule when it
+// begins with a partition of half of the hosts while a fifth restart each second. The seed once
+// exceeded it.
+func TestFloodPartitionAndRestartsKeepLimits(t *testing.T) {
 	const seed = 0x17354e
-	if f := play(simEvent{hot: 9, cut: 0.5, restart: 0.2}, collected(), seed); f.over > 0 {
-		t.Fatalf("%.0f requests above the rule", f.over)
+	if f := simulate(simEvent{hot: 9, partitioned: 0.5, restart: 0.2}, collected(), seed); f.excess > 0 {
+		t.Fatalf("%.0f requests beyond the rule", f.excess)
 	}
 }
 
@@ -50,7 +53,7 @@
 	return map[string]quota.Limit{"a": {Rate: rate, Burst: burst}}
 }
 
-// oneHost is a gate whose reports go straight to a ledger.
+// oneHost is a gate that reports directly to a ledger.
 type oneHost struct {
 	gate   *quota.Gate
 	ledger *quota.Ledger
@@ -60,7 +63,7 @@
 func newOneHost(rate, burst float64) *oneHost {
 	h := &oneHost{gate: quota.NewGate(), ledger: quota.NewLedger("csepel-1"), now: simStart}
 	h.reconfigure(rate, burst)
-	h.pass(2 * time.Second)
+	h.advance(2 * time.Second)
 	return h
 }
 
@@ -69,8 +72,8 @@
 	h.ledger.Reconfigure(limitsOf(rate, burst), 1)
 }
 
-// pass lets time pass, with the reports that come due.
-func (h *oneHost) pass(d time.Duration) {
+// advance advances the time and sends the reports that become due.
+func (h *oneHost) advance(d time.Duration) {
 	for end := h.now.Add(d); h.now.Before(end); h.now = h.now.Add(10 * time.Millisecond) {
 		if h.gate.Due(h.now) {
 			h.gate.SetVerdict(h.ledger.Add(h.now, quota.Report{From: "csepel-1", Hosts: 1, Counts: h.gate.Drain(h.now)}))
@@ -78,9 +81,9 @@
 	}
 }
 
-// ask asks so many times at once and says how many were admitted, and when the last refused
-// one may come back.
-func (h *oneHost) ask(times int) (admitted int, after time.Duration) {
+// request sends the given number of requests at the same time, and returns the number admitted
+// and the retry delay of the last refused one.
+func (h *oneHost) request(times int) (admitted int, after time.Duration) {
 	for range times {
 		decision := h.gate.Admit("a")
 		if decision.Admitted {
@@ -94,43 +97,44 @@
 
 func TestABurstIsAdmittedWhole(t *testing.T) {
 	h := newOneHost(10, 20)
-	if admitted, _ := h.ask(20); admitted != 20 {
+	if admitted, _ := h.request(20); admitted != 20 {
 		t.Fatalf("%d of 20 admitted", admitted)
 	}
 }
 
-func TestWhoeverHasNoLimitIsNotCounted(t *testing.T) {
+func TestUnlimitedCustomersAreNotCounted(t *testing.T) {
 	h := newOneHost(10, 20)
 	for range 1000 {
 		if !h.gate.Admit("b").Admitted {
-			t.Fatal("a customer without a limit was refused")
+			t.Fatal("customer without a limit refused")
 		}
 	}
 	if counts := h.gate.Drain(h.now); len(counts) > 0 {
-		t.Fatalf("counted %v", counts)
+		t.Fatalf("counted %v, want nothing", counts)
 	}
 }
 
-// TestARefusalSaysWhenThereIsRoom floods, and asks again when it was told to.
+// TestARefusalSaysWhenThereIsRoom guards against a retry delay after which the customer is
+// refused again.
 func TestARefusalSaysWhenThereIsRoom(t *testing.T) {
 	h := newOneHost(10, 20)
 	var after time.Duration
 	for range 20 {
-		_, after = h.ask(20)
-		h.pass(50 * time.Millisecond)
+		_, after = h.request(20)
+		h.advance(50 * time.Millisecond)
 	}
 	if after < 100*time.Millisecond || after > 5*time.Second {
-		t.Fatalf("told to come back after %s", after)
+		t.Fatalf("retry delay is %s, want 100 ms to 5 s", after)
 	}
-	h.pass(after)
-	if admitted, _ := h.ask(1); admitted != 1 {
-		t.Fatalf("refused again after the %s that it was told: %+v", after, h.gate.Allowances())
+	h.advance(after)
+	if admitted, _ := h.request(1); admitted != 1 {
+		t.Fatalf("refused again after the retry delay of %s: %+v", after, h.gate.Allowances())
 	}
 }
 
-// TestAShareOfAFloodIsBoundedToo asks thousands of times between two verdicts that admit a large
-// share, as the first verdict of a flood does: no more is admitted than without one.
-func TestAShareOfAFloodIsBoundedToo(t *testing.T) {
+// TestShareOfAFloodIsBounded guards against a large share in the first verdict of a flood that
+// admits more than the limit between two verdicts.
+func TestShareOfAFloodIsBounded(t *testing.T) {
 	gate := quota.NewGate()
 	gate.Reconfigure(limitsOf(40, 20), 3)
 	gate.SetVerdict(quota.Verdict{Known: true, Allowances: []quota.Allowance{{Customer: "a", Share: 0.43, Level: 7}}})
@@ -141,47 +145,49 @@
 		}
 	}
 	if admitted > 14 || !gate.AwaitsVerdict() {
-		t.Fatalf("%d of 1000 admitted before the next verdict; the gate asks for one: %v", admitted, gate.AwaitsVerdict())
+		t.Fatalf("%d of 1000 admitted before the next verdict; gate awaits one: %v", admitted, gate.AwaitsVerdict())
 	}
 }
 
-// TestWhatIsGivenBackMayBeAskedAgain admits as much as the limit allows, gives it back, and
-// asks as much again.
-func TestWhatIsGivenBackMayBeAskedAgain(t *testing.T) {
+// TestRefundedRequestsAreAdmittedAgain guards against refunded requests that still count
+// against the limit.
+func TestRefundedRequestsAreAdmittedAgain(t *testing.T) {
 	h := newOneHost(10, 20)
 	for range 5 {
-		h.ask(20)
+		h.request(20)
 		for range 20 {
 			h.gate.GiveBack("a")
 		}
-		h.pass(time.Second)
+		h.advance(time.Second)
 	}
-	if admitted, _ := h.ask(20); admitted != 20 {
+	if admitted, _ := h.request(20); admitted != 20 {
 		t.Fatalf("%d of 20 admitted", admitted)
 	}
 }
 
-// TestALowerLimitHoldsInTheMiddleOfABurst lowers it while the bucket is full.
+// TestALowerLimitHoldsInTheMiddleOfABurst guards against a full bucket that keeps its burst
+// after the limit is lowered.
 func TestALowerLimitHoldsInTheMiddleOfABurst(t *testing.T) {
 	h := newOneHost(100, 100)
 	h.reconfigure(5, 5)
 	admitted := 0
 	for range 50 {
-		some, _ := h.ask(10)
+		some, _ := h.request(10)
 		admitted += some
-		h.pass(100 * time.Millisecond)
+		h.advance(100 * time.Millisecond)
 	}
 	if most := 1.1*(5*5+5) + 20; float64(admitted) > most {
 		t.Fatalf("%d admitted in five seconds; at most %.0f", admitted, most)
 	}
 }
 
-// TestALostReportIsToldAgain loses every other report.
-func TestALostReportIsToldAgain(t *testing.T) {
+// TestLostReportIsSentAgain guards against requests beyond the limit while every other report
+// is lost.
+func TestLostReportIsSentAgain(t *testing.T) {
 	h := newOneHost(20, 20)
 	admitted := 0
 	for i := range 50 {
-		some, _ := h.ask(10)
+		some, _ := h.request(10)
 		admitted += some
 		counts := h.gate.Drain(h.now)
 		if i%2 == 0 {
@@ -196,9 +202,9 @@
 	}
 }
 
-// TestACollectorForgetsAnOldVerdict hears of a customer beyond its limit: gates are told so while
-// that is fresh, a ledger that follows for longer, and nobody long after.
-func TestACollectorForgetsAnOldVerdict(t *testing.T) {
+// TestCollectorDropsAnOldVerdict guards against outdated verdicts: gates get a verdict for a
+// shorter time than a new ledger.
+func TestCollectorDropsAnOldVerdict(t *testing.T) {
 	c := quota.NewCollector()
 	c.SetVerdict(simStart, quota.Verdict{Known: true, Allowances: []quota.Allowance{{Customer: "a", Share: 0.1}}})
 	tests := []struct {
@@ -211,17 +217,17 @@
 	}
 	for _, test := range tests {
 		now := simStart.Add(test.later)
-		told := c.Add(now, quota.Report{From: "csepel-1", Hosts: 1})
+		verdict := c.Add(now, quota.Report{From: "csepel-1", Hosts: 1})
 		heard := c.Drain(now, "csepel-2").Heard
-		if told.Known != test.gate || heard.Known != test.heard || heard.Known && len(heard.Allowances) != 1 {
-			t.Errorf("%s later a gate is told %+v, a ledger %+v", test.later, told, heard)
+		if verdict.Known != test.gate || heard.Known != test.heard || heard.Known && len(heard.Allowances) != 1 {
+			t.Errorf("after %s a gate gets %+v, a ledger %+v", test.later, verdict, heard)
 		}
 	}
 }
 
-// TestALedgerGoesOnWhereAnotherEnded tells a new ledger what a collector heard: the bucket
-// does not fill again by that.
-func TestALedgerGoesOnWhereAnotherEnded(t *testing.T) {
+// TestNewLedgerAdoptsLevels guards against a new ledger that fills the buckets of a previous
+// one again.
+func TestNewLedgerAdoptsLevels(t *testing.T) {
 	ledger := quota.NewLedger("csepel-1")
 	ledger.Reconfigure(limitsOf(10, 100), 1)
 	heard := quota.Verdict{Known: true, Allowances: []quota.Allowance{{Customer: "a", Share: 0.2, Level: -50}}}
@@ -235,7 +241,7 @@
 	}
 }
 
-// BenchmarkAdmit admits requests of 150,000 customers in turn.
+// BenchmarkAdmit measures the admission of requests of 150,000 customers in turn.
 func BenchmarkAdmit(b *testing.B) {
 	const count = 150_000
 	limits := make(map[string]quota.Limit, count)
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -10,65 +10,65 @@
 	"github.com/tideliftd/tidelift/internal/quota"
 )
 
-// The simulated fleet: hosts in three data centres, customers of very different size, each
-// at its usual rate, which is limit/1.6, but for what an event does.
+// The simulated fleet: hosts in three data centres, and customers of very different sizes, each
+// at its usual rate, which is limit/1.6, unless an event changes it.
 const (
-	simHosts      = 93
-	simPlaces     = 3
-	simCustomers  = 81
-	simRequests   = 1127.0 // a second
-	simSeconds    = 20
-	simStep       = 10 * time.Millisecond
-	simOverUsual  = 1.6
-	simWindow     = 5
-	simDelay      = 20 * time.Millisecond // of a report and its answer
-	simEventBegin = 6 * time.Second
-	simEventEnd   = 14 * time.Second
-	simDown       = 500 * time.Millisecond // a daemon that restarts
-	simSilent     = 200 * time.Millisecond // until a daemon that is down is passed over
+	simHosts       = 93
+	simDataCentres = 3
+	simCustomers   = 81
+	simRequests    = 1127.0 // per second
+	simSeconds     = 20
+	simStep        = 10 * time.Millisecond
+	simOverUsual   = 1.6
+	simWindow      = 5
+	simDelay       = 20 * time.Millisecond // of a report and its answer
+	simEventBegin  = 6 * time.Second
+	simEventEnd    = 14 * time.Second
+	simDown        = 500 * time.Millisecond // time for which a restarting daemon is down
+	simSkipAfter   = 200 * time.Millisecond // time after which a daemon that is down is skipped
 )
 
-// simEvent is what happens between simEventBegin and simEventEnd.
+// simEvent is a disturbance between simEventBegin and simEventEnd.
 type simEvent struct {
 	name string
 	// hot multiplies the rate of the largest customer.
 	hot float64
-	// cut is the share of hosts that are cut off; alone says that they are cut off from each
-	// other, too.
-	cut   float64
-	alone bool
-	// restart is the share of hosts that start again with an empty memory, each second.
+	// partitioned is the share of hosts that are cut off from the rest; with isolated they are
+	// cut off from each other as well.
+	partitioned float64
+	isolated    bool
+	// restart is the share of hosts that restart with an empty state each second.
 	restart float64
 	// lowered multiplies the limit of the largest customer.
 	lowered float64
-	// loses is how much of what is below the limit may be refused.
-	loses float64
+	// maxLost is the maximum share of requests below the limit that may be refused.
+	maxLost float64
 }
 
-// simWay is a way to keep the limits.
-type simWay struct {
+// simStrategy is a strategy of enforcing the limits.
+type simStrategy struct {
 	name      string
 	admit     func(now time.Time, host, customer int) bool
 	step      func(now time.Time)
 	restart   func(host int)
 	setLimits func([]quota.Limit)
-	cutOff    func(place func(host int) int)
+	partition func(place func(host int) int)
 	messages  *int
 }
 
-// simFigures is what came of a play.
-type simFigures struct {
-	// over is the worst window's requests less what the rule allows, over all customers.
-	over float64
-	// lost is the share of what was below the limit that was refused.
+// simResult is the result of a simulation.
+type simResult struct {
+	// excess is the maximum number of requests in a window beyond the rule, over all customers.
+	excess float64
+	// lost is the share of requests below the limit that were refused.
 	lost float64
-	// perSecond is how many messages the fleet sent.
+	// perSecond is the number of messages per second in the fleet.
 	perSecond float64
 }
 
 var simStart = time.Unix(1_000_000, 0)
 
-// simSizes returns the customers' usual rates: each is smaller than the one before.
+// simSizes returns the customers' usual rates in descending order.
 func simSizes() []float64 {
 	sizes := make([]float64, simCustomers)
 	sum := 0.0
@@ -82,15 +82,15 @@
 	return sizes
 }
 
-// play plays the event with the way and returns what came of it.
-func play(event simEvent, way simWay, seed uint64) simFigures {
+// simulate runs the event with the strategy and returns the result.
+func simulate(event simEvent, strategy simStrategy, seed uint64) simResult {
 	random := rand.New(rand.NewPCG(seed, 1))
 	sizes := simSizes()
 	limits := make([]quota.Limit, len(sizes))
 	for i, size := range sizes {
 		limits[i] = quota.Limit{Rate: simOverUsual * size, Burst: simOverUsual * size}
 	}
-	way.setLimits(limits)
+	strategy.setLimits(limits)
 	var downUntil [simHosts]time.Duration
 	tallies := make([]tally, len(sizes))
 	for i := range tallies {
@@ -99,7 +99,7 @@
 	for at := time.Duration(0); at < simSeconds*time.Second; at += simStep {
 		now := simStart.Add(at)
 		during := at >= simEventBegin && at < simEventEnd
-		simChange(event, way, limits, at)
+		applyChange(event, strategy, limits, at)
 		if during && event.restart > 0 && at%time.Second == 0 {
 			for host := range simHosts {
 				if random.Float64() < event.restart {
@@ -109,10 +109,10 @@
 		}
 		for host, until := range downUntil {
 			if at < until {
-				way.restart(host) // it knows nothing until it is back
+				strategy.restart(host) // its state is lost
 			}
 		}
-		way.step(now)
+		strategy.step(now)
 		for c, size := range sizes {
 			rate := size
 			if during && c == 0 {
@@ -120,66 +120,68 @@
 			}
 			for range poisson(random, rate*simStep.Seconds()) {
 				if host := random.IntN(simHosts); at >= downUntil[host] {
-					tallies[c].ask(at, limits[c], way.admit(now, host, c))
+					tallies[c].count(at, limits[c], strategy.admit(now, host, c))
 				}
 			}
 		}
 	}
-	figures := simFigures{perSecond: float64(*way.messages) / simSeconds}
-	owed, lost := 0.0, 0.0
+	result := simResult{perSecond: float64(*strategy.messages) / simSeconds}
+	entitled, lost := 0.0, 0.0
 	for _, t := range tallies {
-		figures.over = max(figures.over, t.over)
-		owed += t.owed
-		lost += max(0, t.owed-float64(len(t.admitted)))
+		result.excess = max(result.excess, t.excess)
+		entitled += t.entitled
+		lost += max(0, t.entitled-float64(len(t.admitted)))
 	}
-	figures.lost = lost / owed
-	return figures
+	result.lost = lost / entitled
+	return result
 }
 
-// simChange begins and ends what changes the fleet or a limit.
-func simChange(event simEvent, way simWay, limits []quota.Limit, at time.Duration) {
+// applyChange begins and ends partitions and changes of a limit.
+func applyChange(event simEvent, strategy simStrategy, limits []quota.Limit, at time.Duration) {
 	if at == simEventEnd {
-		way.cutOff(func(int) int { return 0 })
+		strategy.partition(func(int) int { return 0 })
 	}
 	if at != simEventBegin {
 		return
 	}
-	if event.cut > 0 {
-		way.cutOff(event.place)
+	if event.partitioned > 0 {
+		strategy.partition(event.place)
 	}
 	if event.lowered > 0 {
 		limits[0].Rate *= event.lowered
 		limits[0].Burst *= event.lowered
-		way.setLimits(limits)
+		strategy.setLimits(limits)
 	}
 }
 
-// place returns the part of the fleet that a host is in while some are cut off.
+// place returns the partition of a host.
 func (e simEvent) place(host int) int {
-	switch cut := int(e.cut * simHosts); {
-	case host >= cut:
+	switch partitioned := int(e.partitioned * simHosts); {
+	case host >= partitioned:
 		return 0
-	case e.alone:
+	case e.isolated:
 		return host + 1
 	default:
 		return 1
 	}
 }
 
-// tally holds one customer to the rule and says what it was owed.
+// tally checks the admitted requests of one customer against the rule and counts those it is
+// entitled to.
 type tally struct {
-	level    float64 // of a bucket that sees every request at once
+	level    float64 // of a bucket that counts every request without delay
 	last     time.Duration
-	owed     float64
+	entitled float64
 	admitted []time.Duration
-	first    int // of the window's in admitted
-	over     float64
-	lowered  time.Duration // when the limit last fell
+	first    int // index in admitted of the window's first request
+	excess   float64
+	lowered  time.Duration // time until which the rule is not checked after the limit fell
 	rate     float64
 }
 
-// ask takes a request. A window is held to the limit from one window after the limit fell.
-func (t *tally) ask(at time.Duration, limit quota.Limit, admitted bool) {
+// count counts a request. The rule applies again one window and two seconds after the limit
+// fell.
+func (t *tally) count(at time.Duration, limit quota.Limit, admitted bool) {
 	if limit.Rate < t.rate {
 		t.lowered = at + (simWindow+2)*time.Second
 	}
@@ -188,7 +190,7 @@
 	t.last = at
 	if t.level >= 1 {
 		t.level--
-		t.owed++
+		t.entitled++
 	}
 	if !admitted {
 		return
@@ -200,7 +202,7 @@
 	for t.admitted[t.first] <= at-simWindow*time.Second {
 		t.first++
 	}
-	t.over = max(t.over, float64(len(t.admitted)-t.first)-((limit.Rate*simWindow+limit.Burst)*1.1+20))
+	t.excess = max(t.excess, float64(len(t.admitted)-t.first)-((limit.Rate*simWindow+limit.Burst)*1.1+20))
 }
 
 func poisson(random *rand.Rand, mean float64) int {
@@ -215,37 +217,37 @@
 func customerName(c int) string { return fmt.Sprintf("customer-%d", c) }
 
 var simEvents = []simEvent{
-	{name: "usual day", loses: 0.005},
-	{name: "hot customer at 8x", hot: 8, loses: 0.03},
-	{name: "flood at 100x", hot: 100, loses: 0.03},
-	{name: "a third cut off", hot: 8, cut: 0.33, loses: 0.05},
-	{name: "a third alone", hot: 8, cut: 0.33, alone: true, loses: 0.10},
-	{name: "a fifth restarts, hot at 12x", hot: 12, restart: 0.2, loses: 0.10},
-	{name: "half cut off, a fifth restarts", hot: 4.5, cut: 0.5, restart: 0.2, loses: 0.10},
-	{name: "half restarts each second", hot: 8, restart: 0.5, loses: 0.10},
-	{name: "all restart each second", hot: 8, restart: 1, loses: 0.10},
-	{name: "limit to a fifth", hot: 2, lowered: 0.2, loses: 0.05},
+	{name: "usual day", maxLost: 0.005},
+	{name: "hot customer at 8x", hot: 8, maxLost: 0.03},
+	{name: "flood at 100x", hot: 100, maxLost: 0.03},
+	{name: "a third cut off", hot: 8, partitioned: 0.33, maxLost: 0.05},
+	{name: "a third alone", hot: 8, partitioned: 0.33, isolated: true, maxLost: 0.10},
+	{name: "a fifth restarts, hot at 12x", hot: 12, restart: 0.2, maxLost: 0.10},
+	{name: "half cut off, a fifth restarts", hot: 4.5, partitioned: 0.5, restart: 0.2, maxLost: 0.10},
+	{name: "half restarts each second", hot: 8, restart: 0.5, maxLost: 0.10},
+	{name: "all restart each second", hot: 8, restart: 1, maxLost: 0.10},
+	{name: "limit to a fifth", hot: 2, lowered: 0.2, maxLost: 0.05},
 }
 
-// TestSimulatedFleetKeepsLimits plays each event with several seeds: no window is above the
-// rule, and little below the limit is refused. The other ways are played beside for their
-// figures, which docs/design/0012-customers.md has.
+// TestSimulatedFleetKeepsLimits guards against windows beyond the rule and needless refusals
+// below the limit, for each event. The other strategies run for comparison, with the results in
+// docs/design/0012-customers.md.
 func TestSimulatedFleetKeepsLimits(t *testing.T) {
 	const seeds = 3
 	for _, event := range simEvents {
-		for _, way := range []func() simWay{collected, leased, fixed} {
-			worst, name := simFigures{}, ""
+		for _, strategy := range []func() simStrategy{collected, leased, fixed} {
+			worst, name := simResult{}, ""
 			for seed := range uint64(seeds) {
-				w := way()
+				w := strategy()
 				name = w.name
-				f := play(event, w, seed)
-				worst.over = max(worst.over, f.over)
+				f := simulate(event, w, seed)
+				worst.excess = max(worst.excess, f.excess)
 				worst.lost = max(worst.lost, f.lost)
 				worst.perSecond = max(worst.perSecond, f.perSecond)
 			}
-			t.Logf("%-26s %-17s over %6.0f, lost %.3f, %5.0f messages a second", event.name, name, worst.over, worst.lost, worst.perSecond)
-			if name == "counts collected" && (worst.over > 0 || worst.lost > event.loses) {
-				t.Errorf("%s: %.0f requests above the rule, %.3f lost", event.name, worst.over, worst.lost)
+			t.Logf("%-26s %-17s over %6.0f, lost %.3f, %5.0f messages a second", event.name, name, worst.excess, worst.lost, worst.perSecond)
+			if name == "counts collected" && (worst.excess > 0 || worst.lost > event.maxLost) {
+				t.Errorf("%s: %.0f requests beyond the rule, %.3f lost", event.name, worst.excess, worst.lost)
 			}
 		}
 	}
--- a/internal/quota/ways_test.go
+++ b/internal/quota/ways_test.go
@@ -6,39 +6,39 @@
 	"github.com/tideliftd/tidelift/internal/quota"
 )
 
-// collected is the way of this package: gates, collectors and a ledger.
-func collected() simWay {
+// collected is the strategy of this package: gates, collectors and a ledger.
+func collected() simStrategy {
 	var limits map[string]quota.Limit
 	messages := 0
 	part := func(int) int { return 0 }
 	gates := make([]*quota.Gate, simHosts)
 	collectors := make([]*quota.Collector, simHosts)
 	ledgers := make([]*quota.Ledger, simHosts)
-	begin := func(host int) {
+	start := func(host int) {
 		gates[host], collectors[host], ledgers[host] = quota.NewGate(), quota.NewCollector(), quota.NewLedger(customerName(host))
 		gates[host].Reconfigure(limits, simHosts)
 		ledgers[host].Reconfigure(limits, simHosts)
 	}
 	for host := range simHosts {
-		begin(host)
+		start(host)
 	}
-	var downFor [simHosts]time.Duration // how long a host that is down has been
-	// first returns the host of the lowest number in the part that is not known to be down,
-	// within a data centre or, for less than zero, anywhere.
+	var downFor [simHosts]time.Duration // time since the host went down
+	// first returns the lowest-numbered host in the partition that is not known to be down, in
+	// the data centre or, if place is negative, in any.
 	first := func(of, place int) int {
 		for host := range simHosts {
-			if part(host) == of && (place < 0 || host%simPlaces == place) && downFor[host] < simSilent {
+			if part(host) == of && (place < 0 || host%simDataCentres == place) && downFor[host] < simSkipAfter {
 				return host
 			}
 		}
 		return 0
 	}
-	passOn := func(now time.Time, host int) {
+	forward := func(now time.Time, host int) {
 		messages += 2
 		report := collectors[host].Drain(now, customerName(host))
 		to := first(part(host), -1)
 		if downFor[to] > 0 {
-			collectors[host].Restore(report.Counts) // it does not answer
+			collectors[host].Restore(report.Counts) // the host does not answer
 			return
 		}
 		collectors[host].SetVerdict(now, ledgers[to].Add(now.Add(simDelay/2), report))
@@ -46,16 +46,16 @@
 	report := func(now time.Time, host int) {
 		messages += 2
 		gate := gates[host]
-		spent := gate.AwaitsVerdict()
+		urgent := gate.AwaitsVerdict()
 		counts := gate.Drain(now)
-		to := first(part(host), host%simPlaces)
+		to := first(part(host), host%simDataCentres)
 		if downFor[to] > 0 {
 			gate.Restore(counts)
 			return
 		}
 		verdict := collectors[to].Add(now.Add(simDelay/2), quota.Report{From: customerName(host), Hosts: 1, Counts: counts, Follows: gate.HasVerdict()})
-		if spent {
-			passOn(now, to)
+		if urgent {
+			forward(now, to)
 			verdict = collectors[to].Verdict(now)
 		}
 		gate.SetVerdict(verdict)
@@ -75,17 +75,17 @@
 		}
 		for host := range simHosts {
 			if downFor[host] == 0 && collectors[host].Due(now) {
-				passOn(now, host)
+				forward(now, host)
 			}
 		}
 	}
-	return simWay{
+	return simStrategy{
 		name:     "counts collected",
 		messages: &messages,
 		admit:    func(_ time.Time, host, c int) bool { return gates[host].Admit(customerName(c)).Admitted },
 		step:     step,
 		restart: func(host int) {
-			begin(host)
+			start(host)
 			restarted[host] = true
 			downFor[host] += simStep
 		},
@@ -99,17 +99,17 @@
 				ledgers[host].Reconfigure(limits, simHosts)
 			}
 		},
-		cutOff: func(place func(int) int) { part = place },
+		partition: func(place func(int) int) { part = place },
 	}
 }
 
-// refilled is a bucket of a host or an owner.
-type refilled struct {
+// tokenBucket is the bucket of a host or an owner.
+type tokenBucket struct {
 	level float64
 	at    time.Time
 }
 
-func (b *refilled) fill(now time.Time, rate, burst float64) {
+func (b *tokenBucket) fill(now time.Time, rate, burst float64) {
 	if !b.at.IsZero() {
 		b.level += rate * now.Sub(b.at).Seconds()
 	}
@@ -117,18 +117,18 @@
 	b.at = now
 }
 
-// fixed gives each host a fixed part of each limit.
-func fixed() simWay {
+// fixed is the strategy of giving each host a fixed part of each limit.
+func fixed() simStrategy {
 	var limits []quota.Limit
 	messages := 0
-	buckets := make(map[[2]int]*refilled)
-	return simWay{
+	buckets := make(map[[2]int]*tokenBucket)
+	return simStrategy{
 		name:     "fixed parts",
 		messages: &messages,
 		admit: func(now time.Time, host, c int) bool {
 			b, ok := buckets[[2]int{host, c}]
 			if !ok {
-				b = &refilled{level: 1}
+				b = &tokenBucket{level: 1}
 				buckets[[2]int{host, c}] = b
 			}
 			b.fill(now, limits[c].Rate/simHosts, max(1, limits[c].Burst/simHosts))
@@ -145,28 +145,28 @@
 			}
 		},
 		setLimits: func(declared []quota.Limit) { limits = append([]quota.Limit(nil), declared...) },
-		cutOff:    func(func(int) int) {},
+		partition: func(func(int) int) {},
 	}
 }
 
-// lease is what an owner has given a host, until it runs out.
+// lease holds the tokens that an owner has granted to a host until it expires.
 type lease struct {
 	tokens float64
 	until  time.Time
-	asked  float64 // since it began
+	asked  float64 // requests since it began
 }
 
-// leased has an owner for each customer that leases tokens to hosts for a second, twice what
-// each asked in the second before; who is without asks on the request's way. A host that
-// cannot reach the owner has a fixed part.
-func leased() simWay {
+// leased is the strategy of an owner for each customer that leases tokens to hosts for a
+// second, twice as many as the host had requests in the second before; a host without tokens
+// requests a lease before it decides. A host that cannot reach the owner uses a fixed part.
+func leased() simStrategy {
 	var limits []quota.Limit
 	messages := 0
 	part := func(int) int { return 0 }
-	owners := make([]refilled, simCustomers)
+	owners := make([]tokenBucket, simCustomers)
 	leases := make(map[[2]int]*lease)
-	alone := fixed()
-	ask := func(now time.Time, host, c int) *lease {
+	fallback := fixed()
+	renew := func(now time.Time, host, c int) *lease {
 		messages += 2
 		l, ok := leases[[2]int{host, c}]
 		if !ok {
@@ -175,14 +175,14 @@
 		}
 		owners[c].fill(now, limits[c].Rate, limits[c].Burst)
 		if now.Before(l.until.Add(time.Second)) {
-			owners[c].level += l.tokens // what was not used goes back
+			owners[c].level += l.tokens // unused tokens are returned
 		}
 		want := min(max(1, 2*l.asked), max(0, owners[c].level))
 		owners[c].level -= want
 		*l = lease{tokens: want, until: now.Add(time.Second)}
 		return l
 	}
-	return simWay{
+	return simStrategy{
 		name:     "leased shares",
 		messages: &messages,
 		admit: func(now time.Time, host, c int) bool {
@@ -190,9 +190,9 @@
 			l, ok := leases[[2]int{host, c}]
 			if !ok || now.After(l.until) || l.tokens < 1 {
 				if part(host) != part(owner) {
-					return alone.admit(now, host, c)
+					return fallback.admit(now, host, c)
 				}
-				l = ask(now, host, c)
+				l = renew(now, host, c)
 			}
 			l.asked++
 			if l.tokens < 1 {
@@ -206,20 +206,20 @@
 			for c := range simCustomers {
 				delete(leases, [2]int{host, c})
 				if (c*37)%simHosts == host {
-					owners[c] = refilled{}
+					owners[c] = tokenBucket{}
 				}
 			}
-			alone.restart(host)
+			fallback.restart(host)
 		},
 		setLimits: func(declared []quota.Limit) {
 			limits = append([]quota.Limit(nil), declared...)
-			alone.setLimits(declared)
+			fallback.setLimits(declared)
 			for c := range owners {
 				if owners[c].at.IsZero() {
 					owners[c].level = limits[c].Burst
 				}
 			}
 		},
-		cutOff: func(place func(int) int) { part = place },
+		partition: func(place func(int) int) { part = place },
 	}
 }
