--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -154,7 +154,7 @@
 	running     int
 	stalled     int // running requests that have outlasted nearly all others of their route
 	waiting     int
-	levels      []*priorityLevel       // most urgent first
+	levels      []*level               // most urgent first
 	lastSeen    [bucketCount]time.Time // time of the last request of a customer in the bucket
 	serviceTime time.Duration
 	// urgentGrants counts the grants to the most urgent priority since the last grant to
@@ -233,10 +233,10 @@
 }
 
 // level returns the waiting requests of the priority, adding the level if it is new.
-func (q *Queue) level(priority int) *priorityLevel {
-	at, ok := slices.BinarySearchFunc(q.levels, priority, func(l *priorityLevel, priority int) int { return cmp.Compare(l.priority, priority) })
+func (q *Queue) level(priority int) *level {
+	at, ok := slices.BinarySearchFunc(q.levels, priority, func(l *level, priority int) int { return cmp.Compare(l.priority, priority) })
 	if !ok {
-		q.levels = slices.Insert(q.levels, at, &priorityLevel{priority: priority})
+		q.levels = slices.Insert(q.levels, at, &level{priority: priority})
 	}
 	return q.levels[at]
 }
--- a/internal/admission/crowded.go
+++ b/internal/admission/crowded.go
@@ -48,12 +48,12 @@
 func (q *Queue) offerFull(now time.Time, bucket int, r Request) Decision {
 	own := q.level(r.Priority)
 	if least := q.leastUrgent(); least.priority > r.Priority {
-		evicted := least.longestBucket()
+		evicted := least.longest()
 		if now.Sub(least.entries[least.newestIndex(evicted)].since) <= EvictLessUrgentWithin {
 			return q.replace(now, least, evicted, bucket, r)
 		}
 	}
-	longest := own.longestBucket()
+	longest := own.longest()
 	if longest == bucket && own.waiting[bucket] < len(own.entries) {
 		return Decision{Verdict: RefusedShare, RetryAfter: q.RetryAfter()}
 	}
@@ -67,7 +67,7 @@
 }
 
 // replace replaces the newest request of the evicted bucket by the given request.
-func (q *Queue) replace(now time.Time, from *priorityLevel, evicted, bucket int, r Request) Decision {
+func (q *Queue) replace(now time.Time, from *level, evicted, bucket int, r Request) Decision {
 	removed := from.popNewest(evicted)
 	q.waiting--
 	q.push(now, bucket, r)
@@ -76,7 +76,7 @@
 
 // leastUrgent returns the least urgent level in which a request waits. The queue must not be
 // empty.
-func (q *Queue) leastUrgent() *priorityLevel {
+func (q *Queue) leastUrgent() *level {
 	for _, l := range slices.Backward(q.levels) {
 		if len(l.entries) > 0 {
 			return l
--- a/internal/admission/grant.go
+++ b/internal/admission/grant.go
@@ -24,7 +24,7 @@
 // grant assigns the free slots to the requests that are served next.
 func (q *Queue) grant(now time.Time) (granted, expired []uint64) {
 	for q.running < q.config.Slots && q.waiting > 0 {
-		next := q.popNext(now)
+		next := q.next(now)
 		if q.cannotMeetDeadline(now, next) {
 			expired = append(expired, next.ID)
 			continue
@@ -35,15 +35,15 @@
 	return granted, expired
 }
 
-// popNext removes and returns the request that is served next. The queue must not be empty.
-func (q *Queue) popNext(now time.Time) Request {
+// next removes and returns the request that is served next. The queue must not be empty.
+func (q *Queue) next(now time.Time) Request {
 	q.waiting--
 	return q.nextLevel().popNext(now.Add(q.serviceTime))
 }
 
 // nextLevel returns the level that is served next: the most urgent one with waiting requests, or
 // after UrgentGrants grants to it the one after that.
-func (q *Queue) nextLevel() *priorityLevel {
+func (q *Queue) nextLevel() *level {
 	first := -1
 	for i, l := range q.levels {
 		if len(l.entries) == 0 {
--- a/internal/admission/line.go
+++ b/internal/admission/line.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// priorityLevel holds the waiting requests of one priority. Their customers take turns in
+// level holds the waiting requests of one priority. Their customers take turns in
 // rounds: each customer has one turn in a round, and within a round requests are served in
 // order of arrival. A customer that floods the queue therefore delays only its own requests.
-type priorityLevel struct {
+type level struct {
 	priority  int
 	entries   []entry // oldest first
 	waiting   [bucketCount]int
@@ -26,7 +26,7 @@
 }
 
 // push adds a request after the others of its customer.
-func (l *priorityLevel) push(now time.Time, bucket int, r Request) {
+func (l *level) push(now time.Time, bucket int, r Request) {
 	round := max(l.round, l.nextRound[bucket])
 	l.nextRound[bucket] = round + 1
 	l.entries = append(l.entries, entry{Request: r, since: now, bucket: bucket, round: round})
@@ -39,7 +39,7 @@
 //
 // Late requests come last because, with many customers waiting with one request each, serving
 // them in turn leaves too few slots for requests that can still be in time.
-func (l *priorityLevel) popNext(ready time.Time) Request {
+func (l *level) popNext(ready time.Time) Request {
 	next := l.firstMatching(func(r Request) bool { return r.TargetAt.IsZero() || !r.TargetAt.Before(ready) })
 	if next < 0 {
 		next = l.firstMatching(func(Request) bool { return true })
@@ -50,7 +50,7 @@
 
 // firstMatching returns the index of the request whose turn is next among those that match, or -1
 // if none does.
-func (l *priorityLevel) firstMatching(match func(Request) bool) int {
+func (l *level) firstMatching(match func(Request) bool) int {
 	first := -1
 	for i, e := range l.entries {
 		if match(e.Request) && (first < 0 || e.round < l.entries[first].round) {
@@ -61,7 +61,7 @@
 }
 
 // removeAt removes and returns the request at the index.
-func (l *priorityLevel) removeAt(index int) Request {
+func (l *level) removeAt(index int) Request {
 	e := l.entries[index]
 	l.entries = slices.Delete(l.entries, index, index+1)
 	l.waiting[e.bucket]--
@@ -69,14 +69,14 @@
 }
 
 // inTurnOrder returns the waiting requests in the order of their turns.
-func (l *priorityLevel) inTurnOrder() []entry {
+func (l *level) inTurnOrder() []entry {
 	entries := slices.Clone(l.entries)
 	slices.SortStableFunc(entries, func(a, b entry) int { return cmp.Compare(a.round, b.round) })
 	return entries
 }
 
 // newestIndex returns the index of the bucket's newest request. The bucket must not be empty.
-func (l *priorityLevel) newestIndex(bucket int) int {
+func (l *level) newestIndex(bucket int) int {
 	index := len(l.entries) - 1
 	for l.entries[index].bucket != bucket {
 		index--
@@ -85,14 +85,14 @@
 }
 
 // popNewest removes and returns the bucket's newest request; its turn becomes available again.
-func (l *priorityLevel) popNewest(bucket int) Request {
+func (l *level) popNewest(bucket int) Request {
 	index := l.newestIndex(bucket)
 	l.nextRound[bucket] = l.entries[index].round
 	return l.removeAt(index)
 }
 
-// longestBucket returns the bucket with the most waiting requests.
-func (l *priorityLevel) longestBucket() int {
+// longest returns the bucket with the most waiting requests.
+func (l *level) longest() int {
 	longest := 0
 	for i, waiting := range l.waiting {
 		if waiting > l.waiting[longest] {
@@ -103,7 +103,7 @@
 }
 
 // remove removes the requests that match and returns their IDs.
-func (l *priorityLevel) remove(match func(Request) bool) []uint64 {
+func (l *level) remove(match func(Request) bool) []uint64 {
 	var removed []uint64
 	l.entries = slices.DeleteFunc(l.entries, func(e entry) bool {
 		if !match(e.Request) {
