--- a/internal/balance/target.go
+++ b/internal/balance/target.go
@@ -64,9 +64,9 @@
 
 // SetBaseline sets the encoded baseline of the service's other backend servers, which is sent
 // to the target's sidecar with requests, and their typical response time.
-func (t *Target) SetBaseline(text string, typical time.Duration) {
+func (t *Target) SetBaseline(text string, typicalDuration time.Duration) {
 	t.baseline.Store(&text)
-	t.typicalDuration.Store(int64(typical))
+	t.typicalDuration.Store(int64(typicalDuration))
 }
 
 // Typical returns the typical response time of the other backend servers; zero if it is not
