--- a/internal/quota/collector.go
+++ b/internal/quota/collector.go
@@ -87,9 +87,9 @@
 func (c *Collector) Drain(now time.Time, from string) Report {
 	c.forwardedAt = now
 	c.pending = false
-	follows := c.hadVerdict
+	hadVerdict := c.hadVerdict
 	c.hadVerdict = false
-	return Report{From: from, Hosts: c.reporters.hosts(now), Counts: drain(c.counts), Follows: follows, Heard: c.verdictWithin(now, verdictKeptFor)}
+	return Report{From: from, Hosts: c.reporters.hosts(now), Counts: drain(c.counts), Follows: hadVerdict, Heard: c.verdictWithin(now, verdictKeptFor)}
 }
 
 // Restore adds back the counts of a report that was not answered.
--- a/internal/quota/gate.go
+++ b/internal/quota/gate.go
@@ -200,7 +200,7 @@
 		}
 	}
 	for customer := range g.credit {
-		if _, near := g.allowances[customer]; !near {
+		if _, nearLimit := g.allowances[customer]; !nearLimit {
 			delete(g.credit, customer)
 		}
 	}
