--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -129,8 +129,8 @@
 	// TargetAt is the latency target: the time by which the answer should arrive; zero if there
 	// is none.
 	TargetAt time.Time
-	// Usual is how long an answer typically takes; zero if that is not known.
-	Usual time.Duration
+	// TypicalLatency is how long an answer typically takes; zero if that is not known.
+	TypicalLatency time.Duration
 	// Deadline is the time by which the answer has to arrive.
 	Deadline time.Time
 }
@@ -213,7 +213,7 @@
 // missesTarget reports whether a request that starts at the given time and takes its typical
 // time is answered after its latency target.
 func (q *Queue) missesTarget(from time.Time, r Request) bool {
-	usual := r.Usual
+	usual := r.TypicalLatency
 	if usual == 0 {
 		usual = q.serviceTime
 	}
@@ -252,11 +252,11 @@
 	return time.Duration(ahead) * q.serviceTime / time.Duration(unstalled)
 }
 
-// Stalled records that a running request has outlasted nearly all others of its route.
-func (q *Queue) Stalled() { q.stalled++ }
+// MarkStalled records that a running request has outlasted nearly all others of its route.
+func (q *Queue) MarkStalled() { q.stalled++ }
 
-// Unstalled records that a stalled request has ended.
-func (q *Queue) Unstalled() { q.stalled = max(0, q.stalled-1) }
+// UnmarkStalled records that a stalled request has ended.
+func (q *Queue) UnmarkStalled() { q.stalled = max(0, q.stalled-1) }
 
 // push adds a request to the level of its priority.
 func (q *Queue) push(now time.Time, bucket int, r Request) {
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -219,7 +219,7 @@
 	q := admission.NewQueue(admission.Config{Slots: 2, Depth: 100})
 	offer := func(id uint64, target time.Duration) admission.Verdict {
 		return q.Offer(now, admission.Request{
-			ID: id, TargetAt: now.Add(target), Usual: 400 * time.Millisecond, Deadline: now.Add(time.Minute),
+			ID: id, TargetAt: now.Add(target), TypicalLatency: 400 * time.Millisecond, Deadline: now.Add(time.Minute),
 		}).Verdict
 	}
 	for id := range uint64(4) {
@@ -247,14 +247,14 @@
 		q.Offer(now, admission.Request{ID: id + 1, Deadline: now.Add(time.Minute)})
 	}
 	all := q.RetryAfter()
-	q.Stalled()
-	q.Stalled()
+	q.MarkStalled()
+	q.MarkStalled()
 	if half := q.RetryAfter(); half != 2*all {
 		t.Fatalf("wait with half of the slots stalled: %v, without: %v; want twice as long", half, all)
 	}
-	q.Unstalled()
-	q.Unstalled()
-	q.Unstalled() // one more than are stalled
+	q.UnmarkStalled()
+	q.UnmarkStalled()
+	q.UnmarkStalled() // one more than are stalled
 	if again := q.RetryAfter(); again != all {
 		t.Fatalf("wait after the stalled slots are freed: %v, want %v", again, all)
 	}
--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -17,8 +17,8 @@
 	// time.
 	State      detect.State
 	EjectedFor time.Duration
-	// ProbationRuns means that a probation request is running.
-	ProbationRuns bool
+	// ProbationInFlight means that a probation request is running.
+	ProbationInFlight bool
 	// Hanging means that a request is slow there and no later one has been answered
 	// successfully.
 	Hanging bool
@@ -35,9 +35,9 @@
 	Suspected bool
 	// MostlySlow means that the suspicion rests mostly on slow requests rather than on failures.
 	MostlySlow bool
-	// MayProbe means that an idempotent request may be sent as a probe, MayProbeWithAny that any
+	// MayProbe means that an idempotent request may be sent as a probe, MayProbeNonIdempotent that any
 	// request may.
-	MayProbe, MayProbeWithAny bool
+	MayProbe, MayProbeNonIdempotent bool
 	// RetryAfter is the delay that a refused caller is given.
 	RetryAfter time.Duration
 }
@@ -66,7 +66,7 @@
 		return Decision{Verdict: RefusedSuspected, RetryAfter: s.Suspicion.RetryAfter}
 	case s.isEjected() && s.State == detect.Ejected:
 		return Decision{Verdict: RefusedEjected, RetryAfter: retryafter.Ejected(s.EjectedFor)}
-	case s.isEjected() && (a.NonIdempotent || s.ProbationRuns):
+	case s.isEjected() && (a.NonIdempotent || s.ProbationInFlight):
 		return Decision{Verdict: RefusedEjected, RetryAfter: retryafter.Probation}
 	case a.RefuseIfHanging && s.Hanging:
 		return Decision{Verdict: RefusedHanging}
@@ -98,6 +98,6 @@
 	case !a.NonIdempotent && (s.MostlySlow || s.MayProbe):
 		return true
 	default:
-		return s.MayProbeWithAny
+		return s.MayProbeNonIdempotent
 	}
 }
--- a/internal/admission/many_test.go
+++ b/internal/admission/many_test.go
@@ -70,7 +70,7 @@
 		}
 		total++
 		id := uint64(total)
-		r := admission.Request{ID: id, Customer: fmt.Sprint(random.IntN(c.customers)), TargetAt: now.Add(c.target), Usual: c.serviceTime, Deadline: now.Add(c.deadline)}
+		r := admission.Request{ID: id, Customer: fmt.Sprint(random.IntN(c.customers)), TargetAt: now.Add(c.target), TypicalLatency: c.serviceTime, Deadline: now.Add(c.deadline)}
 		if random.Float64() >= c.urgent {
 			r.Priority = 1
 		}
--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -117,21 +117,21 @@
 // Targets returns all targets in the order of the declaration.
 func (p *Pool) Targets() []*Target { return p.view.Load().all }
 
-// Report records the load that was reported with a target's answer.
-func (p *Pool) Report(t *Target, load float64, now time.Time) {
+// RecordLoad records the load that was reported with a target's answer.
+func (p *Pool) RecordLoad(t *Target, load float64, now time.Time) {
 	t.loadBits.Store(math.Float64bits(load))
 	t.loadAt.Store(p.sinceStart(now))
 }
 
-// ReportFailing records the share of failed requests that the target's sidecar reported.
-func (p *Pool) ReportFailing(t *Target, share float64, now time.Time) {
+// RecordFailureShare records the share of failed requests that the target's sidecar reported.
+func (p *Pool) RecordFailureShare(t *Target, share float64, now time.Time) {
 	t.failureShareBits.Store(math.Float64bits(share))
 	t.failureShareAt.Store(p.sinceStart(now))
 }
 
-// Failing returns the share of failed requests by target name, for each target with a recent
+// FailureShares returns the share of failed requests by target name, for each target with a recent
 // report.
-func (p *Pool) Failing(now time.Time) map[string]float64 {
+func (p *Pool) FailureShares(now time.Time) map[string]float64 {
 	elapsed := p.sinceStart(now)
 	shares := make(map[string]float64)
 	for _, t := range p.view.Load().all {
--- a/internal/balance/busy.go
+++ b/internal/balance/busy.go
@@ -7,8 +7,8 @@
 	busyWeight = 16
 )
 
-// Looked records whether a target had a free slot for a request.
-func (p *Pool) Looked(free bool) {
+// RecordSlotCheck records whether a target had a free slot for a request.
+func (p *Pool) RecordSlotCheck(free bool) {
 	for {
 		old := p.busyShare.Load()
 		next := old - old/busyWeight
--- a/internal/balance/pause.go
+++ b/internal/balance/pause.go
@@ -18,8 +18,8 @@
 	t.suspectedUntil.Store(p.sinceStart(until))
 }
 
-// Trust makes a suspected target available again.
-func (p *Pool) Trust(t *Target) { t.suspectedUntil.Store(0) }
+// ClearSuspicion makes a suspected target available again.
+func (p *Pool) ClearSuspicion(t *Target) { t.suspectedUntil.Store(0) }
 
 // Paused reports whether the target is paused.
 func (p *Pool) Paused(t *Target, now time.Time) bool {
--- a/internal/balance/target.go
+++ b/internal/balance/target.go
@@ -41,8 +41,8 @@
 // End counts the end of a request.
 func (t *Target) End() { t.inFlight.Add(-1) }
 
-// Fail counts a failed request.
-func (t *Target) Fail() { t.failures.Add(1) }
+// RecordFailure counts a failed request.
+func (t *Target) RecordFailure() { t.failures.Add(1) }
 
 // InFlight returns the number of requests in flight.
 func (t *Target) InFlight() int { return int(t.inFlight.Load()) }
@@ -69,9 +69,9 @@
 	t.typicalDuration.Store(int64(typicalDuration))
 }
 
-// Typical returns the typical response time of the other backend servers; zero if it is not
+// TypicalLatency returns the typical response time of the other backend servers; zero if it is not
 // known.
-func (t *Target) Typical() time.Duration { return time.Duration(t.typicalDuration.Load()) }
+func (t *Target) TypicalLatency() time.Duration { return time.Duration(t.typicalDuration.Load()) }
 
 // Baseline returns the encoded baseline set by SetBaseline.
 func (t *Target) Baseline() string {
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -36,8 +36,8 @@
 	Host, DataCentre string
 	// Peers calls other daemons.
 	Peers *control.Client
-	// Away reports whether the host of that name is unreachable.
-	Away func(host string) bool
+	// Unreachable reports whether the host of that name is unreachable.
+	Unreachable func(host string) bool
 }
 
 // Limits enforces the customers' limits together with the other daemons: it is this daemon's
@@ -129,9 +129,9 @@
 	return maps.Clone(l.gate.Allowances()), maps.Clone(l.refused)
 }
 
-// GiveBack reverts the admission of a request that reached no backend server.
-func (l *Limits) GiveBack(customer string) {
+// Refund reverts the admission of a request that reached no backend server.
+func (l *Limits) Refund(customer string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.gate.GiveBack(customer)
+	l.gate.Refund(customer)
 }
--- a/internal/quota/collector.go
+++ b/internal/quota/collector.go
@@ -58,7 +58,7 @@
 func (c *Collector) Add(now time.Time, r Report) Verdict {
 	c.reporters[r.From] = reporter{at: now, hosts: r.Hosts}
 	c.pending = true
-	c.hadVerdict = c.hadVerdict || r.Follows
+	c.hadVerdict = c.hadVerdict || r.HadVerdict
 	merge(c.counts, r.Counts)
 	return c.Verdict(now)
 }
@@ -75,8 +75,8 @@
 	return c.verdict
 }
 
-// Added reports whether there are counts to forward.
-func (c *Collector) Added() bool { return c.pending }
+// HasPending reports whether there are counts to forward.
+func (c *Collector) HasPending() bool { return c.pending }
 
 // Due reports whether forwarding is due.
 func (c *Collector) Due(now time.Time) bool {
@@ -89,7 +89,7 @@
 	c.pending = false
 	hadVerdict := c.hadVerdict
 	c.hadVerdict = false
-	return Report{From: from, Hosts: c.reporters.hosts(now), Counts: drain(c.counts), Follows: hadVerdict, Heard: c.verdictWithin(now, verdictKeptFor)}
+	return Report{From: from, Hosts: c.reporters.hosts(now), Counts: drain(c.counts), HadVerdict: hadVerdict, LastVerdict: c.verdictWithin(now, verdictKeptFor)}
 }
 
 // Restore adds back the counts of a report that was not answered.
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -66,9 +66,9 @@
 // Count holds the number of requests of one customer since the last report.
 type Count struct {
 	Customer string `json:"c"`
-	// Asked counts all requests, Admitted the admitted ones without those refunded.
-	Asked    int `json:"a"`
-	Admitted int `json:"d"`
+	// Requested counts all requests, Admitted the admitted ones without those refunded.
+	Requested int `json:"a"`
+	Admitted  int `json:"d"`
 }
 
 // Report holds the counts of one daemon or one data centre since its last report.
@@ -78,19 +78,19 @@
 	// Hosts is the number of hosts whose counts are included.
 	Hosts  int     `json:"hosts"`
 	Counts []Count `json:"counts,omitempty"`
-	// Follows means that the reporter, or a daemon that reported to it, has received a verdict
+	// HadVerdict means that the reporter, or a daemon that reported to it, has received a verdict
 	// before, so that not all daemons have just started.
-	Follows bool `json:"follows,omitempty"`
-	// Heard is the last verdict that the reporter received, from which a new ledger continues.
-	Heard Verdict `json:"heard,omitzero"`
+	HadVerdict bool `json:"follows,omitempty"`
+	// LastVerdict is the last verdict that the reporter received, from which a new ledger continues.
+	LastVerdict Verdict `json:"heard,omitzero"`
 }
 
 // Verdict holds the shares of the customers' requests that gates admit.
 type Verdict struct {
 	// Known is false if no ledger has given a verdict yet.
 	Known bool `json:"known,omitempty"`
-	// By is the name of the ledger's host.
-	By string `json:"by,omitempty"`
+	// LedgerHost is the name of the ledger's host.
+	LedgerHost string `json:"by,omitempty"`
 	// Allowances holds the customers near or beyond their limit; all requests of other customers
 	// are admitted.
 	Allowances []Allowance `json:"standings,omitempty"`
@@ -109,7 +109,7 @@
 func merge(into map[string]Count, counts []Count) {
 	for _, c := range counts {
 		sum := into[c.Customer]
-		into[c.Customer] = Count{Customer: c.Customer, Asked: sum.Asked + c.Asked, Admitted: sum.Admitted + c.Admitted}
+		into[c.Customer] = Count{Customer: c.Customer, Requested: sum.Requested + c.Requested, Admitted: sum.Admitted + c.Admitted}
 	}
 }
 
@@ -117,7 +117,7 @@
 func drain(from map[string]Count) []Count {
 	counts := make([]Count, 0, len(from))
 	for _, c := range from {
-		if c.Asked != 0 || c.Admitted != 0 {
+		if c.Requested != 0 || c.Admitted != 0 {
 			counts = append(counts, c)
 		}
 	}
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -156,7 +156,7 @@
 	for range 5 {
 		h.request(20)
 		for range 20 {
-			h.gate.GiveBack("a")
+			h.gate.Refund("a")
 		}
 		h.advance(time.Second)
 	}
@@ -218,7 +218,7 @@
 	for _, test := range tests {
 		now := simStart.Add(test.later)
 		verdict := c.Add(now, quota.Report{From: "csepel-1", Hosts: 1})
-		heard := c.Drain(now, "csepel-2").Heard
+		heard := c.Drain(now, "csepel-2").LastVerdict
 		if verdict.Known != test.gate || heard.Known != test.heard || heard.Known && len(heard.Allowances) != 1 {
 			t.Errorf("after %s a gate gets %+v, a ledger %+v", test.later, verdict, heard)
 		}
@@ -234,7 +234,7 @@
 	var verdict quota.Verdict
 	for i := range 5 {
 		at := simStart.Add(time.Duration(i) * 100 * time.Millisecond)
-		verdict = ledger.Add(at, quota.Report{From: "csepel-1", Hosts: 1, Heard: heard, Counts: []quota.Count{{Customer: "a", Asked: 5, Admitted: 1}}})
+		verdict = ledger.Add(at, quota.Report{From: "csepel-1", Hosts: 1, LastVerdict: heard, Counts: []quota.Count{{Customer: "a", Requested: 5, Admitted: 1}}})
 	}
 	if len(verdict.Allowances) != 1 || verdict.Allowances[0].Level > -40 || verdict.Allowances[0].Share > 0 {
 		t.Fatalf("%+v", verdict)
--- a/internal/quota/ways_test.go
+++ b/internal/quota/ways_test.go
@@ -53,7 +53,7 @@
 			gate.Restore(counts)
 			return
 		}
-		verdict := collectors[to].Add(now.Add(simDelay/2), quota.Report{From: customerName(host), Hosts: 1, Counts: counts, Follows: gate.HasVerdict()})
+		verdict := collectors[to].Add(now.Add(simDelay/2), quota.Report{From: customerName(host), Hosts: 1, Counts: counts, HadVerdict: gate.HasVerdict()})
 		if urgent {
 			forward(now, to)
 			verdict = collectors[to].Verdict(now)
