--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -213,11 +213,11 @@
 // missesTarget reports whether a request that starts at the given time and takes its typical
 // time is answered after its latency target.
 func (q *Queue) missesTarget(from time.Time, r Request) bool {
-	usual := r.TypicalLatency
-	if usual == 0 {
-		usual = q.serviceTime
+	typical := r.TypicalLatency
+	if typical == 0 {
+		typical = q.serviceTime
 	}
-	return !r.TargetAt.IsZero() && from.Add(usual).After(r.TargetAt)
+	return !r.TargetAt.IsZero() && from.Add(typical).After(r.TargetAt)
 }
 
 // countAhead returns the number of waiting requests that are served before a new one of the
--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -35,8 +35,8 @@
 	Suspected bool
 	// MostlySlow means that the suspicion rests mostly on slow requests rather than on failures.
 	MostlySlow bool
-	// MayProbe means that an idempotent request may be sent as a probe, MayProbeNonIdempotent that any
-	// request may.
+	// MayProbe means that an idempotent request may be sent as a probe, MayProbeNonIdempotent
+	// that a non-idempotent one may as well.
 	MayProbe, MayProbeNonIdempotent bool
 	// RetryAfter is the delay that a refused caller is given.
 	RetryAfter time.Duration
