--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -10,7 +10,7 @@
 //	target, ok := pool.Pick(now, tried)
 //	target.Begin()
 //	defer target.End()
-//	pool.Report(target, load, now)
+//	pool.RecordLoad(target, load, now)
 //
 // The algorithm is power of two choices on load: of two targets drawn at random the less
 // loaded one is chosen, from the caller's own data centre first. A request spills over to
@@ -129,8 +129,8 @@
 	t.failureShareAt.Store(p.sinceStart(now))
 }
 
-// FailureShares returns the share of failed requests by target name, for each target with a recent
-// report.
+// FailureShares returns the share of failed requests by target name, for each target with a
+// recent report.
 func (p *Pool) FailureShares(now time.Time) map[string]float64 {
 	elapsed := p.sinceStart(now)
 	shares := make(map[string]float64)
--- a/internal/balance/target.go
+++ b/internal/balance/target.go
@@ -24,7 +24,7 @@
 	share            atomic.Uint32
 	probation        atomic.Uint32
 	baseline         atomic.Pointer[string]
-	typicalDuration  atomic.Int64
+	typicalLatency   atomic.Int64
 	requests         atomic.Int64
 	failures         atomic.Int64
 }
@@ -63,15 +63,15 @@
 func (t *Target) Share() uint32 { return t.share.Load() }
 
 // SetBaseline sets the encoded baseline of the service's other backend servers, which is sent
-// to the target's sidecar with requests, and their typical response time.
-func (t *Target) SetBaseline(text string, typicalDuration time.Duration) {
+// to the target's sidecar with requests, and their typical latency.
+func (t *Target) SetBaseline(text string, typicalLatency time.Duration) {
 	t.baseline.Store(&text)
-	t.typicalDuration.Store(int64(typicalDuration))
+	t.typicalLatency.Store(int64(typicalLatency))
 }
 
-// TypicalLatency returns the typical response time of the other backend servers; zero if it is not
+// TypicalLatency returns the typical latency of the other backend servers; zero if it is not
 // known.
-func (t *Target) TypicalLatency() time.Duration { return time.Duration(t.typicalDuration.Load()) }
+func (t *Target) TypicalLatency() time.Duration { return time.Duration(t.typicalLatency.Load()) }
 
 // Baseline returns the encoded baseline set by SetBaseline.
 func (t *Target) Baseline() string {
