--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -13,7 +13,7 @@
 //
 // # Usage
 //
-//	l := limits.New(limits.Config{Host: name, DataCentre: place, Peers: client, Away: ingress.Away})
+//	l := limits.New(limits.Config{Host: name, DataCentre: dataCentre, Peers: client, Unreachable: ingress.Unreachable})
 //	go l.Run(ctx)
 //	l.Reconfigure(declaration)
 //	if decision := l.Admit(customer); !decision.Admitted { ... }
--- a/internal/limits/report.go
+++ b/internal/limits/report.go
@@ -32,8 +32,8 @@
 	l.repeatWhileLimited(ctx, l.verdictWanted, l.reportIfDue)
 }
 
-// repeatWhileLimited calls report at each check interval and when woken, while a customer has a
-// limit.
+// repeatWhileLimited calls report at each check interval and when woken, until ctx ends. It
+// does not call it while no customer has a limit.
 func (l *Limits) repeatWhileLimited(ctx context.Context, wake <-chan struct{}, report func(context.Context)) {
 	for ctx.Err() == nil {
 		l.mu.Lock()
