--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -142,12 +142,12 @@
 }
 
 // adoptLevels sets the buckets to the levels in the verdict of a previous ledger.
-func (l *Ledger) adoptLevels(now time.Time, part float64, heard Verdict) {
-	if !heard.Known {
+func (l *Ledger) adoptLevels(now time.Time, part float64, last Verdict) {
+	if !last.Known {
 		return
 	}
-	levels := make(map[string]float64, len(heard.Allowances))
-	for _, s := range heard.Allowances {
+	levels := make(map[string]float64, len(last.Allowances))
+	for _, s := range last.Allowances {
 		levels[s.Customer] = s.Level
 	}
 	for customer, declared := range l.limits {
@@ -213,11 +213,11 @@
 // from leeway.
 func (b *bucket) share(limit Limit) float64 {
 	room := b.level + leeway + limit.Rate*horizon.Seconds()
-	asked := b.rate() * horizon.Seconds()
-	if asked <= room {
+	expected := b.rate() * horizon.Seconds()
+	if expected <= room {
 		return 1
 	}
-	return max(0, room/asked)
+	return max(0, room/expected)
 }
 
 // verdict returns the allowances of the customers near their limit. It is unknown during
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -78,16 +78,17 @@
 	// Hosts is the number of hosts whose counts are included.
 	Hosts  int     `json:"hosts"`
 	Counts []Count `json:"counts,omitempty"`
-	// HadVerdict means that the reporter, or a daemon that reported to it, has received a verdict
-	// before, so that not all daemons have just started.
+	// HadVerdict means that the reporter, or a daemon that reported to it, has received a
+	// verdict before, so that not all daemons have just started.
 	HadVerdict bool `json:"follows,omitempty"`
-	// LastVerdict is the last verdict that the reporter received, from which a new ledger continues.
+	// LastVerdict is the last verdict that the reporter received, from which a new ledger
+	// continues.
 	LastVerdict Verdict `json:"heard,omitzero"`
 }
 
 // Verdict holds the shares of the customers' requests that gates admit.
 type Verdict struct {
-	// Known is false if no ledger has given a verdict yet.
+	// Known is false if there is no verdict of a ledger, or no recent one.
 	Known bool `json:"known,omitempty"`
 	// LedgerHost is the name of the ledger's host.
 	LedgerHost string `json:"by,omitempty"`
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -208,8 +208,8 @@
 	c := quota.NewCollector()
 	c.SetVerdict(simStart, quota.Verdict{Known: true, Allowances: []quota.Allowance{{Customer: "a", Share: 0.1}}})
 	tests := []struct {
-		later       time.Duration
-		gate, heard bool
+		later             time.Duration
+		gate, lastVerdict bool
 	}{
 		{100 * time.Millisecond, true, true},
 		{time.Second, false, true},
@@ -218,9 +218,9 @@
 	for _, test := range tests {
 		now := simStart.Add(test.later)
 		verdict := c.Add(now, quota.Report{From: "csepel-1", Hosts: 1})
-		heard := c.Drain(now, "csepel-2").LastVerdict
-		if verdict.Known != test.gate || heard.Known != test.heard || heard.Known && len(heard.Allowances) != 1 {
-			t.Errorf("after %s a gate gets %+v, a ledger %+v", test.later, verdict, heard)
+		lastVerdict := c.Drain(now, "csepel-2").LastVerdict
+		if verdict.Known != test.gate || lastVerdict.Known != test.lastVerdict || lastVerdict.Known && len(lastVerdict.Allowances) != 1 {
+			t.Errorf("after %s a gate gets %+v, a ledger %+v", test.later, verdict, lastVerdict)
 		}
 	}
 }
@@ -230,11 +230,11 @@
 func TestNewLedgerAdoptsLevels(t *testing.T) {
 	ledger := quota.NewLedger("csepel-1")
 	ledger.Reconfigure(limitsOf(10, 100), 1)
-	heard := quota.Verdict{Known: true, Allowances: []quota.Allowance{{Customer: "a", Share: 0.2, Level: -50}}}
+	lastVerdict := quota.Verdict{Known: true, Allowances: []quota.Allowance{{Customer: "a", Share: 0.2, Level: -50}}}
 	var verdict quota.Verdict
 	for i := range 5 {
 		at := simStart.Add(time.Duration(i) * 100 * time.Millisecond)
-		verdict = ledger.Add(at, quota.Report{From: "csepel-1", Hosts: 1, LastVerdict: heard, Counts: []quota.Count{{Customer: "a", Requested: 5, Admitted: 1}}})
+		verdict = ledger.Add(at, quota.Report{From: "csepel-1", Hosts: 1, LastVerdict: lastVerdict, Counts: []quota.Count{{Customer: "a", Requested: 5, Admitted: 1}}})
 	}
 	if len(verdict.Allowances) != 1 || verdict.Allowances[0].Level > -40 || verdict.Allowances[0].Share > 0 {
 		t.Fatalf("%+v", verdict)
--- a/internal/quota/ways_test.go
+++ b/internal/quota/ways_test.go
@@ -151,9 +151,9 @@
 
 // lease holds the tokens that an owner has granted to a host until it expires.
 type lease struct {
-	tokens float64
-	until  time.Time
-	asked  float64 // requests since it began
+	tokens    float64
+	until     time.Time
+	requested float64 // requests since it began
 }
 
 // leased is the strategy of an owner for each customer that leases tokens to hosts for a
@@ -177,7 +177,7 @@
 		if now.Before(l.until.Add(time.Second)) {
 			owners[c].level += l.tokens // unused tokens are returned
 		}
-		want := min(max(1, 2*l.asked), max(0, owners[c].level))
+		want := min(max(1, 2*l.requested), max(0, owners[c].level))
 		owners[c].level -= want
 		*l = lease{tokens: want, until: now.Add(time.Second)}
 		return l
@@ -194,7 +194,7 @@
 				}
 				l = renew(now, host, c)
 			}
-			l.asked++
+			l.requested++
 			if l.tokens < 1 {
 				return false
 			}
