--- a/internal/admission/crowded.go
+++ b/internal/admission/crowded.go
@@ -12,7 +12,8 @@
 	// urgent one. It is short, because the evicted caller gets its refusal only then.
 	EvictLessUrgentWithin = 50 * time.Millisecond
 	// EvictWithin is how long after being queued a request can be evicted by another customer's
-	// request of the same priority.
+	// request of the same priority. It is short, so that the evicted caller gets its refusal
+	// about as soon as if it had not been queued.
 	EvictWithin = 10 * time.Millisecond
 )
 
@@ -43,8 +44,9 @@
 }
 
 // offerFull decides on a request while the queue is full. The request replaces the newest one
-// of the least urgent priority if it is more urgent, or that of the customer with the most
-// waiting requests if its own customer has fewer.
+// of the least urgent level if it is more urgent, or that of the customer with the most waiting
+// requests if its own customer has fewer, provided that the other was queued within
+// EvictLessUrgentWithin or EvictWithin. Otherwise it is refused.
 func (q *Queue) offerFull(now time.Time, bucket int, r Request) Decision {
 	own := q.level(r.Priority)
 	if least := q.leastUrgent(); least.priority > r.Priority {
--- a/internal/admission/line.go
+++ b/internal/admission/line.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// level holds the waiting requests of one priority. Their customers take turns in
-// rounds: each customer has one turn in a round, and within a round requests are served in
-// order of arrival. A customer that floods the queue therefore delays only its own requests.
+// level holds the waiting requests of one priority. Their customers take turns in rounds: each
+// customer has one turn in a round, and within a round requests are served in order of arrival.
+// A customer that floods the queue therefore delays only its own requests.
 type level struct {
 	priority  int
 	entries   []entry // oldest first
@@ -48,8 +48,8 @@
 	return l.removeAt(next)
 }
 
-// firstMatching returns the index of the request whose turn is next among those that match, or -1
-// if none does.
+// firstMatching returns the index of the request whose turn is next among those that match, or
+// -1 if none does.
 func (l *level) firstMatching(match func(Request) bool) int {
 	first := -1
 	for i, e := range l.entries {
