--- a/internal/admission/grant.go
+++ b/internal/admission/grant.go
@@ -2,19 +2,17 @@
 
 import "time"
 
-// UrgentGrants is how many grants go to the more urgent while the less urgent
-// wait, before one goes to those. Source: what is less urgent must get a
-// quarter of the share that the rest gets at the least.
+// UrgentGrants is the number of consecutive grants to the most urgent waiting priority after
+// which a less urgent one gets the next grant.
 const UrgentGrants = 3
 
-// hopelessPart is the part of the usual service time, as one part in so many, that has to be left
-// for a request to be run at all. Not measured: few requests are answered in half of it.
-const hopelessPart = 2
+// minServiceDivisor is the divisor of the average service time that yields the time a request
+// needs before its deadline to be run at all.
+const minServiceDivisor = 2
 
-// Done frees a slot after a request that took so long, and returns the
-// requests that get a slot and those that can no longer make their deadline.
-// A request that was granted a slot and never sent has taken zero, which the
-// average leaves out.
+// Done frees the slot of a request that took the given time, and returns the requests that get
+// a slot and those that can no longer meet their deadline. A request that was granted a slot
+// but never sent has taken zero, which is left out of the average.
 func (q *Queue) Done(now time.Time, took time.Duration) (granted, expired []uint64) {
 	q.running--
 	if took > 0 {
@@ -23,11 +21,11 @@
 	return q.grant(now)
 }
 
-// grant gives the free slots to the requests that are served next.
+// grant assigns the free slots to the requests that are served next.
 func (q *Queue) grant(now time.Time) (granted, expired []uint64) {
 	for q.running < q.config.Slots && q.waiting > 0 {
 		next := q.next(now)
-		if q.isHopeless(now, next) {
+		if q.cannotMeetDeadline(now, next) {
 			expired = append(expired, next.ID)
 			continue
 		}
@@ -37,18 +35,18 @@
 	return granted, expired
 }
 
-// next takes the request that is served next. The queue is not empty.
+// next removes and returns the request that is served next. The queue must not be empty.
 func (q *Queue) next(now time.Time) Request {
 	q.waiting--
-	return q.nextLine().popTurn(now.Add(q.serviceTime))
+	return q.nextLevel().popNext(now.Add(q.serviceTime))
 }
 
-// nextLine returns the line that is served next: the most urgent, or after
-// UrgentGrants of those the next one that waits.
-func (q *Queue) nextLine() *line {
+// nextLevel returns the level that is served next: the most urgent one with waiting requests, or
+// after UrgentGrants grants to it the one after that.
+func (q *Queue) nextLevel() *level {
 	first := -1
-	for i, l := range q.lines {
-		if len(l.places) == 0 {
+	for i, l := range q.levels {
+		if len(l.entries) == 0 {
 			continue
 		}
 		if first >= 0 {
@@ -61,11 +59,11 @@
 		}
 	}
 	q.urgentGrants++
-	return q.lines[first]
+	return q.levels[first]
 }
 
-// isHopeless reports whether too little of the usual service time is left before the
-// deadline for the request to be run.
-func (q *Queue) isHopeless(now time.Time, r Request) bool {
-	return now.Add(q.serviceTime / hopelessPart).After(r.Deadline)
+// cannotMeetDeadline reports whether too little time is left before the deadline for the
+// request to be run.
+func (q *Queue) cannotMeetDeadline(now time.Time, r Request) bool {
+	return now.Add(q.serviceTime / minServiceDivisor).After(r.Deadline)
 }
--- a/internal/quota/collector.go
+++ b/internal/quota/collector.go
@@ -3,36 +3,34 @@
 import "time"
 
 const (
-	// presentFor is how long a reporter counts as present after a report. Source: reports
-	// come every 400 ms at least, so that two may be lost.
-	presentFor = time.Second
-	// forwardEvery is the pause between two reports of a collector while it has something
-	// to forward. Source: ten calls a second of each data centre to one daemon.
+	// reporterTTL is how long a reporter counts as present after a report. At the usual pause
+	// between reports two may be lost.
+	reporterTTL = time.Second
+	// forwardEvery is the minimum pause between two reports of a collector to the ledger.
 	forwardEvery = 100 * time.Millisecond
-	// verdictKeptFor is how long a collector passes its last verdict to a ledger that begins. Source: verdicts
-	// come ten times a second; a daemon that collects again after a while knows nothing yet.
+	// verdictKeptFor is how long a collector sends its last verdict to a new ledger.
 	verdictKeptFor = 2 * time.Second
-	// verdictFreshFor is how long gates are told it. Source: three reports to the ledger. A gate that
-	// is told an older one would conclude that a customer is below its limit,
-	// while the ledger is gone and the customer's rate rises.
+	// verdictFreshFor is how long a collector returns its last verdict to gates. An older one
+	// would let a gate conclude that a customer is below its limit while the ledger is gone and
+	// the rate rises.
 	verdictFreshFor = 300 * time.Millisecond
 )
 
-// present records who reported of late, for how many hosts.
-type present map[string]presence
+// reporters holds the recent reporters by host name.
+type reporters map[string]reporter
 
-// presence is when a reporter last reported, and for how many hosts.
-type presence struct {
+// reporter holds the time of a reporter's last report and the number of its hosts.
+type reporter struct {
 	at    time.Time
 	hosts int
 }
 
-// hosts returns how many hosts reported of late, and forgets the others.
-func (p present) hosts(now time.Time) int {
+// hosts returns the number of hosts with recent reports, and removes expired reporters.
+func (r reporters) hosts(now time.Time) int {
 	sum := 0
-	for from, seen := range p {
-		if now.Sub(seen.at) > presentFor {
-			delete(p, from)
+	for from, seen := range r {
+		if now.Sub(seen.at) > reporterTTL {
+			delete(r, from)
 			continue
 		}
 		sum += seen.hosts
@@ -42,63 +40,65 @@
 
 // Collector adds up the reports of a data centre's daemons.
 type Collector struct {
-	present     present
+	reporters   reporters
 	counts      map[string]Count
 	verdict     Verdict
 	verdictAt   time.Time
 	forwardedAt time.Time
-	added       bool
-	follows     bool // who reported since the last report had a verdict before
+	pending     bool
+	hadVerdict  bool // a reporter since the last forwarded report had a verdict before
 }
 
 // NewCollector returns a collector without reports.
 func NewCollector() *Collector {
-	return &Collector{present: make(present), counts: make(map[string]Count)}
+	return &Collector{reporters: make(reporters), counts: make(map[string]Count)}
 }
 
-// Add counts a daemon's report and returns what the ledger last said.
+// Add adds a daemon's report and returns the last verdict of the ledger.
 func (c *Collector) Add(now time.Time, r Report) Verdict {
-	c.present[r.From] = presence{at: now, hosts: r.Hosts}
-	c.added = true
-	c.follows = c.follows || r.HadVerdict
+	c.reporters[r.From] = reporter{at: now, hosts: r.Hosts}
+	c.pending = true
+	c.hadVerdict = c.hadVerdict || r.HadVerdict
 	merge(c.counts, r.Counts)
 	return c.Verdict(now)
 }
 
-// Verdict returns what the ledger last said, for gates; it is unknown if that is no longer
-// fresh.
+// Verdict returns the last verdict of the ledger for gates; it is unknown once the verdict is
+// no longer fresh.
 func (c *Collector) Verdict(now time.Time) Verdict { return c.verdictWithin(now, verdictFreshFor) }
 
-// verdictWithin returns the last verdict, unless that was longer ago.
-func (c *Collector) verdictWithin(now time.Time, length time.Duration) Verdict {
-	if now.Sub(c.verdictAt) > length {
+// verdictWithin returns the last verdict unless it is older than maxAge.
+func (c *Collector) verdictWithin(now time.Time, maxAge time.Duration) Verdict {
+	if now.Sub(c.verdictAt) > maxAge {
 		return Verdict{}
 	}
 	return c.verdict
 }
 
-// HasPending reports whether there is something to forward.
-func (c *Collector) HasPending() bool { return c.added }
+// HasPending reports whether there are counts to forward.
+func (c *Collector) HasPending() bool { return c.pending }
 
-// Due reports whether it is time to forward something.
-func (c *Collector) Due(now time.Time) bool { return c.added && now.Sub(c.forwardedAt) >= forwardEvery }
+// Due reports whether forwarding is due.
+func (c *Collector) Due(now time.Time) bool {
+	return c.pending && now.Sub(c.forwardedAt) >= forwardEvery
+}
 
-// Drain returns the report to forward under that name.
+// Drain returns the report to forward under the host name and resets the counts.
 func (c *Collector) Drain(now time.Time, from string) Report {
 	c.forwardedAt = now
-	c.added = false
-	follows := c.follows
-	c.follows = false
-	return Report{From: from, Hosts: c.present.hosts(now), Counts: drain(c.counts), HadVerdict: follows, LastVerdict: c.verdictWithin(now, verdictKeptFor)}
+	c.pending = false
+	hadVerdict := c.hadVerdict
+	c.hadVerdict = false
+	return Report{From: from, Hosts: c.reporters.hosts(now), Counts: drain(c.counts), HadVerdict: hadVerdict, LastVerdict: c.verdictWithin(now, verdictKeptFor)}
 }
 
-// Restore adds again the counts of a report that was not answered.
+// Restore adds back the counts of a report that was not answered.
 func (c *Collector) Restore(counts []Count) {
-	c.added = c.added || len(counts) > 0
+	c.pending = c.pending || len(counts) > 0
 	merge(c.counts, counts)
 }
 
-// SetVerdict sets what Verdict returns, if the ledger has answered.
+// SetVerdict stores a verdict of the ledger. It ignores a verdict that is not known.
 func (c *Collector) SetVerdict(now time.Time, v Verdict) {
 	if v.Known {
 		c.verdict, c.verdictAt = v, now
