--- a/internal/quarantine/fuzz_test.go
+++ b/internal/quarantine/fuzz_test.go
@@ -8,8 +8,8 @@
 	"github.com/tideliftd/tidelift/internal/quarantine"
 )
 
-// FuzzRecord takes records of any bytes, as another daemon or the store may tell them: whatever they say, an answer or
-// an operator's word clears a request, and lookups hold.
+// FuzzRecord guards against records of arbitrary content, from another daemon or the store, that make lookups panic
+// or that an operator cannot clear.
 func FuzzRecord(f *testing.F) {
 	table := quarantine.New()
 	end(table, "a", quarantine.Limit)
@@ -33,11 +33,11 @@
 		_ = view.TrialDue(start, told.ID)
 		if view.Status(told.ID) != quarantine.Clear {
 			if _, ok := table.Lift(start, told.ID); !ok {
-				t.Fatal("an operator cannot lift it")
+				t.Fatal("an operator cannot clear the request")
 			}
 		}
 		if got := table.View().Status(told.ID); got != quarantine.Clear {
-			t.Fatalf("it is %s", got)
+			t.Fatalf("status after the lift is %s", got)
 		}
 		table.Forget(start.Add(time.Hour))
 	})
--- a/internal/quarantine/plays_test.go
+++ b/internal/quarantine/plays_test.go
@@ -7,8 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestAFleetKeepsAGuiltyRequestAway plays fleets of all sizes with cuts, restarts, an outage of the store and
-// backend servers that end by themselves.
+// TestAFleetKeepsAGuiltyRequestAway guards against a request that crashes backend servers and is still sent after
+// every daemon should have quarantined it, despite network partitions, restarts, an outage of the store and
+// unrelated ends of backend servers.
 func TestAFleetKeepsAGuiltyRequestAway(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := play{
@@ -24,18 +25,18 @@
 		}
 		got := simulate(p, rapid.Uint64().Draw(t, "seed"))
 		if got.late > allowedAfter {
-			t.Fatalf("it was sent %d times later than it should have been known, allowed are %d; it ended %d backend servers", got.late, allowedAfter, got.ends)
+			t.Fatalf("the request was sent %d times after the quarantine deadline, want at most %d; it ended %d backend servers", got.late, allowedAfter, got.ends)
 		}
 	})
 }
 
-// popularRequests are played without a guilty one.
+// popularRequests returns a simulation of innocent requests only.
 func popularRequests(hosts, groups, together int, endsGap time.Duration) play {
 	return play{way: wholeWay, hosts: hosts, groups: groups, together: together, endsGap: endsGap, guiltyGap: time.Hour, popular: 3, length: 20 * time.Second}
 }
 
-// TestPopularRequestsAreServedWhileBackendServersEnd ends backend servers by themselves, so that up to half
-// of them are away, while popular requests run everywhere: next to none is refused.
+// TestPopularRequestsAreServedWhileBackendServersEnd guards against frequent innocent requests that are refused
+// because unrelated ends of backend servers, up to half of them at a time, are attributed to them.
 func TestPopularRequestsAreServedWhileBackendServersEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := rapid.SampledFrom([]int{8, 20, 60}).Draw(t, "hosts")
@@ -49,9 +50,9 @@
 	})
 }
 
-// TestWhereAllBackendServersEndFewerAreRefusedThanLost ends as many as are there, over and over, so that few
-// runs come to an answer and a popular request is at three ends in a row. More fail with their backend
-// servers than are refused for that.
+// TestWhereAllBackendServersEndFewerAreRefusedThanLost guards against a quarantine that does more harm than the
+// outage: while nearly all backend servers keep ending, fewer innocent requests are refused than fail with their
+// backend servers.
 func TestWhereAllBackendServersEndFewerAreRefusedThanLost(t *testing.T) {
 	tests := []struct {
 		hosts, together int
@@ -66,8 +67,8 @@
 	}
 }
 
-// TestWaysCompared plays the same fleets with parts of the design left out. The figures stand in
-// docs/design.
+// TestWaysCompared guards against a complete design that misses its bounds, and logs how variants without some of its
+// mechanisms compare. docs/design has the figures.
 func TestWaysCompared(t *testing.T) {
 	const seeds = 20
 	ways := []struct {
@@ -75,11 +76,11 @@
 		way  way
 	}{
 		{"each daemon by itself", way{clears: true}},
-		{"told, not stored", way{tells: true, clears: true}},
-		{"stored, not told", way{stores: true, clears: true, tries: true}},
+		{"notified, not stored", way{tells: true, clears: true}},
+		{"stored, not notified", way{stores: true, clears: true, tries: true}},
 		{"no answer clears", way{tells: true, stores: true}},
 		{"no trial", way{tells: true, stores: true, clears: true}},
-		{"whole", wholeWay},
+		{"complete", wholeWay},
 	}
 	for _, w := range ways {
 		var one, cut, often, seldom outcome
@@ -97,12 +98,12 @@
 			float64(one.ends)/seeds, float64(one.late)/seeds, float64(cut.ends)/seeds, float64(cut.late)/seeds,
 			100*float64(often.refused)/float64(often.asked), 100*float64(seldom.refused)/float64(seldom.asked))
 		if w.way == wholeWay && (one.late > seeds*allowedAfter || cut.late > seeds*allowedAfter || often.refused > often.asked/500) {
-			t.Errorf("the whole design fails")
+			t.Errorf("the complete design exceeds its bounds")
 		}
 	}
 }
 
-// plus returns what both plays showed.
+// plus returns the sum of both outcomes.
 func (o outcome) plus(other outcome) outcome {
 	return outcome{
 		ends: o.ends + other.ends, late: o.late + other.late,
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -1,61 +1,57 @@
-// Package quarantine decides which requests no backend server is sent any more, since they have ended
-// each one that ran them.
+// Package quarantine detects requests that crash the backend servers that run them, and quarantines them so
+// that no backend server receives them again.
 //
-// Most requests that run on a backend server when it ends have nothing to do with that. The guilty one
-// shows by coming back: it is there each time, and it is never answered. So each request that a backend
-// server ran when it ended is suspected, an answer clears it at once, and one that was there at Limit
-// ends without an answer in between is quarantined.
+// When a backend server ends, most of the requests that it was running are not the cause. The one that is keeps
+// recurring and never receives an answer. Each request that was running when a backend server ended is therefore
+// suspected. An answer clears it immediately; Limit ends without an answer in between quarantine it.
 //
 // # Usage
 //
 //	table := quarantine.New()
 //	changed, ok := table.RecordEnd(now, quarantine.Sighting{ID: id, Head: head, Service: "lookup"}, quarantine.End{Server: "i-7f3a", At: millis})
-//	updates := table.Merge(records)                       // of other daemons or of the store
-//	changed, ok = table.RecordAnswer(now, id)             // a backend server answered it
+//	updates := table.Merge(records)                       // from other daemons or from the store
+//	changed, ok = table.RecordAnswer(now, id)             // a backend server answered the request
 //	changed, ok = table.ProposeTrial(now, id, "csepel-1") // may this daemon send it once more?
-//	changed, ok = table.Lift(now, id)                     // an operator lifts its quarantine
-//	view := table.View()                                  // for lookups, never changed
+//	changed, ok = table.Lift(now, id)                     // an operator lifts the quarantine
+//	view := table.View()                                  // immutable snapshot for lookups
 //
 // # Rules
 //
-//   - What is known of a request is a Record. Two records of one request merge into one, in any order
-//     and any number of times with the same result, so that it does not matter by which ways a
-//     record comes and how often.
-//   - A record counts ends by the backend server's name and the time that its sidecar gave the end, so
-//     that an end that several runs or daemons report counts once.
-//   - An answer, or an operator, begins a new epoch without ends. Of two epochs the later holds, so
-//     that a late report of an earlier end changes nothing.
-//   - A request in quarantine is tried once more, by one daemon of the fleet, some time after its last
-//     end: many backend servers may have ended together by themselves. After that only an operator
-//     lifts it, or the answer of a run that began before.
-//   - A suspect is forgotten some time after its last change, and the end of a quarantine a day after it; what
-//     is quarantined is not.
+//   - A Record holds the state of one request. Merging two records of a request is commutative, associative and
+//     idempotent, so the path, the order and the number of times that a record arrives do not matter.
+//   - An end is identified by the name of the backend server and the time that its sidecar assigned to the end, so
+//     an end that several runs or daemons report counts once.
+//   - An answer or an operator starts a new epoch without ends. The later of two epochs wins, so a late report
+//     of an end of an earlier epoch has no effect.
+//   - A quarantined request gets one trial: a single daemon of the fleet sends it once more, TrialAfter after its
+//     last end, since many backend servers may have ended together for an unrelated reason. After the trial, only an
+//     operator, or the answer of a run that began earlier, lifts the quarantine.
+//   - A suspected request expires SuspectedFor after its last change, and a lifted quarantine ClearedFor after
+//     its last change. A quarantine in force does not expire.
 //
-// A Table is in table.go, the merge of records in record.go, lookups in view.go. None of them has a clock,
-// goroutine or socket.
+// The Table is in table.go, the merge of records in record.go, and lookups in view.go. None of them uses a clock,
+// a goroutine or a socket.
 package quarantine
 
 import "time"
 
 const (
-	// Limit is at how many ends without an answer a request is quarantined. Source: users
-	// allow three ends. One blames every request that ran there, and two still meet backend
-	// servers that end by themselves; docs/design/0014-quarantine.md has the ways compared.
+	// Limit is the number of ends without an answer at which a request is quarantined. One end implicates every
+	// request that was running there, and two still coincide with unrelated ends of backend servers; see
+	// docs/design/0014-quarantine.md.
 	Limit = 3
-	// SuspectedFor is how long after its last end a request is suspected. Not measured: one that comes
-	// again does so within seconds or minutes; the store keeps a record twice as long.
+	// SuspectedFor is how long after its last change a suspected request is kept. The store keeps its record
+	// twice as long.
 	SuspectedFor = 5 * time.Minute
-	// ClearedFor is how long it is remembered that a quarantine has ended. Not measured: a daemon that was cut
-	// off meanwhile still reports it when it is back, which may take hours.
+	// ClearedFor is how long the record of a lifted quarantine is kept, so that a daemon that was partitioned
+	// for hours does not reinstate it.
 	ClearedFor = 24 * time.Hour
-	// TrialAfter is how long after its last end a request in quarantine is tried once more. Source:
-	// backend servers that end together do so within a second, and those that still ran it have
-	// answered by then.
+	// TrialAfter is the delay between the last end and the trial of a quarantined request. Backend servers that
+	// end together do so within this time, and other runs of the request have been answered by then.
 	TrialAfter = time.Second
-	// most bounds how many records are kept. Source: at 400 bytes each they take 1.6 MB of a daemon's
-	// 256 MB. Suspects go first, the oldest of them before the others.
+	// most is the maximum number of records in a Table. At 400 bytes each, they take 1.6 MB. Suspected requests
+	// are evicted first, oldest first.
 	most = 4096
-	// longestText bounds what is kept of a name or path for operators, in bytes. Not measured: enough to
-	// find the request in logs.
+	// longestText is the maximum length of the method, host name and path that are kept for operators, in bytes.
 	longestText = 200
 )
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -12,12 +12,12 @@
 
 var start = time.UnixMilli(1_700_000_000_000)
 
-// sighting returns a request that a backend server ran when it ended.
 func sighting(id string) quarantine.Sighting {
 	return quarantine.Sighting{ID: id, Head: uint64(len(id)), Service: "lookup", Method: "GET", Host: "a.example", Path: "/x"}
 }
 
-// end ends so many backend servers under the request, a second apart.
+// end records the ends of count backend servers while running the request, a second apart, and returns the time of
+// the last.
 func end(t *quarantine.Table, id string, count int) time.Time {
 	now := start
 	for n := range count {
@@ -27,7 +27,7 @@
 	return now
 }
 
-// TestStandings ends backend servers under a request one after the other.
+// TestStandings guards against a request that is quarantined too early, too late or not cleared.
 func TestStandings(t *testing.T) {
 	tests := []struct {
 		name string
@@ -38,7 +38,7 @@
 		{"one has ended", func(t *quarantine.Table) { end(t, "a", 1) }, quarantine.Suspected},
 		{"all but one", func(t *quarantine.Table) { end(t, "a", quarantine.Limit-1) }, quarantine.Suspected},
 		{"enough", func(t *quarantine.Table) { end(t, "a", quarantine.Limit) }, quarantine.Quarantined},
-		{"one is told of often", func(t *quarantine.Table) {
+		{"one end is reported often", func(t *quarantine.Table) {
 			for range 2 * quarantine.Limit {
 				t.RecordEnd(start, sighting("a"), quarantine.End{Server: "server"})
 			}
@@ -57,7 +57,7 @@
 			end(t, "a", quarantine.Limit)
 			t.RecordAnswer(start, "a")
 		}, quarantine.Clear},
-		{"an operator's word", func(t *quarantine.Table) {
+		{"cleared by an operator", func(t *quarantine.Table) {
 			end(t, "a", quarantine.Limit)
 			t.Lift(start, "a")
 		}, quarantine.Clear},
@@ -74,7 +74,8 @@
 	}
 }
 
-// TestALateReportOfAnEarlierEndChangesNothing tells an end after an answer that came after it.
+// TestALateReportOfAnEarlierEndChangesNothing guards against a report of an end from before an answer that reinstates
+// the quarantine.
 func TestALateReportOfAnEarlierEndChangesNothing(t *testing.T) {
 	here, there := quarantine.New(), quarantine.New()
 	end(here, "a", quarantine.Limit)
@@ -82,47 +83,48 @@
 	cleared, _ := here.RecordAnswer(start, "a")
 	there.Merge([]quarantine.Record{cleared})
 	if updates := there.Merge(late); len(updates) > 0 || there.View().Status("a") != quarantine.Clear {
-		t.Fatalf("%v, %s", updates, there.View().Status("a"))
+		t.Fatalf("updates %v, status %s", updates, there.View().Status("a"))
 	}
 }
 
-// TestATrialIsOnceAndNotAtOnce asks for it at once, later, and again.
+// TestATrialIsOnceAndNotAtOnce guards against a trial that starts immediately after the last end, or twice.
 func TestATrialIsOnceAndNotAtOnce(t *testing.T) {
 	table := quarantine.New()
 	last := end(table, "a", quarantine.Limit)
 	if _, ok := table.ProposeTrial(last, "a", "host-1"); ok || table.View().TrialDue(last, "a") {
-		t.Fatal("it may be tried at once")
+		t.Fatal("the trial is due immediately after the last end")
 	}
 	later := last.Add(quarantine.TrialAfter)
 	record, ok := table.ProposeTrial(later, "a", "host-1")
 	if !ok || !table.View().TrialDue(later, "a") {
-		t.Fatal("it may not be tried later")
+		t.Fatal("the trial is not due after the delay")
 	}
 	table.Merge([]quarantine.Record{record})
 	if _, ok := table.ProposeTrial(later, "a", "host-2"); ok || table.View().TrialDue(later, "a") {
-		t.Fatal("it may be tried twice")
+		t.Fatal("the trial is due twice")
 	}
 	if table.View().Status("a") != quarantine.Quarantined {
-		t.Fatal("a trial is no answer")
+		t.Fatal("the trial lifted the quarantine")
 	}
 }
 
-// TestSuspectsAreForgottenAndQuarantinesAreNot waits.
+// TestSuspectsAreForgottenAndQuarantinesAreNot guards against a quarantine that expires, and a suspected request that
+// does not.
 func TestSuspectsAreForgottenAndQuarantinesAreNot(t *testing.T) {
 	table := quarantine.New()
 	end(table, "a", quarantine.Limit)
 	end(table, "bb", 1)
 	if lapsed, dropped := table.Forget(start.Add(quarantine.SuspectedFor / 2)); len(lapsed)+len(dropped) > 0 {
-		t.Fatal("something was forgotten early")
+		t.Fatal("a record expired early")
 	}
 	table.Forget(start.Add(2 * quarantine.SuspectedFor))
 	if records := table.Records(); len(records) != 1 || records[0].ID != "a" {
-		t.Fatalf("left are %v", records)
+		t.Fatalf("got records %v, want only the quarantined request", records)
 	}
 }
 
-// TestAQuarantineThatHasEndedDoesNotComeBack hears of it hours after it was lifted, from a daemon that was cut
-// off meanwhile.
+// TestAQuarantineThatHasEndedDoesNotComeBack guards against a lifted quarantine that is reinstated by a daemon that was
+// partitioned for hours.
 func TestAQuarantineThatHasEndedDoesNotComeBack(t *testing.T) {
 	cutOff, others := quarantine.New(), quarantine.New()
 	last := end(cutOff, "a", quarantine.Limit)
@@ -131,35 +133,36 @@
 	back := last.Add(quarantine.ClearedFor / 2)
 	others.Forget(back)
 	if updates := others.Merge(cutOff.Records()); len(updates) > 0 || others.View().Status("a") != quarantine.Clear {
-		t.Fatalf("it is back: %+v", updates)
+		t.Fatalf("the lifted quarantine is back: %+v", updates)
 	}
 	if cutOff.Merge(others.Records()); cutOff.View().Status("a") != quarantine.Clear {
-		t.Fatal("the daemon that was cut off keeps it")
+		t.Fatal("the daemon that was partitioned keeps the quarantine")
 	}
 	if lapsed, _ := others.Forget(last.Add(2 * quarantine.ClearedFor)); len(lapsed) != 1 {
-		t.Fatalf("forgotten are %v", lapsed)
+		t.Fatalf("expired records: %v, want one", lapsed)
 	}
 }
 
-// TestDaemonsThatKnowTheSameHaveTheSameSum changes what one of them knows.
+// TestDaemonsThatKnowTheSameHaveTheSameSum guards against daemons that do not detect that their quarantines differ.
 func TestDaemonsThatKnowTheSameHaveTheSameSum(t *testing.T) {
 	here, there := quarantine.New(), quarantine.New()
 	end(here, "a", quarantine.Limit)
-	end(here, "bb", 1) // suspects are the service's matter
+	end(here, "bb", 1) // suspected requests are not part of the sum
 	if here.View().Sum() == there.View().Sum() {
-		t.Fatal("a quarantine makes no difference")
+		t.Fatal("the sum does not depend on a quarantine")
 	}
 	there.Merge(here.View().Quarantines())
 	if here.View().Sum() != there.View().Sum() {
-		t.Fatal("they know the same")
+		t.Fatal("the sums of equal quarantines differ")
 	}
 	there.Lift(start, "a")
 	if here.View().Sum() == there.View().Sum() {
-		t.Fatal("its end makes no difference")
+		t.Fatal("the sum does not depend on the lift of a quarantine")
 	}
 }
 
-// TestAFloodOfSuspectsKeepsQuarantines fills the table.
+// TestAFloodOfSuspectsKeepsQuarantines guards against a table without a bound, and against suspected requests that
+// evict a quarantine.
 func TestAFloodOfSuspectsKeepsQuarantines(t *testing.T) {
 	table := quarantine.New()
 	end(table, "a", quarantine.Limit)
@@ -167,17 +170,17 @@
 		table.RecordEnd(start.Add(time.Duration(n)*time.Millisecond), sighting(fmt.Sprintf("flood-%d", n)), quarantine.End{Server: "server"})
 	}
 	if lapsed, dropped := table.Forget(start); len(lapsed) > 0 || len(dropped) < 5000 {
-		t.Fatalf("%d records have lapsed, %d were dropped for being too many", len(lapsed), len(dropped))
+		t.Fatalf("%d records expired, %d were evicted", len(lapsed), len(dropped))
 	}
 	if count := len(table.Records()); count > 5000 {
 		t.Fatalf("%d records are kept", count)
 	}
 	if table.View().Status("a") != quarantine.Quarantined {
-		t.Fatal("the quarantine is forgotten")
+		t.Fatal("the quarantine was evicted")
 	}
 }
 
-// drawRecord returns a record as a daemon may tell it.
+// drawRecord draws a record as another daemon may send it.
 func drawRecord(t *rapid.T, name string) quarantine.Record {
 	r := quarantine.Record{
 		ID: "a", Head: 1, Service: rapid.SampledFrom([]string{"lookup", "records"}).Draw(t, name+" service"),
@@ -193,8 +196,8 @@
 	return quarantine.Merge(quarantine.Merge(r, quarantine.Record{ID: "a", Epoch: r.Epoch, Ends: ends}), r)
 }
 
-// TestRecordsMergeInAnyOrder holds records to the laws by which daemons come to believe the same, in
-// whatever order, how often and over whom they hear.
+// TestRecordsMergeInAnyOrder guards against a merge that is not idempotent, commutative and associative, so that
+// daemons diverge.
 func TestRecordsMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := drawRecord(t, "a"), drawRecord(t, "b"), drawRecord(t, "c")
@@ -204,8 +207,8 @@
 				t.Fatalf("%s: %+v and %+v", law, x, y)
 			}
 		}
-		same("itself", merge(a, a), a)
-		same("order", merge(a, b), merge(b, a))
-		same("grouping", merge(merge(a, b), c), merge(a, merge(b, c)))
+		same("idempotence", merge(a, a), a)
+		same("commutativity", merge(a, b), merge(b, a))
+		same("associativity", merge(merge(a, b), c), merge(a, merge(b, c)))
 	})
 }
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -6,38 +6,38 @@
 	"time"
 )
 
-// ClearedBy says why an epoch ended.
+// ClearedBy is the reason why an epoch ended.
 type ClearedBy string
 
-// The reasons.
+// Reasons why an epoch ended.
 const (
 	// ClearedByAnswer means that a backend server answered the request.
 	ClearedByAnswer ClearedBy = "answered"
-	// ClearedByOperator means that an operator lifted its quarantine.
+	// ClearedByOperator means that an operator cleared the request.
 	ClearedByOperator ClearedBy = "lifted"
 )
 
-// Sighting is a request that a backend server ran when it ended.
+// Sighting identifies a request that a backend server was running when it ended.
 type Sighting struct {
-	// ID is its fingerprint's digest, Head the hash of all but its body.
+	// ID is the digest of the request's fingerprint; Head is the hash of everything but the body.
 	ID   string
 	Head uint64
-	// Service ran it.
+	// Service is the service of the backend server.
 	Service string
-	// Method, Host and Path are for operators.
+	// Method, Host and Path describe the request to operators.
 	Method, Host, Path string
 }
 
-// End is the end of a backend server. Its sidecar, the only observer, gives it one time for all requests that ran,
-// so that both fields together name it: a backend server may start again under the name that it had.
+// End identifies one end of a backend server. A backend server may restart under the same name, so both fields are
+// needed; its sidecar, the only observer, assigns the same time for all requests that were running.
 type End struct {
 	// Server is the backend server's name.
 	Server string `json:"server"`
-	// At is when, in Unix milliseconds.
+	// At is the time of the end, in Unix milliseconds.
 	At int64 `json:"at"`
 }
 
-// Record is what is known of a request.
+// Record is the quarantine state of a request.
 type Record struct {
 	ID      string `json:"id"`
 	Head    uint64 `json:"head"`
@@ -45,21 +45,21 @@
 	Method  string `json:"method"`
 	Host    string `json:"host"`
 	Path    string `json:"path"`
-	// Epoch rises with each answer and each lifting.
+	// Epoch increases each time the request is cleared.
 	Epoch int64 `json:"epoch"`
-	// Ends are those of this epoch, the earliest first, at most Limit.
+	// Ends holds the ends in this epoch, earliest first, at most Limit.
 	Ends []End `json:"ends,omitempty"`
-	// TrialHost names the host that sends it once more in this epoch, or has; empty if none does.
+	// TrialHost is the host that claimed the trial in this epoch; empty if the trial is not claimed.
 	TrialHost string `json:"tried,omitempty"`
-	// EverQuarantined says that a daemon had it in quarantine, in this epoch or an earlier one.
+	// EverQuarantined is true if a daemon had the request in quarantine in this epoch or an earlier one.
 	EverQuarantined bool `json:"held,omitempty"`
-	// Cleared says why the epoch before ended; empty in the first.
+	// Cleared is the reason why the previous epoch ended; empty in the first epoch.
 	Cleared ClearedBy `json:"cleared,omitempty"`
-	// Changed is when an end, an answer, a trial or a lifting was last recorded, in Unix milliseconds.
+	// Changed is the time of the last end, answer, trial or lift, in Unix milliseconds.
 	Changed int64 `json:"changed"`
 }
 
-// newRecord returns the record of a request that was seen for the first time.
+// newRecord returns a record without ends, in the first epoch.
 func newRecord(s Sighting) Record {
 	return Record{
 		ID: s.ID, Head: s.Head, Service: s.Service,
@@ -67,13 +67,13 @@
 	}
 }
 
-// cut bounds a text.
 func cut(text string) string { return text[:min(len(text), longestText)] }
 
-// Quarantined reports whether no backend server is to be sent the request.
+// Quarantined reports whether the request is quarantined.
 func (r Record) Quarantined() bool { return len(r.Ends) >= Limit }
 
-// Suspected reports whether a backend server has ended while it ran the request, in this epoch.
+// Suspected reports whether a backend server ended while running the request in this epoch. It is also true for a
+// quarantined request.
 func (r Record) Suspected() bool { return len(r.Ends) > 0 }
 
 // Status returns the status of the request.
@@ -88,7 +88,7 @@
 	}
 }
 
-// Servers returns the backend servers that ended while they ran the request.
+// Servers returns the names of the backend servers that ended while running the request.
 func (r Record) Servers() []string {
 	servers := make([]string, 0, len(r.Ends))
 	for _, end := range r.Ends {
@@ -97,7 +97,7 @@
 	return servers
 }
 
-// LastEnd returns when the last end that is counted was; the zero time without one.
+// LastEnd returns the time of the last of Ends, or the zero time if there is none.
 func (r Record) LastEnd() time.Time {
 	if len(r.Ends) == 0 {
 		return time.Time{}
@@ -105,19 +105,19 @@
 	return time.UnixMilli(r.Ends[len(r.Ends)-1].At)
 }
 
-// TrialDue reports whether the request may be tried once more.
+// TrialDue reports whether the trial of the request is due and not claimed.
 func (r Record) TrialDue(now time.Time) bool {
 	from, ok := r.trialFrom()
 	return ok && !now.Before(from)
 }
 
-// trialFrom returns from when on the request may be tried once more, if it may be at all.
+// trialFrom returns the time from which the trial is due, and reports whether the request is eligible for one.
 func (r Record) trialFrom() (time.Time, bool) {
 	return r.LastEnd().Add(TrialAfter), r.Quarantined() && r.TrialHost == ""
 }
 
-// settled returns the record with EverQuarantined as it follows from the rest. A merge does not do that, since what
-// two records come to together depends on which others came before.
+// settled returns the record with EverQuarantined derived from its other fields. Merge does not derive it, since the
+// result would then depend on the order of merges.
 func (r Record) settled() Record {
 	r.EverQuarantined = r.WasQuarantined()
 	return r
@@ -126,7 +126,7 @@
 // WasQuarantined reports whether the request is quarantined or was in an earlier epoch.
 func (r Record) WasQuarantined() bool { return r.EverQuarantined || r.Quarantined() }
 
-// Merge returns the record with what both records of one request know.
+// Merge combines two records of the same request. It is commutative, associative and idempotent.
 func Merge(a, b Record) Record {
 	if a.Epoch != b.Epoch {
 		later, earlier := a, b
@@ -137,7 +137,7 @@
 		return later
 	}
 	merged := a
-	merged.Service = max(a.Service, b.Service) // a request may go to one of several
+	merged.Service = max(a.Service, b.Service) // a request may be routed to one of several services
 	merged.Ends = mergeEnds(a.Ends, b.Ends)
 	merged.TrialHost = max(a.TrialHost, b.TrialHost)
 	merged.EverQuarantined = a.EverQuarantined || b.EverQuarantined
@@ -146,7 +146,7 @@
 	return merged
 }
 
-// mergeEnds returns the earliest ends of both.
+// mergeEnds returns the earliest distinct ends of both, at most Limit.
 func mergeEnds(a, b []End) []End {
 	merged := slices.Concat(a, b)
 	slices.SortFunc(merged, func(x, y End) int {
@@ -156,7 +156,7 @@
 	return merged[:min(len(merged), Limit)]
 }
 
-// Same reports whether both know the same.
+// Same reports whether both records of a request hold the same state.
 func (r Record) Same(other Record) bool {
 	return r.Epoch == other.Epoch && r.TrialHost == other.TrialHost && r.EverQuarantined == other.EverQuarantined && r.Cleared == other.Cleared &&
 		r.Changed == other.Changed && slices.Equal(r.Ends, other.Ends)
--- a/internal/quarantine/simulation_test.go
+++ b/internal/quarantine/simulation_test.go
@@ -9,61 +9,63 @@
 	"github.com/tideliftd/tidelift/internal/quarantine"
 )
 
-// The simulation plays many hosts, each with a daemon and a backend server of one service, in a time of its
-// own. One request ends each backend server that runs it and comes again and again; popular ones
-// run everywhere beside it, and backend servers end by themselves. What daemons tell each other and write
-// takes as long as on a slow network. Hosts fall into groups that cannot reach each other.
+// The simulation models many hosts, each with a daemon and a backend server of one service, in virtual time.
+// One request crashes each backend server that runs it and recurs; popular requests run everywhere beside it, and
+// backend servers also end for unrelated reasons. Notifications and writes take as long as on a slow network. Hosts
+// form groups that cannot reach each other.
 
 const (
 	guilty = "guilty"
-	// runsFor is how long a request runs, tellsWithin what daemons tell each other takes at most, storesWithin
-	// a change of the store until others see it.
+	// runsFor is the mean duration of a request, tellsWithin the maximum delay of a notification between daemons,
+	// and storesWithin the maximum time until a change of the store is visible to others.
 	runsFor      = 100 * time.Millisecond
 	tellsWithin  = 20 * time.Millisecond
 	storesWithin = 100 * time.Millisecond
-	// heardWithin is how long it takes until those hear that do not watch the store themselves, and
-	// singleEndWaits how long a single end is not written.
+	// heardWithin is the maximum further delay until hosts that do not watch the store receive a change, and
+	// singleEndWaits the delay before a single end is written.
 	heardWithin    = 600 * time.Millisecond
 	singleEndWaits = 500 * time.Millisecond
-	// watching is how many hosts watch the store, and watchesAfter when one does that has heard of none.
+	// watching is the number of hosts that watch the store. After watchesAfter, a host that receives no updates
+	// watches the store itself.
 	watching     = 6
 	watchesAfter = 10 * time.Second
-	// awayFor is how long a backend server is away that has ended.
+	// awayFor is how long a backend server is unavailable after its end.
 	awayFor = 1500 * time.Millisecond
-	// knownWithin is how long after its third end a request has to be known everywhere.
+	// knownWithin is the time after the last of quarantine.Limit ends within which every host has to know the
+	// quarantine.
 	knownWithin = 3 * time.Second
-	// allowedAfter is how often it may be sent later than that.
+	// allowedAfter is how many times the request may be sent after that.
 	allowedAfter = 3
 )
 
-// way says which parts of the design are played.
+// way selects the mechanisms of the design that are simulated.
 type way struct {
 	tells, stores, clears, tries bool
 }
 
 var wholeWay = way{tells: true, stores: true, clears: true, tries: true}
 
-// play is one play.
+// play holds the parameters of a simulation.
 type play struct {
 	way       way
 	hosts     int
 	groups    int
-	guiltyGap time.Duration // between two arrivals of the guilty request
-	endsGap   time.Duration // between two ends of backend servers by themselves; zero for none
-	together  int           // how many of them end at once
-	popular   int           // how many innocent requests come again and again
-	popularIn time.Duration // between two arrivals of each; zero for so often that they run everywhere
-	restarts  time.Duration // between two starts of daemons; zero for none
-	outage    time.Duration // how long the store is away from the first second on
+	guiltyGap time.Duration // mean interval between arrivals of the guilty request
+	endsGap   time.Duration // mean interval between unrelated ends of backend servers; zero for none
+	together  int           // number of backend servers that end together
+	popular   int           // number of recurring innocent requests
+	popularIn time.Duration // mean interval between arrivals of each; zero for an interval at which they run everywhere
+	restarts  time.Duration // mean interval between restarts of daemons; zero for none
+	outage    time.Duration // duration of the store's outage, which begins after one second
 	length    time.Duration
 }
 
-// outcome is what users saw.
+// outcome counts what clients observed.
 type outcome struct {
-	ends    int // of backend servers under the guilty request
-	late    int // sendings of it later than it should have been known
+	ends    int // backend servers that the guilty request ended
+	late    int // runs of the guilty request after every host should have known the quarantine
 	refused int // innocent requests that were refused
-	lost    int // innocent requests whose last backend server ended under them, or that found none
+	lost    int // innocent requests whose last attempt ended with its backend server, or that found none
 	asked   int // innocent requests
 }
 
@@ -85,14 +87,14 @@
 	return x
 }
 
-// simulated is a host.
+// simulated is a simulated host.
 type simulated struct {
 	number int
 	table  *quarantine.Table
-	starts int           // of its backend server
-	began  time.Duration // its daemon
-	away   bool
-	ended  time.Duration // when its backend server last did
+	starts int           // number of restarts of its backend server
+	began  time.Duration // start of its daemon
+	away   bool          // its backend server is unavailable
+	ended  time.Duration // last end of its backend server
 }
 
 type simulation struct {
@@ -102,7 +104,7 @@
 	queue   happenings
 	all     []*simulated
 	store   map[string]quarantine.Record
-	known   time.Duration // when the guilty request has to be known everywhere; zero before its third end
+	known   time.Duration // time at which every host has to know the quarantine; zero before the last of quarantine.Limit ends
 	outcome outcome
 }
 
@@ -137,7 +139,7 @@
 	heap.Push(&s.queue, happening{at: s.now + after, do: do})
 }
 
-// every does something again and again, at times left to chance.
+// every repeats do at random intervals with a mean of gap.
 func (s *simulation) every(gap time.Duration, do func()) {
 	s.at(time.Duration(s.random.Float64()*2*float64(gap)), func() {
 		do()
@@ -149,22 +151,23 @@
 
 func (s *simulation) wall() time.Time { return start.Add(s.now) }
 
-// reaches reports whether a daemon can reach the other.
+// reaches reports whether the daemons can reach each other.
 func (s *simulation) reaches(from, to *simulated) bool {
 	return from == to || from.number%s.groups == to.number%s.groups
 }
 
-// storeUp reports whether the store answers, storeSteady whether it has for long enough to be relied on.
+// storeUp reports whether the store is available.
 func (s *simulation) storeUp() bool { return s.now < time.Second || s.now > time.Second+s.outage }
 
+// storeSteady reports whether the store has been available for long enough that the deadline applies.
 func (s *simulation) storeSteady() bool {
 	return s.outage == 0 || s.now < time.Second || s.now > time.Second+s.outage+knownWithin
 }
 
-// steady reports whether the host's daemon has been there for long enough to be relied on.
+// steady reports whether the host's daemon has been running for long enough that the deadline applies.
 func (s *simulation) steady(h *simulated) bool { return h.began == 0 || s.now > h.began+knownWithin }
 
-// arrive sends a request from any host to a backend server there, or to another one if that ends.
+// arrive sends a request from a random host, with at most two attempts.
 func (s *simulation) arrive(id string) {
 	if id != guilty {
 		s.outcome.asked++
@@ -188,11 +191,11 @@
 		return
 	}
 	if id != guilty {
-		s.outcome.lost++ // next to all are away
+		s.outcome.lost++ // nearly all backend servers are unavailable
 	}
 }
 
-// try reports whether the host sends a quarantined request once more.
+// try reports whether the host claims the trial of a quarantined request.
 func (s *simulation) try(id string, h *simulated) bool {
 	record, ok := h.table.ProposeTrial(s.wall(), id, fmt.Sprint(h.number))
 	stored, known := s.store[id]
@@ -203,7 +206,7 @@
 	return true
 }
 
-// run runs a request, which ends its backend server if it is the guilty one.
+// run runs a request on a backend server, which ends if it is the guilty request.
 func (s *simulation) run(id string, from, to *simulated, left int) {
 	incarnation := to.starts
 	if id == guilty && s.known > 0 && s.now > s.known && s.storeSteady() && s.steady(from) && s.steady(to) {
@@ -217,7 +220,7 @@
 			s.blame(id, from, to, incarnation, left)
 		case alive:
 			s.answer(id, to)
-		default: // it ended while this one ran
+		default: // the backend server ended while it ran the request
 			s.blame(id, from, to, incarnation, left)
 		}
 	})
@@ -233,7 +236,7 @@
 	}
 }
 
-// blame records that a backend server ended under the request, which is sent to another if it may.
+// blame records that a backend server ended while running the request, and retries the request if attempts are left.
 func (s *simulation) blame(id string, from, to *simulated, incarnation, left int) {
 	ended := quarantine.End{Server: fmt.Sprintf("server-%d-%d", to.number, incarnation), At: start.Add(to.ended).UnixMilli()}
 	if record, ok := to.table.RecordEnd(s.wall(), quarantine.Sighting{ID: id, Service: "lookup"}, ended); ok {
@@ -247,7 +250,7 @@
 	}
 }
 
-// endServer ends a backend server, which is back some seconds later.
+// endServer ends a backend server, which restarts after awayFor.
 func (s *simulation) endServer(h *simulated) {
 	h.away = true
 	s.outcome.ends++
@@ -265,7 +268,7 @@
 	})
 }
 
-// endSome ends backend servers by themselves.
+// endSome ends random backend servers for unrelated reasons.
 func (s *simulation) endSome() {
 	for range s.together {
 		if h := s.any(); !h.away {
@@ -275,7 +278,7 @@
 	}
 }
 
-// restart starts a daemon again, which knows what the store says of quarantines.
+// restart restarts a daemon, which reads the quarantines from the store.
 func (s *simulation) restart(h *simulated) {
 	h.table = quarantine.New()
 	h.began = s.now
@@ -289,7 +292,7 @@
 	}
 }
 
-// spread tells a record and writes it.
+// spread notifies other hosts of a record and writes it to the store.
 func (s *simulation) spread(from *simulated, record quarantine.Record) {
 	if s.way.tells {
 		for _, h := range s.all {
@@ -316,8 +319,8 @@
 	return time.Duration(s.random.Float64() * float64(most))
 }
 
-// write merges a record with what the store has, later if that is away. What was ever quarantined all
-// daemons follow.
+// write merges a record into the store, and retries while the store is unavailable. Hosts receive only records that
+// are or were quarantined.
 func (s *simulation) write(from *simulated, record quarantine.Record) {
 	if !s.storeUp() {
 		s.at(time.Second, func() { s.write(from, record) })
@@ -341,8 +344,7 @@
 	}
 }
 
-// watched reports whether a host that watches the store can reach the host; after some time of hearing nothing
-// any host watches itself.
+// watched reports whether the host watches the store or can reach a host that does.
 func (s *simulation) watched(h *simulated) bool {
 	return s.now > watchesAfter || h.number%s.groups < watching
 }
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// Table is what one daemon knows of requests.
+// Table holds the records of one daemon. It is not safe for concurrent use.
 type Table struct {
 	records map[string]Record
 }
 
-// New returns a table without records.
+// New returns an empty table.
 func New() *Table { return &Table{records: make(map[string]Record)} }
 
-// RecordEnd records that a backend server ended while it ran the request. It returns the record to tell others,
-// or false if that is known.
+// RecordEnd records that a backend server ended while running the request. It returns the changed record, which the
+// caller distributes, or false if the end is already known.
 func (t *Table) RecordEnd(now time.Time, s Sighting, end End) (Record, bool) {
 	known, ok := t.records[s.ID]
 	if !ok {
@@ -28,19 +28,19 @@
 	return t.put(Merge(known, seen))
 }
 
-// RecordAnswer records that a backend server answered the request. It returns the record to tell others, or
-// false if nothing was held against it.
+// RecordAnswer records that a backend server answered the request, which clears it. It returns the changed record,
+// which the caller distributes, or false if the request was not suspected.
 func (t *Table) RecordAnswer(now time.Time, id string) (Record, bool) {
 	return t.clear(now, id, ClearedByAnswer)
 }
 
-// Lift records that an operator lets the request run. It returns the record to tell others, or false if
-// nothing is held against it.
+// Lift records that an operator cleared the request. It returns the changed record, which the caller
+// distributes, or false if the request was not suspected.
 func (t *Table) Lift(now time.Time, id string) (Record, bool) {
 	return t.clear(now, id, ClearedByOperator)
 }
 
-// clear begins a new epoch of a request that is suspected.
+// clear starts a new epoch of a suspected request.
 func (t *Table) clear(now time.Time, id string, by ClearedBy) (Record, bool) {
 	r, ok := t.records[id]
 	if !ok || !r.Suspected() {
@@ -54,8 +54,9 @@
 	return t.put(r)
 }
 
-// ProposeTrial reports whether the host may send a request in quarantine once more, as far as is known here, and
-// returns the record that says so, which it must first have made known as the only one.
+// ProposeTrial reports whether the host may claim the trial of a quarantined request, judging by local state, and
+// returns the record that claims it. The table is unchanged: before it sends the request, the host must commit the
+// record as the only claim.
 func (t *Table) ProposeTrial(now time.Time, id, host string) (Record, bool) {
 	r, ok := t.records[id]
 	if !ok || !r.TrialDue(now) {
@@ -66,7 +67,7 @@
 	return r, true
 }
 
-// Merge merges records of other daemons or of the store, and returns those that have changed.
+// Merge merges records of other daemons or of the store into the table, and returns the changed records.
 func (t *Table) Merge(records []Record) []Record {
 	var updates []Record
 	for _, r := range records {
@@ -80,7 +81,7 @@
 	return updates
 }
 
-// put stores the record and reports whether it differs from the one before.
+// put stores the record and reports whether it differs from the previous one.
 func (t *Table) put(r Record) (Record, bool) {
 	r = r.settled()
 	if known, ok := t.records[r.ID]; ok && known.Same(r) {
@@ -96,8 +97,8 @@
 	return r, ok
 }
 
-// Forget drops the records that are no longer needed, which it returns as lapsed, and those beyond the most that
-// are kept, which it returns as dropped.
+// Forget removes expired records, which it returns as lapsed, and then evicts records over the limit, which it
+// returns as dropped.
 func (t *Table) Forget(now time.Time) (lapsed, dropped []Record) {
 	for _, r := range t.records {
 		if r.lapsed(now) {
@@ -112,7 +113,7 @@
 	return lapsed, dropped
 }
 
-// lapsed reports whether the record is no longer needed.
+// lapsed reports whether the record has expired.
 func (r Record) lapsed(now time.Time) bool {
 	unchanged := now.Sub(time.UnixMilli(r.Changed))
 	switch {
@@ -125,8 +126,7 @@
 	}
 }
 
-// tooMany returns the records beyond the most that are kept: those that are no quarantine go first, and of
-// these the oldest.
+// tooMany returns the records to evict: those that are not quarantined first, and the oldest first among these.
 func (t *Table) tooMany() []Record {
 	if len(t.records) <= most {
 		return nil
@@ -144,7 +144,7 @@
 	return all[:len(all)-most]
 }
 
-// Records returns all records, in the order of their ids.
+// Records returns all records, sorted by ID.
 func (t *Table) Records() []Record {
 	return slices.SortedFunc(maps.Values(t.records), func(a, b Record) int { return cmp.Compare(a.ID, b.ID) })
 }
--- a/internal/quarantine/view.go
+++ b/internal/quarantine/view.go
@@ -7,29 +7,29 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Status says whether backend servers are sent a request.
+// Status is the quarantine status of a request.
 type Status string
 
-// The statuses.
+// Statuses of a request.
 const (
-	// Clear means that nothing is held against the request.
+	// Clear means that no backend server ended while running the request in the current epoch.
 	Clear Status = "clear"
-	// Suspected means that backend servers ended that ran it, too few yet.
+	// Suspected means that fewer than Limit backend servers ended while running the request.
 	Suspected Status = "suspected"
-	// Quarantined means that no backend server is to be sent it.
+	// Quarantined means that no backend server may receive the request.
 	Quarantined Status = "quarantined"
 )
 
-// View answers lookups. It does not change, so that any number of goroutines may read it.
+// View is an immutable snapshot of a Table for lookups. It is safe for concurrent use.
 type View struct {
 	heads       map[uint64]struct{}
 	statuses    map[string]Status
-	trialFrom   map[string]time.Time // from when on requests in quarantine may be tried once more
-	quarantines []Record             // of requests that are quarantined, or were
+	trialFrom   map[string]time.Time // time from which the trial of a quarantined request is due
+	quarantines []Record             // of requests that are or were quarantined
 	sum         uint64
 }
 
-// View returns the present view of the table.
+// View returns a snapshot of the table.
 func (t *Table) View() *View {
 	v := &View{heads: make(map[uint64]struct{}), statuses: make(map[string]Status), trialFrom: make(map[string]time.Time)}
 	for _, r := range t.records {
@@ -49,11 +49,11 @@
 	return v
 }
 
-// Empty reports whether nothing is held against any request.
+// Empty reports whether no request is suspected or quarantined.
 func (v *View) Empty() bool { return len(v.heads) == 0 }
 
-// HasHead reports whether something is held against a request with that head; its body shows whether it is
-// the same one.
+// HasHead reports whether a request with that head is suspected or quarantined. The digest, which includes the body,
+// decides whether it is the same request.
 func (v *View) HasHead(head uint64) bool {
 	_, ok := v.heads[head]
 	return ok
@@ -67,24 +67,24 @@
 	return Clear
 }
 
-// TrialDue reports whether the request may be tried once more, as far as is known here.
+// TrialDue reports whether the trial of the request is due and not claimed, judging by local state.
 func (v *View) TrialDue(now time.Time, id string) bool {
 	from, ok := v.trialFrom[id]
 	return ok && !now.Before(from)
 }
 
-// Quarantines returns the records of what is quarantined, or was.
+// Quarantines returns the records of requests that are or were quarantined.
 func (v *View) Quarantines() []Record { return v.quarantines }
 
-// Sum returns a hash of the records that Quarantines returns.
+// Sum returns a hash of the records that Quarantines returns. It does not depend on their order.
 func (v *View) Sum() uint64 { return v.sum }
 
-// hash returns a hash of what all daemons should know of a quarantine.
+// hash returns a hash of the part of a quarantine record on which all daemons have to agree.
 func (r Record) hash() uint64 {
 	return xxhash.Sum64String(r.ID + strconv.FormatInt(r.Epoch, 10) + string(r.Status()))
 }
 
-// Count returns how many requests have that status.
+// Count returns the number of requests with the status.
 func (v *View) Count(status Status) int {
 	count := 0
 	for _, s := range v.statuses {
