--- a/internal/quarantinesync/follow.go
+++ b/internal/quarantinesync/follow.go
@@ -12,20 +12,18 @@
 )
 
 const (
-	// watchWait is how long one watch of the store waits at most. Source: a quarantine is told directly
-	// too, and each wait is a call. Where every daemon watched, that and the reading at the start were 143
-	// calls more on a quiet day of 31 hosts, 341 before.
+	// watchWait is the maximum duration of one watch call. Daemons also notify each other directly, so long waits,
+	// which save calls, do not delay a quarantine.
 	watchWait = 40 * time.Second
-	// watchesEvery is how often Config.Watches is asked. Not measured: asking costs next to
-	// nothing.
+	// watchesEvery is the interval at which Config.Watches is checked.
 	watchesEvery = time.Second
-	// longestPause bounds the pauses between calls to a store that does not answer. Source: every daemon
-	// makes them; the bound for a quarantine begins seconds after the store is back.
+	// longestPause is the maximum pause between calls to a store that does not answer. It bounds the delay of a
+	// quarantine after an outage.
 	longestPause = 2 * time.Second
 )
 
-// follow reads from the store what is quarantined anywhere, while this daemon is one that watches it. The
-// others are told, and ask each other.
+// follow receives quarantines from the store while this daemon watches it. Daemons that do not watch the store are
+// notified by others, and compare their state with each other.
 func (s *Syncer) follow(ctx context.Context) {
 	for wait.For(ctx, watchesEvery) {
 		if s.config.Watches() {
@@ -34,7 +32,7 @@
 	}
 }
 
-// watch follows the store while this daemon is one that watches it.
+// watch follows the store until Config.Watches returns false or ctx ends.
 func (s *Syncer) watch(ctx context.Context) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -51,8 +49,8 @@
 	}
 }
 
-// mergeItems merges records of the store. One that cannot be read is logged and passed over, and so is one
-// that was removed: a quarantine ends with a record that says so.
+// mergeItems merges records of the store. Records that cannot be decoded are logged and skipped. Deletions are
+// ignored, since a quarantine ends by a record of a new epoch.
 func (s *Syncer) mergeItems(ctx context.Context, items []store.Item) error {
 	m := mergeMessage{stored: true}
 	for _, item := range items {
@@ -69,7 +67,7 @@
 	return nil
 }
 
-// decode reads a record of the store. One under another's key says nothing of either.
+// decode decodes a record of the store. A record that is stored under the key of another request is refused.
 func (s *Syncer) decode(item store.Item) (quarantine.Record, bool) {
 	var record quarantine.Record
 	err := json.Unmarshal(item.Data, &record)
--- a/internal/quarantinesync/lease.go
+++ b/internal/quarantinesync/lease.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// leaseFor is how long the store keeps what was never quarantined. Not measured: twice as long as daemons do,
-	// so that one that sees a second end finds the first.
+	// leaseFor is the lifetime of the lease for records that were never quarantined. The store has to keep them for
+	// at least as long as daemons do, so that a daemon that sees a second end finds the first.
 	leaseFor = 2 * quarantine.SuspectedFor
-	// leaseUsed is how long one lease is used for new records.
+	// leaseUsed is how long a lease is used for new records, which then last for at least SuspectedFor.
 	leaseUsed = leaseFor - quarantine.SuspectedFor
 )
 
-// lease is the store's lease with which records end that are no quarantine.
+// lease is the store lease under which records that were never quarantined expire.
 type lease struct {
 	mu   sync.Mutex
 	id   store.Lease
 	from time.Time
 }
 
-// get returns a lease that lasts long enough.
+// get returns a lease that lasts for at least quarantine.SuspectedFor, and requests a new one if needed.
 func (l *lease) get(ctx context.Context, kv store.Store) (store.Lease, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -36,13 +36,13 @@
 	from := time.Now()
 	id, err := kv.Grant(ctx, leaseFor)
 	if err != nil {
-		return store.NoLease, errors.Wrap(err, "get lease for what is held against requests")
+		return store.NoLease, errors.Wrap(err, "get lease for suspected requests")
 	}
 	l.id, l.from = id, from
 	return id, nil
 }
 
-// drop forgets a lease that has ended.
+// drop discards a lease that has expired.
 func (l *lease) drop() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/quarantinesync/messages.go
+++ b/internal/quarantinesync/messages.go
@@ -2,39 +2,40 @@
 
 import "github.com/tideliftd/tidelift/internal/quarantine"
 
-// The messages to the task.
+// Messages to the task.
 type (
-	// endedMessage says that a backend server ended while it ran a request.
+	// endedMessage reports that a backend server ended while running a request.
 	endedMessage struct {
 		sighting quarantine.Sighting
 		end      quarantine.End
-		known    chan struct{} // closed once lookups know it
+		known    chan struct{} // closed once lookups reflect the end
 	}
+	// answeredMessage reports that a backend server answered a request.
 	answeredMessage struct{ id string }
-	// liftMessage says that an operator lifts a quarantine.
+	// liftMessage clears a request on behalf of an operator.
 	liftMessage struct {
 		id    string
 		reply chan answer
 	}
-	// trialMessage asks for the record by which this host may send a request once more.
+	// trialMessage requests the record that claims the trial of a request for this host.
 	trialMessage struct {
 		id    string
 		reply chan answer
 	}
 	mergeMessage struct {
 		records []quarantine.Record
-		stored  bool // they come from the store
+		stored  bool // the records come from the store
 	}
 	recordsMessage struct{ reply chan []quarantine.Record }
-	// writtenMessage says what became of writing records: those that the store has now, which may tell
-	// more than those given, and those that it has not taken.
+	// writtenMessage reports the result of a batch: the records as they are in the store now, merged with what it
+	// had, and the IDs of those that could not be written.
 	writtenMessage struct {
 		stored []quarantine.Record
 		failed []string
 	}
 )
 
-// answer answers a liftMessage or a trialMessage; without ok there is no record.
+// answer is the reply to a liftMessage or a trialMessage. The record is valid only if ok.
 type answer struct {
 	record quarantine.Record
 	ok     bool
--- a/internal/quarantinesync/quarantinesync.go
+++ b/internal/quarantinesync/quarantinesync.go
@@ -1,34 +1,33 @@
-// Package quarantinesync keeps a daemon's quarantine of requests in step with the fleet's.
+// Package quarantinesync synchronizes a daemon's quarantine with the rest of the fleet.
 //
-// What a daemon's own backend servers show is sent at once to the daemons that keep others of the
-// service, and written to the store, where records of daemons that cannot reach each other come
-// together. A quarantine is sent to all daemons, since a route may lead to another service later: those
-// that watch the store follow it there, and each tells a few others. A request waits for no call: a
-// lookup costs a hash of the request's head, and nothing at all while nothing is held against any.
+// Changes that a daemon's own backend servers cause are sent immediately to the daemons with other backend servers of
+// the service, and written to the store, where records of daemons that cannot reach each other are merged. A
+// quarantine is distributed to all daemons, since a route may later lead to another service: daemons that watch the
+// store receive it there, and each notifies a few others. Requests do not wait for calls: a lookup costs a hash of
+// everything but the body, and nothing while no request is suspected or quarantined.
 //
-// A Syncer owns the daemon's quarantine.Table and relies on the store and on the daemon's calls to
-// others (Config.Tell, Config.Spread).
+// A Syncer owns the daemon's quarantine.Table. It uses the store and the daemon's calls to other daemons
+// (Config.Tell, Config.Spread).
 //
 // # Usage
 //
 //	s := quarantinesync.New(quarantinesync.Config{Host: "csepel-1", Store: kv, Prefix: "tidelift/quarantine", Tell: tell, ...})
 //	go s.Run(ctx)
 //	status, id := s.Status(request)
-//	if status == quarantine.Quarantined && !s.StartTrial(ctx, id) { ... } // refuse it
-//	s.RecordEnd(request, "lookup", end) // its backend server ended while it ran it
+//	if status == quarantine.Quarantined && !s.StartTrial(ctx, id) { ... } // refuse the request
+//	s.RecordEnd(request, "lookup", end) // its backend server ended while running it
 //	s.RecordAnswer(request)             // or answered it
-//	s.Merge(records)                    // of another daemon
+//	s.Merge(records)                    // from another daemon
 //
-// One task owns the table and handles messages (task.go, messages.go). The store is followed in
-// follow.go; when a record is written is in schedule.go, how in write.go and lease.go; who may
-// send a request in quarantine once more in trial.go; an operator's lifting in lift.go. A Syncer
-// is safe for concurrent use.
+// A single goroutine owns the table and handles messages (task.go, messages.go). follow.go follows the store;
+// schedule.go decides when a record is written, write.go and lease.go how; trial.go claims the trial of a
+// quarantined request; lift.go clears a request on behalf of an operator. A Syncer is safe for concurrent use.
 //
 // # Cost
 //
-// An end of a backend server costs a call to each daemon of its service, and one write, or three
-// where the request is known in the store; a first one nothing, if the request is answered soon. A
-// quarantine costs six calls a daemon. In quiet times those that watch the store wait for it.
+// An end of a backend server costs a call to each daemon of its service and one write, or three store calls if the
+// store already has a record of the request. A first end costs no write if the request is answered soon. A quarantine
+// costs six calls per daemon. Without any, the only calls are those of the daemons that watch the store.
 package quarantinesync
 
 import (
@@ -46,36 +45,36 @@
 )
 
 const (
-	// forgetEvery is how often old records are dropped. Not measured: they are kept for minutes.
+	// forgetEvery is the interval at which expired records are removed.
 	forgetEvery = 10 * time.Second
-	// messagesWaiting is how many messages may wait for the task. Not measured: an end of a backend server
-	// sends one for each request that ran there; a sender waits when there are more.
+	// messagesWaiting is the capacity of the message queue; senders block while it is full. An end of a backend
+	// server sends one message for each request that was running there.
 	messagesWaiting = 256
 )
 
-// Config says whose quarantine it is.
+// Config configures a Syncer.
 type Config struct {
-	// Host is the daemon's name.
+	// Host is the name of the daemon's host.
 	Host string
-	// Store is the platform's, in which keys begin with Prefix.
+	// Store is the platform's key-value store. All keys begin with Prefix.
 	Store  store.Store
 	Prefix string
-	// Tell tells the daemons that keep backend servers of the service, without waiting for them. Spread
-	// tells a few others, each of which tells a few in turn.
+	// Tell notifies the daemons that have backend servers of the service, without waiting for them. Spread
+	// notifies a few daemons, each of which notifies a few more.
 	Tell   func(service string, records []quarantine.Record)
 	Spread func(records []quarantine.Record)
-	// Watches reports whether this daemon is one that watches the store.
+	// Watches reports whether this daemon watches the store.
 	Watches func() bool
 	// Logger receives numbered events.
 	Logger *slog.Logger
 	// Scope receives the metrics.
 	Scope tally.Scope
-	// OnError is told of each call that the store did not answer, OnAnswer of each that it did.
+	// OnError is called for each store call that fails, and OnAnswer for each that is answered.
 	OnError  func(error)
 	OnAnswer func()
 }
 
-// Syncer keeps the quarantine.
+// Syncer synchronizes the quarantine of a daemon.
 type Syncer struct {
 	config   Config
 	messages chan any
@@ -90,7 +89,7 @@
 	trials, failedWrites   tally.Counter
 }
 
-// New returns a syncer that knows nothing yet.
+// New returns a Syncer without records. It does nothing until Run is called.
 func New(config Config) *Syncer {
 	s := &Syncer{
 		config:   config,
@@ -107,17 +106,17 @@
 	return s
 }
 
-// Run keeps the quarantine until ctx ends.
+// Run synchronizes the quarantine until ctx ends.
 func (s *Syncer) Run(ctx context.Context) {
 	defer close(s.ended)
 	go s.follow(ctx)
 	newTask(s).run(ctx)
 }
 
-// Quiet reports whether nothing is held against any request.
+// Quiet reports whether no request is suspected or quarantined.
 func (s *Syncer) Quiet() bool { return s.view.Load().Empty() }
 
-// Status returns the status of the request and, unless that is quarantine.Clear, its id.
+// Status returns the status of the request and, unless that is quarantine.Clear, its digest.
 func (s *Syncer) Status(r fingerprint.Request) (quarantine.Status, string) {
 	view := s.view.Load()
 	if view.Empty() || !view.HasHead(r.Head()) {
@@ -125,17 +124,17 @@
 	}
 	id, err := r.Digest()
 	if err != nil {
-		return quarantine.Clear, "" // a body that cannot be read cannot be sent
+		return quarantine.Clear, "" // a request whose body cannot be read is not sent
 	}
 	return view.Status(id), id
 }
 
-// RecordEnd records that a backend server of the service ended while it ran the request. When it
-// returns, this daemon's lookups know it.
+// RecordEnd records that a backend server of the service ended while running the request. When it returns, lookups
+// on this daemon reflect the end.
 func (s *Syncer) RecordEnd(r fingerprint.Request, service string, end quarantine.End) {
 	id, err := r.Digest()
 	if err != nil {
-		return // its caller has gone away in the middle of the body
+		return // the client disconnected while sending the body
 	}
 	known := make(chan struct{})
 	s.send(context.Background(), endedMessage{
@@ -149,25 +148,25 @@
 	}
 }
 
-// RecordAnswer records that a backend server answered the request.
+// RecordAnswer records that a backend server answered the request, which clears it.
 func (s *Syncer) RecordAnswer(r fingerprint.Request) {
 	if status, id := s.Status(r); status != quarantine.Clear {
 		s.send(context.Background(), answeredMessage{id: id})
 	}
 }
 
-// Merge merges records of another daemon.
+// Merge merges records from another daemon.
 func (s *Syncer) Merge(records []quarantine.Record) {
 	s.send(context.Background(), mergeMessage{records: records})
 }
 
-// Sum returns a hash of what is known of quarantines, by which two daemons find whether they know the same.
+// Sum returns a hash of the records that Quarantines returns, by which two daemons detect whether these differ.
 func (s *Syncer) Sum() uint64 { return s.view.Load().Sum() }
 
-// Quarantines returns what is known of quarantines, also of those that have ended.
+// Quarantines returns the records of requests that are or were quarantined.
 func (s *Syncer) Quarantines() []quarantine.Record { return s.view.Load().Quarantines() }
 
-// Records returns all records.
+// Records returns all records, or nil if Run has ended.
 func (s *Syncer) Records() []quarantine.Record {
 	reply := make(chan []quarantine.Record, 1)
 	s.send(context.Background(), recordsMessage{reply: reply})
@@ -179,7 +178,7 @@
 	}
 }
 
-// ask sends the task a message and returns its answer.
+// ask sends a message to the task and waits for the reply.
 func (s *Syncer) ask(ctx context.Context, message any, reply chan answer) (answer, error) {
 	s.send(ctx, message)
 	select {
@@ -192,7 +191,7 @@
 	}
 }
 
-// send sends the task a message, unless it has ended.
+// send sends a message to the task, unless Run or ctx has ended.
 func (s *Syncer) send(ctx context.Context, message any) {
 	select {
 	case s.messages <- message:
--- a/internal/quarantinesync/quarantinesync_test.go
+++ b/internal/quarantinesync/quarantinesync_test.go
@@ -29,14 +29,14 @@
 	prefix   = "tidelift/quarantine"
 )
 
-// group is a few syncers with one store.
+// group is a group of syncers that share a store.
 type group struct {
 	t       *testing.T
 	standin *standin.Standin
 	kv      store.Store
 	syncers []*quarantinesync.Syncer
-	cut     atomic.Bool // they cannot tell each other
-	deaf    bool        // who is added does not watch the store
+	cut     atomic.Bool // syncers cannot notify each other
+	deaf    bool        // syncers that are added do not watch the store
 	mu      sync.Mutex
 	log     bytes.Buffer
 }
@@ -55,7 +55,7 @@
 	return g
 }
 
-// Write appends to the log of all.
+// Write appends to the common log.
 func (g *group) Write(p []byte) (int, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -69,7 +69,7 @@
 	return strings.Count(g.log.String(), text)
 }
 
-// add starts a quarantinesync.
+// add starts another syncer.
 func (g *group) add() *quarantinesync.Syncer {
 	number, deaf := len(g.syncers), g.deaf
 	k := quarantinesync.New(quarantinesync.Config{
@@ -95,21 +95,18 @@
 	return k
 }
 
-// all returns the syncers that there are.
 func (g *group) all() []*quarantinesync.Syncer {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return slices.Clone(g.syncers)
 }
 
-// request returns a request with that body.
 func request(body string) fingerprint.Request {
 	return fingerprint.Request{Method: "POST", Host: "a.example", Path: "/x", Body: func(limit int) ([]byte, error) {
 		return []byte(body)[:min(len(body), limit)], nil
 	}}
 }
 
-// status returns what the quarantinesync believes of the request.
 func status(k *quarantinesync.Syncer, body string) quarantine.Status {
 	s, _ := k.Status(request(body))
 	return s
@@ -119,15 +116,15 @@
 	g.t.Helper()
 	for end := time.Now().Add(patience); !done(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			g.t.Fatalf("waited in vain: %s; log:\n%s", what, g.log.String())
+			g.t.Fatalf("timed out waiting until %s; log:\n%s", what, g.log.String())
 		}
 	}
 }
 
-// awaitAll waits until all syncers believe that of the guilty request.
+// awaitAll waits until the guilty request has the status at all syncers.
 func (g *group) awaitAll(want quarantine.Status) {
 	g.t.Helper()
-	g.await(fmt.Sprintf("it is %s everywhere", want), func() bool {
+	g.await(fmt.Sprintf("the request is %s at every syncer", want), func() bool {
 		for _, k := range g.syncers {
 			if status(k, "guilty") != want {
 				return false
@@ -137,20 +134,20 @@
 	})
 }
 
-// endEach ends a backend server of each of so many hosts under the request.
+// endEach records count ends of backend servers while running the request, each at the next host.
 func (g *group) endEach(body string, count int) {
 	for n := range count {
 		g.syncers[n%len(g.syncers)].RecordEnd(request(body), "lookup", quarantine.End{Server: fmt.Sprintf("%s-server-%d", body, n), At: time.Now().UnixMilli()})
 	}
 }
 
-// TestEndsAtDifferentHostsComeTogether ends one backend server at each of three hosts: those that tell each
-// other, that can only write, and that can only tell each other.
+// TestEndsAtDifferentHostsComeTogether guards against ends at different hosts that are not merged into a quarantine
+// while hosts can only use the store, can only notify each other, or lose answers of the store.
 func TestEndsAtDifferentHostsComeTogether(t *testing.T) {
 	tests := map[string]func(*group){
-		"all is well":                       func(*group) {},
+		"no fault":                          func(*group) {},
 		"they cannot reach each other":      func(g *group) { g.cut.Store(true) },
-		"the store is away":                 func(g *group) { g.standin.SetOutage(true) },
+		"the store is unavailable":          func(g *group) { g.standin.SetOutage(true) },
 		"the store loses answers to writes": func(g *group) { g.standin.SetLoseAnswers("quarantine") },
 	}
 	for name, trouble := range tests {
@@ -169,8 +166,8 @@
 	}
 }
 
-// TestWhatTheStoreMissedIsWrittenOnceItIsBack ends backend servers while it is away, and starts a daemon
-// later.
+// TestWhatTheStoreMissedIsWrittenOnceItIsBack guards against a quarantine that begins during an outage of the store
+// and is not written afterwards, so that a daemon that starts later does not receive it.
 func TestWhatTheStoreMissedIsWrittenOnceItIsBack(t *testing.T) {
 	g := newGroup(t, 2)
 	g.standin.SetOutage(true)
@@ -178,17 +175,18 @@
 	time.Sleep(300 * time.Millisecond)
 	g.standin.SetOutage(false)
 	late := g.add()
-	g.await("one that starts later knows it", func() bool { return status(late, "guilty") == quarantine.Quarantined })
+	g.await("the request is quarantined at a syncer that starts later", func() bool { return status(late, "guilty") == quarantine.Quarantined })
 }
 
-// TestOneOfAllTriesAQuarantinedRequestOnce asks all at once, twice.
+// TestOneOfAllTriesAQuarantinedRequestOnce guards against more than one trial of a quarantined request when all daemons
+// claim it concurrently, and against a trial without the delay.
 func TestOneOfAllTriesAQuarantinedRequestOnce(t *testing.T) {
 	g := newGroup(t, 4)
 	g.endEach("guilty", quarantine.Limit)
 	g.awaitAll(quarantine.Quarantined)
 	_, id := g.syncers[0].Status(request("guilty"))
 	if g.syncers[0].StartTrial(context.Background(), id) {
-		t.Fatal("it is tried at once")
+		t.Fatal("the trial started immediately after the last end")
 	}
 	time.Sleep(quarantine.TrialAfter + 100*time.Millisecond)
 	for round := range 2 {
@@ -206,12 +204,13 @@
 		}
 		wg.Wait()
 		if want := 1 - round; allowed != want {
-			t.Fatalf("round %d: %d daemons may try it, want %d", round, allowed, want)
+			t.Fatalf("round %d: %d daemons started the trial, want %d", round, allowed, want)
 		}
 	}
 }
 
-// TestNobodyTriesWithoutTheStore asks while it is away.
+// TestNobodyTriesWithoutTheStore guards against a trial while the store is unavailable, and against one that is
+// omitted without a log line.
 func TestNobodyTriesWithoutTheStore(t *testing.T) {
 	g := newGroup(t, 2)
 	g.endEach("guilty", quarantine.Limit)
@@ -220,19 +219,19 @@
 	g.standin.SetOutage(true)
 	_, id := g.syncers[0].Status(request("guilty"))
 	if g.syncers[0].StartTrial(context.Background(), id) || g.syncers[1].StartTrial(context.Background(), id) {
-		t.Fatal("a daemon tries it that cannot know whether another does")
+		t.Fatal("a daemon started the trial without a claim in the store")
 	}
 	if lines := g.logged("event=509"); lines != len(g.syncers) {
-		t.Fatalf("%d lines on trials that were not made, want one of each daemon", lines)
+		t.Fatalf("%d log lines on omitted trials, want one per daemon", lines)
 	}
 }
 
-// TestAQuarantineEndsEverywhere ends it by an answer and by an operator's word, also for daemons that
-// cannot be told and for one that starts later.
+// TestAQuarantineEndsEverywhere guards against a quarantine that is cleared by an answer or an operator and stays in
+// force at daemons that cannot be notified or that start later.
 func TestAQuarantineEndsEverywhere(t *testing.T) {
 	tests := map[string]func(*quarantinesync.Syncer){
 		"an answer": func(k *quarantinesync.Syncer) { k.RecordAnswer(request("guilty")) },
-		"an operator's word": func(k *quarantinesync.Syncer) {
+		"an operator": func(k *quarantinesync.Syncer) {
 			_, id := k.Status(request("guilty"))
 			if _, err := k.Lift(context.Background(), id); err != nil {
 				t.Error(err)
@@ -250,17 +249,17 @@
 			late := g.add()
 			time.Sleep(200 * time.Millisecond)
 			if status(late, "guilty") != quarantine.Clear {
-				t.Fatal("one that starts later takes it for quarantined")
+				t.Fatal("the request is quarantined at a syncer that starts later")
 			}
 			if lines := g.logged("event=507"); lines != 3 {
-				t.Fatalf("%d lines on its end, want one of each daemon that knew it", lines)
+				t.Fatalf("%d log lines on the end of the quarantine, want one per daemon that had it", lines)
 			}
 		})
 	}
 }
 
-// TestOneThatDoesNotWatchAsksOthers has a daemon that is told nothing and does not watch compare what it knows with
-// one that does, as daemons do twice a second.
+// TestOneThatDoesNotWatchAsksOthers guards against a daemon that is not notified and does not watch the store, and that
+// does not receive quarantines by comparing its state with another daemon.
 func TestOneThatDoesNotWatchAsksOthers(t *testing.T) {
 	g := newGroup(t, 2)
 	g.cut.Store(true)
@@ -269,16 +268,17 @@
 	g.deaf = true
 	deaf := g.add()
 	if deaf.Sum() == g.syncers[0].Sum() {
-		t.Fatal("they seem to know the same")
+		t.Fatal("the sums are equal before the merge")
 	}
 	deaf.Merge(g.syncers[0].Quarantines())
 	g.awaitAll(quarantine.Quarantined)
 	if deaf.Sum() != g.syncers[0].Sum() {
-		t.Fatal("they do not know the same")
+		t.Fatal("the sums differ after the merge")
 	}
 }
 
-// TestARecordThatCannotBeReadSaysNothing writes rubbish beside a good record.
+// TestARecordThatCannotBeReadSaysNothing guards against invalid records in the store that hide valid ones, are not
+// logged, or take effect under the key of another request.
 func TestARecordThatCannotBeReadSaysNothing(t *testing.T) {
 	g := newGroup(t, 1)
 	g.standin.Write(prefix+"/held/rubbish", []byte("{"))
@@ -290,20 +290,20 @@
 	g.standin.Write(prefix+"/held/other", fmt.Appendf(nil, `{"id":%q,"head":%d,"ends":[{"server":"a"},{"server":"b"},{"server":"c"}]}`, others, request("").Head()))
 	g.endEach("guilty", quarantine.Limit)
 	late := g.add()
-	g.await("the good one is known", func() bool { return status(late, "guilty") == quarantine.Quarantined })
+	g.await("the valid record is merged", func() bool { return status(late, "guilty") == quarantine.Quarantined })
 	if g.logged("event=404") < 3 {
-		t.Fatal("no line on the rubbish")
+		t.Fatal("invalid records were not logged")
 	}
 	if status(late, "innocent") != quarantine.Clear {
-		t.Fatal("a record under another's key is believed")
+		t.Fatal("a record under the key of another request took effect")
 	}
 }
 
-// TestAnEndCostsTheStoreAFewCalls counts those of eight daemons, each of which needs a lease for its first
-// write.
+// TestAnEndCostsTheStoreAFewCalls guards against more store calls per end or answer than documented. Each daemon needs
+// another call for a lease before its first write.
 func TestAnEndCostsTheStoreAFewCalls(t *testing.T) {
 	g := newGroup(t, 8)
-	g.await("all watch", func() bool { return g.standin.Calls() >= 16 })
+	g.await("all syncers watch the store", func() bool { return g.standin.Calls() >= 16 })
 	time.Sleep(100 * time.Millisecond)
 	steps := []struct {
 		what string
@@ -324,8 +324,7 @@
 	}
 }
 
-// BenchmarkQuietStanding is what each request pays while nothing is held against any: 1.8 ns, nothing without
-// a quarantine.
+// BenchmarkQuietStanding measures the cost per request while no request is suspected or quarantined.
 func BenchmarkQuietStanding(b *testing.B) {
 	k := quarantinesync.New(quarantinesync.Config{Scope: tally.NoopScope})
 	for b.Loop() {
@@ -333,7 +332,7 @@
 	}
 }
 
-// BenchmarkStanding is what it pays while something is held against others: 112 ns.
+// BenchmarkStanding measures the cost per request while another request is suspected.
 func BenchmarkStanding(b *testing.B) {
 	k := quarantinesync.New(quarantinesync.Config{
 		Host: "host", Scope: tally.NoopScope, Logger: slog.New(slog.DiscardHandler), OnError: func(error) {}, OnAnswer: func() {},
@@ -358,23 +357,23 @@
 	}
 }
 
-// TestAClaimThatTheStoreDoesNotAnswerIsLogged guards against a trial that is never made without a word of it: the
-// store answers the reading of the record and not its writing.
+// TestAClaimThatTheStoreDoesNotAnswerIsLogged guards against a trial that is omitted without a log line when the store
+// answers the read of the record and not the write of the claim.
 func TestAClaimThatTheStoreDoesNotAnswerIsLogged(t *testing.T) {
 	g := newGroup(t, 1)
 	g.endEach("guilty", quarantine.Limit)
 	g.awaitAll(quarantine.Quarantined)
 	time.Sleep(quarantine.TrialAfter + 100*time.Millisecond)
 	commit := g.kv.Commit
-	g.kv.Commit = func(context.Context, store.Change) (int64, error) { return 0, errors.New("away") }
+	g.kv.Commit = func(context.Context, store.Change) (int64, error) { return 0, errors.New("unavailable") }
 	late := g.add()
 	g.kv.Commit = commit
 	g.awaitAll(quarantine.Quarantined)
 	_, id := late.Status(request("guilty"))
 	if late.StartTrial(context.Background(), id) {
-		t.Fatal("a daemon tries it whose claim the store did not answer")
+		t.Fatal("a daemon started the trial although the store did not answer its claim")
 	}
 	if lines := g.logged("event=509"); lines != 1 {
-		t.Fatalf("%d lines on the trial that was not made, want 1", lines)
+		t.Fatalf("%d log lines on the omitted trial, want 1", lines)
 	}
 }
--- a/internal/quarantinesync/schedule.go
+++ b/internal/quarantinesync/schedule.go
@@ -8,24 +8,22 @@
 )
 
 const (
-	// firstEndWait is how long a request with a single end waits to be cleared before that is written. Source:
-	// a request that is sent to a second backend server is answered within some hundred milliseconds;
-	// the users allow three seconds until a third end is known everywhere.
+	// firstEndWait is the delay before a single end is written. Most requests are retried on another backend server
+	// and answered within this time, and then need no write.
 	firstEndWait = 500 * time.Millisecond
-	// mostTogether is how many records are written in one change. Source: the store takes 32 entries.
+	// mostTogether is the maximum number of records in one change. The store accepts 32 entries.
 	mostTogether = 16
 )
 
-// dueWrite says when a record is written.
+// dueWrite is a scheduled write of a record.
 type dueWrite struct {
 	from time.Time
-	// unlessCleared leaves it out if nothing is held against the request any more.
+	// unlessCleared skips the write if the request is no longer suspected.
 	unlessCleared bool
 }
 
-// writeLater has a change written that this daemon has made: at once where it may complete a quarantine or
-// end one, and a single end only if it is not cleared soon. Most are: of the requests that run on a backend
-// server when it ends by itself, those that may be retried are answered by the next.
+// writeLater schedules the write of a change that this daemon made: immediately if it may complete or end a
+// quarantine, and after firstEndWait for a single end, which the answer of a retry clears in most cases.
 func (t *task) writeLater(now time.Time, before, after quarantine.Record) {
 	switch {
 	case after.WasQuarantined() || len(after.Ends) > 1 || len(before.Ends) > 1:
@@ -33,13 +31,13 @@
 	case after.Suspected():
 		t.due[after.ID] = dueWrite{from: now.Add(firstEndWait), unlessCleared: true}
 	case now.Sub(before.LastEnd()) >= firstEndWait:
-		t.due[after.ID] = dueWrite{from: now} // the store has that end by now
+		t.due[after.ID] = dueWrite{from: now} // the end may already be in the store
 	default:
 		delete(t.due, after.ID)
 	}
 }
 
-// startWrite writes what is due, one batch at a time.
+// startWrite starts writing a batch of due records unless another batch is being written.
 func (t *task) startWrite(ctx context.Context) {
 	now := time.Now()
 	if t.writing || now.Before(t.resume) {
@@ -54,7 +52,7 @@
 	go func() { t.syncer.send(ctx, t.syncer.writeBatch(ctx, batch)) }()
 }
 
-// takeDue returns and forgets what is due now.
+// takeDue removes and returns a batch of due records.
 func (t *task) takeDue(now time.Time) []quarantine.Record {
 	var batch []quarantine.Record
 	for id, due := range t.due {
@@ -86,7 +84,7 @@
 	}
 }
 
-// recordWritten records what became of a batch.
+// recordWritten merges the records that were written and reschedules those that failed.
 func (t *task) recordWritten(m writtenMessage) {
 	t.writing = false
 	t.merge(mergeMessage{records: m.stored})
--- a/internal/quarantinesync/task.go
+++ b/internal/quarantinesync/task.go
@@ -11,17 +11,17 @@
 	"github.com/tideliftd/tidelift/internal/store"
 )
 
-// task owns the table.
+// task owns the table and handles all messages in one goroutine.
 type task struct {
 	syncer  *Syncer
 	table   *quarantine.Table
-	due     map[string]dueWrite // what is to be written
-	writing bool
-	resume  time.Time   // until when nothing is written, since the store did not answer
-	retry   *time.Timer // fires when something is to be written
+	due     map[string]dueWrite // scheduled writes by request ID
+	writing bool                // a batch is being written
+	resume  time.Time           // no batch is started before; set after a failed write
+	retry   *time.Timer         // fires when a write is due
 	pause   *backoff.ExponentialBackOff
-	updates []quarantine.Record // to be sent to the daemons of their services
-	spread  []quarantine.Record // to be sent to all daemons
+	updates []quarantine.Record // to send to the daemons of their services
+	spread  []quarantine.Record // to distribute to all daemons
 }
 
 func newTask(s *Syncer) *task {
@@ -36,7 +36,7 @@
 	return t
 }
 
-// run handles messages until ctx ends. The changes of all that wait together are sent and written at once.
+// run handles messages until ctx ends. The changes of all queued messages are sent and written together.
 func (t *task) run(ctx context.Context) {
 	forget := time.NewTicker(forgetEvery)
 	defer forget.Stop()
@@ -57,7 +57,7 @@
 	}
 }
 
-// handleWaiting handles the messages that wait already.
+// handleWaiting handles the queued messages, at most as many as the queue holds.
 func (t *task) handleWaiting() {
 	for range messagesWaiting {
 		select {
@@ -69,7 +69,6 @@
 	}
 }
 
-// handle handles one message.
 func (t *task) handle(now time.Time, message any) {
 	switch m := message.(type) {
 	case endedMessage:
@@ -92,7 +91,7 @@
 	}
 }
 
-// learn makes a change that this daemon finds out by itself, and has it sent and written.
+// learn applies a change that originates on this daemon, and schedules its notification and write.
 func (t *task) learn(now time.Time, id string, change func() (quarantine.Record, bool)) (quarantine.Record, bool) {
 	before, _ := t.table.Find(id)
 	after, changed := change()
@@ -105,7 +104,7 @@
 	return after, true
 }
 
-// apply makes a change of the table visible to lookups, logs it, and has a quarantine that begins or ends spread.
+// apply publishes a change of the table to lookups, and logs and distributes the beginning or end of a quarantine.
 func (t *task) apply(before, after quarantine.Record) {
 	t.publish()
 	if after.Quarantined() != before.Quarantined() {
@@ -122,7 +121,7 @@
 	}
 }
 
-// publish makes lookups see the table as it is.
+// publish makes the current state of the table visible to lookups and updates the gauges.
 func (t *task) publish() {
 	view := t.table.View()
 	t.syncer.view.Store(view)
@@ -130,7 +129,7 @@
 	t.syncer.metrics.quarantined.Update(float64(view.Count(quarantine.Quarantined)))
 }
 
-// merge merges records of other daemons or of the store.
+// merge merges records from other daemons or from the store.
 func (t *task) merge(m mergeMessage) {
 	for _, record := range m.records {
 		before, _ := t.table.Find(record.ID)
@@ -143,7 +142,7 @@
 	}
 }
 
-// writeIfMore has a record written if more is known here than the store tells, such as that the request was
+// writeIfMore schedules a write if the local record differs from the stored one, for example because the request was
 // answered.
 func (t *task) writeIfMore(stored quarantine.Record) {
 	if known, ok := t.table.Find(stored.ID); ok && !known.Same(stored) {
@@ -151,7 +150,7 @@
 	}
 }
 
-// forget drops what is no longer needed, here and in the store.
+// forget removes expired records from the table and the store, and evicts records over the limit from the table.
 func (t *task) forget(ctx context.Context, now time.Time) {
 	lapsed, dropped := t.table.Forget(now)
 	if len(lapsed)+len(dropped) == 0 {
@@ -162,7 +161,7 @@
 	go t.syncer.remove(ctx, lapsed)
 }
 
-// logDropped logs how many records were dropped for being too many.
+// logDropped logs how many records were evicted.
 func (t *task) logDropped(dropped []quarantine.Record) {
 	if len(dropped) == 0 {
 		return
@@ -176,7 +175,7 @@
 	event.Log(t.syncer.config.Logger, event.QuarantineDropped, "count", len(dropped), "quarantined", quarantined)
 }
 
-// sendUpdates sends what was learned here to the daemons of the services, and what is quarantined to a few of all.
+// sendUpdates sends local changes to the daemons of their services, and distributes quarantines that began or ended.
 func (t *task) sendUpdates() {
 	byService := make(map[string][]quarantine.Record)
 	for _, record := range t.updates {
--- a/internal/quarantinesync/trial.go
+++ b/internal/quarantinesync/trial.go
@@ -11,15 +11,14 @@
 	"github.com/tideliftd/tidelift/internal/store"
 )
 
-// trialWithin bounds how long a request in quarantine waits for its trial to be granted. Source:
-// two calls of the store of a few milliseconds each.
+// trialWithin is the timeout for claiming a trial, for which the request waits. A claim takes two store calls.
 const trialWithin = 250 * time.Millisecond
 
-// TrialDue reports whether the request in quarantine may be tried once more, as far as is known here.
+// TrialDue reports whether the trial of the quarantined request is due and not claimed, judging by local state.
 func (s *Syncer) TrialDue(id string) bool { return s.view.Load().TrialDue(time.Now(), id) }
 
-// StartTrial reports whether this daemon may send the request in quarantine once more. Of all daemons one may, once:
-// the first to write so into the store. Without the store none may.
+// StartTrial claims the trial of a quarantined request and reports whether this daemon may send it. Only the first
+// daemon to write its claim to the store may, and only once. If the store is unavailable, none may.
 func (s *Syncer) StartTrial(ctx context.Context, id string) bool {
 	if !s.TrialDue(id) {
 		return false
@@ -33,14 +32,15 @@
 	return s.claim(ctx, record)
 }
 
-// proposal asks the task for the record by which this host may send the request.
+// proposal requests the record that claims the trial for this host.
 func (s *Syncer) proposal(ctx context.Context, id string) (quarantine.Record, bool) {
 	reply := make(chan answer, 1)
 	proposed, err := s.ask(ctx, trialMessage{id: id, reply: reply}, reply)
-	return proposed.record, err == nil && proposed.ok // without an answer there is no trial
+	return proposed.record, err == nil && proposed.ok // no trial without a reply
 }
 
-// claim writes the record if the store has the request in quarantine and nobody has tried it.
+// claim writes the record if the store has the request in quarantine and its trial is not claimed. It reports whether
+// the claim was written.
 func (s *Syncer) claim(ctx context.Context, record quarantine.Record) bool {
 	item, err := s.config.Store.Get(ctx, s.keyOf(record))
 	if err != nil {
@@ -49,7 +49,7 @@
 	}
 	stored, ok := s.decodeFound(item)
 	if !ok {
-		return false // it is not there yet, so that others cannot know who tries it
+		return false // the quarantine is not in the store yet, so other daemons could not see the claim
 	}
 	merged := quarantine.Merge(stored, record)
 	if stored.TrialHost != "" || stored.Epoch != record.Epoch || !merged.Quarantined() {
@@ -64,7 +64,7 @@
 	change := store.Change{Puts: []store.Put{put}, Expect: []store.Expect{{Key: put.Key, Revision: item.Revision}}}
 	err = s.commit(ctx, change)
 	if errors.Is(err, store.ErrConflict) {
-		return false // another was first
+		return false // another daemon wrote the record first
 	}
 	if err != nil {
 		s.logUntried(record, err)
@@ -76,8 +76,8 @@
 	return true
 }
 
-// logUntried records that the store did not answer a claim. If the claim was written all the same, nobody tries the
-// request: this daemon does not know that it may.
+// logUntried records that a store call of a claim failed. If the claim was written nevertheless, no daemon sends the
+// request, since this one cannot know that it may.
 func (s *Syncer) logUntried(record quarantine.Record, err error) {
 	s.config.OnError(err)
 	event.Log(s.config.Logger, event.QuarantineUntried, "fingerprint", record.ID, "service", record.Service, "path", record.Path, "error", err)
--- a/internal/quarantinesync/write.go
+++ b/internal/quarantinesync/write.go
@@ -12,19 +12,18 @@
 )
 
 const (
-	// writeWithin bounds the writing of a batch. Source: three calls of a few milliseconds each; a slow store
-	// takes fifty times as long.
+	// writeWithin is the timeout for writing a batch.
 	writeWithin = 2 * time.Second
-	// conflicts is how often a record is merged with what others wrote meanwhile. Source: the daemons of
-	// a service that see the same request end backend servers within some milliseconds.
+	// conflicts is the maximum number of attempts to write a record that other daemons change concurrently, as the
+	// daemons of a service do when the same request ends their backend servers within milliseconds.
 	conflicts = 6
 )
 
-// heldPrefix begins the keys of what was ever quarantined.
+// heldPrefix returns the key prefix of records that are or were quarantined.
 func (s *Syncer) heldPrefix() string { return s.config.Prefix + "/held/" }
 
-// keyOf returns the record's key. What is only suspected has a prefix of its own that no daemon follows:
-// one that sees the next end reads it.
+// keyOf returns the key of a record. Records that were never quarantined have a separate prefix that no daemon
+// follows; a daemon reads such a record when it writes another end of the request.
 func (s *Syncer) keyOf(r quarantine.Record) string {
 	if r.WasQuarantined() {
 		return s.heldPrefix() + r.ID
@@ -32,8 +31,8 @@
 	return s.config.Prefix + "/suspected/" + r.ID
 }
 
-// writeBatch writes the records: all as new ones, and if some are known to the store, each merged with what
-// it has.
+// writeBatch writes the records in one change, on the assumption that none is in the store. If that fails, it merges
+// and writes them one by one.
 func (s *Syncer) writeBatch(ctx context.Context, batch []quarantine.Record) writtenMessage {
 	ctx, cancel := context.WithTimeout(ctx, writeWithin)
 	defer cancel()
@@ -55,7 +54,7 @@
 	return done
 }
 
-// writeNew writes records that the store does not know.
+// writeNew writes records in one change, which fails if the store has any of them.
 func (s *Syncer) writeNew(ctx context.Context, records []quarantine.Record) error {
 	var change store.Change
 	for _, record := range records {
@@ -69,9 +68,9 @@
 	return s.commit(ctx, change)
 }
 
-// writeMerged writes a record together with what the store has of it, and returns what the store has then.
+// writeMerged merges a record with the stored one, writes the result unless the store already has it, and returns it.
 func (s *Syncer) writeMerged(ctx context.Context, record quarantine.Record) (quarantine.Record, error) {
-	known := int64(0) // revision of what record was merged with
+	known := int64(0) // revision of the stored record that was merged; zero if the key is expected to be absent
 	for range conflicts {
 		put, err := s.putOf(ctx, record)
 		if err != nil {
@@ -95,13 +94,13 @@
 			return record, nil
 		}
 		if s.keyOf(record) != put.Key {
-			known = 0 // both together are a quarantine, which has another key
+			known = 0 // the merged record is quarantined, which has another key
 		}
 	}
-	return record, errors.Wrapf(store.ErrConflict, "write what is held against request %s", record.ID)
+	return record, errors.Wrapf(store.ErrConflict, "write record of request %s", record.ID)
 }
 
-// decodeFound decodes the store's record, if it has one.
+// decodeFound decodes the stored record, and reports whether there is a valid one.
 func (s *Syncer) decodeFound(item store.Item) (quarantine.Record, bool) {
 	if item.Data == nil {
 		return quarantine.Record{}, false
@@ -109,8 +108,8 @@
 	return s.decode(item)
 }
 
-// putOf returns the entry that writes the record. What was ever quarantined stays until it is forgotten everywhere; the
-// rest ends with a lease.
+// putOf returns the put that writes the record. Records that were never quarantined expire with a lease; the others
+// stay until they are removed.
 func (s *Syncer) putOf(ctx context.Context, record quarantine.Record) (store.Put, error) {
 	data, err := json.Marshal(record)
 	if err != nil {
@@ -124,7 +123,7 @@
 	return put, err
 }
 
-// commit makes the change. A lease that has ended is not used again.
+// commit commits the change. If its lease has expired, the lease is discarded, so that a retry gets a new one.
 func (s *Syncer) commit(ctx context.Context, change store.Change) error {
 	_, err := s.config.Store.Commit(ctx, change)
 	if errors.Is(err, store.ErrNoLease) {
@@ -133,8 +132,9 @@
 	return err
 }
 
-// remove takes records out of the store that are forgotten. Of those that were ever quarantined one daemon of
-// those that watch is enough; if none does it now, the key is read and forgotten again at the next start.
+// remove removes expired records from the store. Only daemons that watch the store remove them, and only records that
+// were quarantined; the others expire with their lease. A key that is left behind is read and expires again at the next
+// start of a daemon.
 func (s *Syncer) remove(ctx context.Context, records []quarantine.Record) {
 	ctx, cancel := context.WithTimeout(ctx, writeWithin)
 	defer cancel()
