--- a/internal/record/keep_test.go
+++ b/internal/record/keep_test.go
@@ -14,8 +14,8 @@
 	"github.com/tideliftd/tidelift/internal/storehealth"
 )
 
-// TestARecordOutlivesItsLease keeps a record while the store is away for longer than its lease: the record is
-// written anew under another lease, which is renewed from then on.
+// TestARecordOutlivesItsLease guards against a record that is lost when the store is unavailable for longer than its
+// lease, and against a new lease that is not renewed.
 func TestARecordOutlivesItsLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
@@ -25,7 +25,7 @@
 		kv := store.Store{
 			Grant: func(context.Context, time.Duration) (store.Lease, error) {
 				if away() {
-					return store.NoLease, errors.New("away")
+					return store.NoLease, errors.New("unavailable")
 				}
 				lease++
 				renewed = time.Now()
@@ -34,7 +34,7 @@
 			Renew: func(_ context.Context, asked store.Lease) error {
 				switch {
 				case away():
-					return errors.New("away")
+					return errors.New("unavailable")
 				case asked != lease || time.Since(renewed) > leaseFor:
 					return store.ErrNoLease
 				}
@@ -43,7 +43,7 @@
 			},
 			Commit: func(_ context.Context, change store.Change) (int64, error) {
 				if key := change.Puts[0].Key; key != "tidelift/hosts/csepel-1" || change.Puts[0].Lease != lease {
-					t.Errorf("%s is written under lease %d", key, change.Puts[0].Lease)
+					t.Errorf("wrote %s under lease %d", key, change.Puts[0].Lease)
 				}
 				return 1, nil
 			},
@@ -62,12 +62,12 @@
 		first := r.Write(ctx)
 		time.AfterFunc(50*time.Second, func() {
 			if r.HostsCounted() {
-				t.Error("the part is used while nobody knows whether the store has the record")
+				t.Error("the share may be used while the record is not confirmed by the store")
 			}
 		})
 		r.Keep(ctx, first)
 		if lease != first+1 || time.Since(renewed) > renewEvery || !r.HostsCounted() {
-			t.Fatalf("lease %d, renewed %s ago; the part may be used: %t", lease, time.Since(renewed), r.HostsCounted())
+			t.Fatalf("lease %d, renewed %s ago; the share may be used: %t", lease, time.Since(renewed), r.HostsCounted())
 		}
 	})
 }
--- a/internal/record/part_test.go
+++ b/internal/record/part_test.go
@@ -14,21 +14,21 @@
 	"github.com/tideliftd/tidelift/test/wallclock"
 )
 
-// TestOnlyAFirstStartHasItsPartAtOnce writes a host's record to a store that has one of an earlier incarnation,
-// or not, or whose answer is lost.
+// TestOnlyAFirstStartHasItsPartAtOnce guards against a host that uses its share of the retry slack immediately although
+// an earlier incarnation may have used it, including after a lost answer of the store.
 func TestOnlyAFirstStartHasItsPartAtOnce(t *testing.T) {
-	errLost := errors.New("the answer is lost")
+	errLost := errors.New("answer lost")
 	tests := []struct {
 		name    string
 		fleets  bool // first start
-		there   bool // the store has a record
-		lost    bool // the first answer is lost, though the record is written
-		wantHas bool // its part of the slack at once
+		there   bool // the store has a record of the host
+		lost    bool // the first write succeeds, but its answer is lost
+		wantHas bool // the share may be used immediately
 	}{
 		{name: "a fleet's first start", fleets: true, wantHas: true},
 		{name: "a host that joins a fleet"},
-		{name: "a start within the life of a record", fleets: true, there: true},
-		{name: "a first start of which the answer is lost", fleets: true, lost: true},
+		{name: "a start before the earlier record expires", fleets: true, there: true},
+		{name: "a first start with a lost answer", fleets: true, lost: true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -52,17 +52,17 @@
 				continue
 			}
 			if has := budgets.Left(now, "names"); has != test.wantHas {
-				t.Fatalf("it has its part: %t", has)
+				t.Fatalf("the share may be used immediately: %t", has)
 			}
 			if !budgets.Left(now.Add(10*time.Second), "names") {
-				t.Fatal("it has no part after a window")
+				t.Fatal("the share may not be used after a retry window")
 			}
 		})
 	}
 }
 
-// TestADeclaredHostHasItsPartAtOnceInItsFirstStart starts one with a store that knows of an earlier start, or
-// not, or that does not answer.
+// TestADeclaredHostHasItsPartAtOnceInItsFirstStart guards against a declared host that does not use its share
+// immediately in its first start, or does so in a later one or while the store does not answer.
 func TestADeclaredHostHasItsPartAtOnceInItsFirstStart(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -73,13 +73,13 @@
 		{name: "a fleet's first start", fleets: true, wantHas: true},
 		{name: "a host that joins a fleet"},
 		{name: "a later start with the same settings", fleets: true, answer: store.ErrConflict},
-		{name: "the store does not answer", fleets: true, answer: errors.New("away")},
+		{name: "the store does not answer", fleets: true, answer: errors.New("unavailable")},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			commit := func(_ context.Context, change store.Change) (int64, error) {
 				if len(change.Expect) != 1 || change.Expect[0].Revision != 0 || change.Expect[0].Key != change.Puts[0].Key {
-					t.Errorf("the claim is not one: %+v", change)
+					t.Errorf("the change does not claim an absent key: %+v", change)
 				}
 				return 1, test.answer
 			}
@@ -92,42 +92,43 @@
 			budgets.Resize(now, map[string]retry.Size{"names": {Slack: 56, Window: 10 * time.Second, Hosts: 1}})
 			r.ClaimFirstStart(context.Background())
 			if has := budgets.Left(now, "names"); has != test.wantHas {
-				t.Fatalf("it has its part: %t", has)
+				t.Fatalf("the share may be used immediately: %t", has)
 			}
 			if !budgets.Left(now.Add(10*time.Second), "names") {
-				t.Fatal("it has no part after a window")
+				t.Fatal("the share may not be used after a retry window")
 			}
 		})
 	}
 }
 
-// TestAPartIsUsedWhileTheStoreHasTheRecord cuts a daemon off from the store.
+// TestAPartIsUsedWhileTheStoreHasTheRecord guards against a share that is used before the hosts are counted, or after
+// the store stops confirming the record.
 func TestAPartIsUsedWhileTheStoreHasTheRecord(t *testing.T) {
 	r := New(Config{})
 	now := time.Now()
 	r.confirmedAt.Store(&now)
 	if r.HostsCounted() {
-		t.Fatal("the hosts have not been counted")
+		t.Fatal("the share may be used before the hosts are counted")
 	}
 	r.counted.Store(true)
 	if !r.HostsCounted() {
-		t.Fatal("the hosts have been counted")
+		t.Fatal("the share may not be used after the hosts are counted")
 	}
 	before := time.Now().Add(-sharedFor)
 	r.confirmedAt.Store(&before)
 	if r.HostsCounted() {
-		t.Fatal("the store has not renewed the record, and a next life may not find it")
+		t.Fatal("the share may be used although the store does not confirm the record")
 	}
 }
 
-// TestAPartEndsThoughTheClockStepsBack guards against a part of the retry slack that is used on while another
-// incarnation of the host may have it: the wall clock stepped back after the store had last renewed the record.
+// TestAPartEndsThoughTheClockStepsBack guards against a share that stays usable, and may be used twice, because the
+// wall clock steps back after the last renewal of the record.
 func TestAPartEndsThoughTheClockStepsBack(t *testing.T) {
 	r := New(Config{})
 	r.counted.Store(true)
 	confirmed := wallclock.ReadBeforeStepBack(time.Now().Add(-sharedFor), time.Hour)
 	r.confirmedAt.Store(&confirmed)
 	if r.HostsCounted() {
-		t.Fatalf("the part is used %s after the store renewed the record", sharedFor)
+		t.Fatalf("the share may be used %s after the store last renewed the record", sharedFor)
 	}
 }
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -1,17 +1,16 @@
-// Package record keeps the record of this host in the platform's key-value store, by which hosts that
-// register themselves find each other at a start, and find out whether one is gone.
+// Package record maintains this host's record in the platform's key-value store. Hosts that register themselves use
+// the records to discover each other when they start, and to detect that a host is gone.
 //
-// A record stands under a lease: the store drops it a while after the last renewal. What it
-// says travels from daemon to daemon; nobody watches the records.
+// A record is attached to a lease: the store deletes it some time after the last renewal. Daemons do not watch the
+// records; they notify each other of changes.
 //
-// Hosts share the retries of a service by parts, so that each must know how many hosts there are, and must not
-// use its part twice. Both come from the records: the first write of an incarnation finds out whether an
-// earlier one still has its record, the hosts are counted from the records, and the part is used only
-// while the store has the own record. A declared host has no record; it claims its first start by a
-// key of its own.
+// The hosts divide the retry slack of a service between them. Each therefore has to know the number of hosts, and must
+// not use its share twice. The records provide both: the first write of an incarnation finds out whether the record of
+// an earlier one still exists, the hosts are counted from the records, and a daemon uses its share only while the
+// store has its own record. A declared host has no record; it claims its first start by a separate key.
 //
-// The package owns those keys, the lease, and what its calls showed of the parts. It relies on
-// internal/store for the calls and on internal/storehealth for repeating them.
+// The package owns these keys, the lease, and the state that decides whether the share may be used. It uses
+// internal/store for the calls and internal/storehealth for retrying them.
 //
 // # Usage
 //
@@ -39,56 +38,55 @@
 )
 
 const (
-	// leaseFor is how long the store keeps a host's record that is not renewed.
-	// Source: a host that is back within half a minute was never gone.
+	// leaseFor is the lifetime of a record that is not renewed. A host that returns within it does not count as
+	// gone.
 	leaseFor = 30 * time.Second
-	// renewEvery is how often the record is renewed. Source: two renewals may be
-	// lost.
+	// renewEvery is the renewal interval. Two consecutive renewals may be lost.
 	renewEvery = 10 * time.Second
-	// getTimeout bounds the question whether a host has a record. Not measured: as long as a call to
-	// another daemon may take; the host is asked about again if it stays silent.
+	// getTimeout is the timeout for reading another host's record. The read is repeated while the host does not
+	// answer.
 	getTimeout = 2 * time.Second
 )
 
-// Config says whose record is kept, and where.
+// Config configures a Record.
 type Config struct {
-	// Host names this host.
+	// Host is the name of this host.
 	Host string
-	// Store holds the records; their keys begin with Prefix.
+	// Store holds the records. All keys begin with Prefix.
 	Store  store.Store
 	Prefix string
 	// FirstStart is true if the settings declare this the first start of the fleet.
 	FirstStart bool
-	// Health is told how the calls went.
+	// Health retries the store calls and receives their outcomes.
 	Health *storehealth.Health
-	// Logger receives events of records that cannot be read.
+	// Logger receives events of records that cannot be decoded.
 	Logger *slog.Logger
-	// Self returns what the record says.
+	// Self returns the content of this host's record.
 	Self func() member.Host
-	// Learn is given what the hosts' records say.
+	// Learn receives the hosts that were read from the store.
 	Learn func([]member.Host)
-	// Unused is called if nobody used this host's part of what hosts share, with for how long before
-	// this start.
+	// Unused is called if no incarnation of this host used its share of the retry slack recently, with the time
+	// before this start for which the share is known to be unused.
 	Unused func(before time.Duration)
 }
 
 // Record is this host's record in the store.
 type Record struct {
 	config   Config
-	foundOwn atomic.Bool // the store has had a record of this host before the one that is written
-	counted  atomic.Bool // the store has listed the hosts once this daemon had been there for a while
-	// confirmedAt is when the store last took or renewed the record; nil if it never did. Its monotonic reading
-	// counts, since the wall clock may step.
+	foundOwn atomic.Bool // the store is known to have had a record of this host, of any incarnation
+	counted  atomic.Bool // the hosts were listed countAfter after the start
+	// confirmedAt is the time of the last request by which the store wrote or renewed the record; nil if there is
+	// none. It is compared by its monotonic reading, since the wall clock may step.
 	confirmedAt atomic.Pointer[time.Time]
 }
 
-// New returns the record, which is not written yet.
+// New returns a Record. It does not write to the store.
 func New(config Config) *Record { return &Record{config: config} }
 
-// key returns the key of a host's record; without a name it is what all begin with.
+// key returns the key of a host's record, or the prefix of all records if host is empty.
 func (r *Record) key(host string) string { return r.config.Prefix + "/hosts/" + host }
 
-// Write writes the record under a new lease, until the store takes it or ctx ends.
+// Write writes the record under a new lease, and retries until the store accepts it or ctx ends.
 func (r *Record) Write(ctx context.Context) store.Lease {
 	lease := store.NoLease
 	r.config.Health.UntilAnswered(ctx, func() (err error) {
@@ -98,8 +96,8 @@
 	return lease
 }
 
-// Keep renews the record until ctx ends. After an outage in which the lease ended the record is
-// written anew at once.
+// Keep renews the record until ctx ends. If the lease has expired, as after an outage of the store, it immediately
+// writes the record under a new one.
 func (r *Record) Keep(ctx context.Context, lease store.Lease) {
 	for wait.For(ctx, renewEvery) {
 		var lapsed bool
@@ -146,9 +144,9 @@
 	return lease, nil
 }
 
-// commit writes the record. The first of this incarnation finds out whether the store still has that of
-// an earlier one. In the first start of a fleet, if not, nobody has used what the hosts share: neither
-// that incarnation, which had not been heard of for as long as records last, nor hosts that are gone by now.
+// commit writes the record. The first write of an incarnation finds out whether the store still has the record of an
+// earlier one. If it has none and this is the first start of the fleet, this host's share is unused: an earlier
+// incarnation did not renew its record for the lifetime of the lease, and there are no hosts that are gone by now.
 func (r *Record) commit(ctx context.Context, put store.Put) error {
 	change := store.Change{Puts: []store.Put{put}}
 	if !r.foundOwn.Load() {
@@ -169,7 +167,8 @@
 	return nil
 }
 
-// ReadAll reads every host's record, until the store answers or ctx ends.
+// ReadAll reads the records of all hosts and passes them to Config.Learn. It retries until the store answers or ctx
+// ends.
 func (r *Record) ReadAll(ctx context.Context) {
 	var batch store.Batch
 	answered := r.config.Health.UntilAnswered(ctx, func() (err error) {
@@ -181,13 +180,13 @@
 	}
 }
 
-// decodeRecords reads the records and leaves out those that cannot be read.
+// decodeRecords decodes the records, skips those that cannot be decoded, and calls onBad for each of these.
 func decodeRecords(items []store.Item, onBad func(error)) []member.Host {
 	var hosts []member.Host
 	for _, item := range items {
 		var h member.Host
 		if err := json.Unmarshal(item.Data, &h); err != nil {
-			onBad(errors.Wrapf(err, "read record %s", item.Key))
+			onBad(errors.Wrapf(err, "decode record %s", item.Key))
 			continue
 		}
 		hosts = append(hosts, h)
@@ -195,12 +194,12 @@
 	return hosts
 }
 
-// logRefused logs a record that cannot be read.
+// logRefused logs a record that cannot be decoded.
 func (r *Record) logRefused(err error) {
 	event.Log(r.config.Logger, event.RecordRefused, "error", err)
 }
 
-// IsGone reports whether the store answers that it has no record of the host.
+// IsGone reports whether the store has no record of the host. It returns false if the store does not answer.
 func (r *Record) IsGone(host string) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), getTimeout)
 	defer cancel()
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -9,8 +9,8 @@
 	"github.com/tideliftd/tidelift/internal/store"
 )
 
-// TestARecordIsTakenWhole reads a host's record from the store. With a part of it
-// left out it would stay so: what the host itself tells has the same version.
+// TestARecordIsTakenWhole guards against fields of a host's record that are lost when it is read from the store. They
+// would stay lost, since the host's own updates have the same version.
 func TestARecordIsTakenWhole(t *testing.T) {
 	want := member.Host{
 		Name: "csepel-1", DataCentre: "csepel", Start: "s", Incarnation: 2, Version: 5,
@@ -24,6 +24,6 @@
 	refused := 0
 	got := decodeRecords([]store.Item{{Key: "a", Data: data}, {Key: "b", Data: []byte("{")}}, func(error) { refused++ })
 	if len(got) != 1 || !reflect.DeepEqual(got[0], want) || refused != 1 {
-		t.Fatalf("got %+v, %d refused", got, refused)
+		t.Fatalf("decoded %+v, refused %d records", got, refused)
 	}
 }
--- a/internal/record/share.go
+++ b/internal/record/share.go
@@ -11,26 +11,24 @@
 )
 
 const (
-	// countAfter is when a daemon counts the hosts that the store lists. Source: hosts that start
-	// together have written their records within a few seconds, also while the store is slow; what
-	// they share is used later still.
+	// countAfter is the delay before a daemon counts the hosts. By then, hosts that start together have written their
+	// records, even if the store is slow.
 	countAfter = 5 * time.Second
-	// sharedFor is how long after the store last took its record a daemon uses its part of what the
-	// hosts share. Source: one that starts within the time that is left until the record lapses finds
-	// it, and waits.
+	// sharedFor is how long a daemon uses its share after the store last confirmed its record. It must be shorter
+	// than leaseFor: an incarnation that starts before the record expires finds it and waits, and one that starts
+	// later relies on the share being unused for leaseFor - sharedFor.
 	sharedFor = 20 * time.Second
-	// sharedCheckEvery is how often it is checked whether that time is over. Not measured: it may be used
-	// a second longer, and the lease has ten to go.
+	// sharedCheckEvery is the interval at which sharedFor is checked. The share may be used for this much longer,
+	// which must be less than leaseFor - sharedFor.
 	sharedCheckEvery = time.Second
-	// neverUsed is how long before the first start of a fleet nobody used what its hosts share. Not
-	// measured: any time longer than every retry window will do.
+	// neverUsed is the time for which a share counts as unused before the first start of a fleet. It has to be
+	// longer than any retry window.
 	neverUsed = 24 * time.Hour
 )
 
-// CountHosts reads the hosts' records once more when this daemon has been there for a while. Those
-// that started at the same time are in them, also if none can reach another, so that all hosts
-// together share no more than there is. It calls changed when HostsCounted may have
-// changed, until ctx ends.
+// CountHosts reads the records again countAfter after the start. They then include the hosts that started at the same
+// time, even if these cannot reach each other, so the shares do not add up to more than the whole. It calls changed
+// whenever the result of HostsCounted may have changed, until ctx ends.
 func (r *Record) CountHosts(ctx context.Context, changed func()) {
 	if !wait.For(ctx, countAfter) {
 		return
@@ -46,17 +44,17 @@
 	}
 }
 
-// HostsCounted reports whether this daemon may use its part of what the hosts share: it knows how many
-// they are, and the store has had its record for most of the time.
+// HostsCounted reports whether this daemon may use its share of the retry slack: the hosts are counted, and the store
+// confirmed this host's record less than sharedFor ago.
 func (r *Record) HostsCounted() bool {
 	confirmed := r.confirmedAt.Load()
 	return r.counted.Load() && confirmed != nil && time.Since(*confirmed) < sharedFor
 }
 
-// ClaimFirstStart finds out whether this is the first start of a declared host in the first start of its
-// fleet, which then uses its part of the slack at once: a hedge needs a retry, and in the first seconds
-// no request has earned one. The store keeps a key for each host that ever started, so that a later start
-// with the same settings waits for a window as any other does.
+// ClaimFirstStart finds out whether this is the first start of a declared host in the first start of its fleet, and
+// calls Config.Unused if it is, so that the host uses its share immediately. A hedge needs a retry, and in the first
+// seconds no request has earned one. The store keeps a key for each host that ever started, so a later start with the
+// same settings waits for a retry window.
 func (r *Record) ClaimFirstStart(ctx context.Context) {
 	if !r.config.FirstStart {
 		return
@@ -68,6 +66,6 @@
 	case err == nil:
 		r.config.Unused(neverUsed)
 	case !errors.Is(err, store.ErrConflict):
-		r.config.Health.Failed(err) // a start that cannot tell waits like a later one
+		r.config.Health.Failed(err) // without an answer, the host waits as after a later start
 	}
 }
