--- a/internal/fingerprint/fingerprint.go
+++ b/internal/fingerprint/fingerprint.go
@@ -1,22 +1,21 @@
-// Package fingerprint tells whether two requests are the same one come again, whatever their ids.
+// Package fingerprint identifies repeated requests by their content, regardless of their request IDs.
 //
 // # Usage
 //
 //	r := fingerprint.Request{Method: "POST", Host: "a.example", Path: "/orders/7", Customer: "library-12", Body: body.First}
-//	if view.HasHead(r.Head()) { // the body is not read
+//	if view.HasHead(r.Head()) { // does not read the body
 //		id, err := r.Digest()
 //	}
 //
 // # Rules
 //
-//   - Two requests are the same if method, host name, path, query, customer and body are. Whoever
-//     sent them and where they came in does not matter: the same request comes at any host, and
-//     what one customer sends says nothing of another's requests.
-//   - Of a body only the first BodyBytes count, so that a longer one can be known before it has
-//     streamed through. Bodies that differ later are taken for the same.
-//   - A head is a hash to look something up by and may collide. A digest is one that nobody can
-//     make collide on purpose: callers choose their bodies, and a request that is refused for
-//     another's fingerprint would be theirs to bring about.
+//   - Two requests are the same if their method, host name, path, query, customer and body are equal. The sender and
+//     the receiving host do not count: a repeated request may arrive at any host. Requests of different customers
+//     are never the same.
+//   - Only the first BodyBytes of a body count, so a longer request is identified before its body has streamed
+//     through. Bodies that differ later are considered equal.
+//   - A head hash serves as a lookup key and may collide. A digest resists second-preimage attacks: clients choose
+//     their bodies, and could otherwise cause another client's request to be refused.
 package fingerprint
 
 import (
@@ -29,49 +28,48 @@
 )
 
 const (
-	// BodyBytes is how much of a body counts. Source: what the daemon keeps of a body to send it
-	// again.
+	// BodyBytes is the length of the body prefix that counts, which is what the daemon buffers for retries.
 	BodyBytes = 64 << 10
-	// digestBytes is the length of a digest. Source: to find a second request for a given digest takes
-	// 2^128 tries.
+	// digestBytes is the length of a digest before encoding. Finding another request with a given digest takes 2^128
+	// attempts.
 	digestBytes = 16
 )
 
-// Request is what counts of a request.
+// Request holds the parts of a request that identify it.
 type Request struct {
 	Method   string
 	Host     string
 	Path     string
 	Query    string
-	Customer string // for whom it is; empty if that is not known
-	// Body returns the first bytes of the body, at most so many; nil if there is none.
+	Customer string // empty if unknown
+	// Body returns the first bytes of the body, at most limit. It is nil if the request has no body.
 	Body func(limit int) ([]byte, error)
 }
 
-// Head returns a hash of all but the body.
+// Head returns a hash of everything but the body.
 func (r Request) Head() uint64 {
 	var h xxhash.Digest
 	h.Reset()
 	for _, part := range r.parts() {
 		_, _ = h.WriteString(part)
-		_, _ = h.Write([]byte{0}) // no part of a request holds it
+		_, _ = h.Write([]byte{0}) // separator; no part contains a zero byte
 	}
 	return h.Sum64()
 }
 
-// parts returns what a head is of.
+// parts returns all parts but the body.
 func (r Request) parts() [5]string {
 	return [5]string{r.Method, r.Host, r.Path, r.Query, r.Customer}
 }
 
-// Digest returns the fingerprint of the whole request, in hexadecimal digits. It fails if the body
+// Digest returns the fingerprint of the request, including the body, in hexadecimal. It returns an error if the body
 // cannot be read.
 func (r Request) Digest() (string, error) {
 	var body []byte
 	if r.Body != nil {
 		first, err := r.Body(BodyBytes)
 		if err != nil {
-			return "", errors.Wrap(err, "read body for its fingerprint")
+			return "", errors.Wrap(err, "read body for fingerprint")
 		}
 		body = first
 	}
--- a/internal/fingerprint/fingerprint_test.go
+++ b/internal/fingerprint/fingerprint_test.go
@@ -9,7 +9,6 @@
 	"github.com/tideliftd/tidelift/internal/fingerprint"
 )
 
-// request returns a request with that body.
 func request(body []byte) fingerprint.Request {
 	return fingerprint.Request{
 		Method: "POST", Host: "a.example", Path: "/orders/7", Query: "x=1", Customer: "library",
@@ -26,7 +25,8 @@
 	return id
 }
 
-// TestWhatMakesRequestsTheSame changes one thing at a time.
+// TestWhatMakesRequestsTheSame guards against different requests that share a fingerprint, and repeated requests that
+// do not.
 func TestWhatMakesRequestsTheSame(t *testing.T) {
 	long := bytes.Repeat([]byte("x"), fingerprint.BodyBytes)
 	tests := map[string]struct {
@@ -34,15 +34,15 @@
 		sameHead bool
 		same     bool
 	}{
-		"nothing":            {func(*fingerprint.Request) {}, true, true},
-		"the method":         {func(r *fingerprint.Request) { r.Method = "PUT" }, false, false},
-		"the host name":      {func(r *fingerprint.Request) { r.Host = "b.example" }, false, false},
-		"the path":           {func(r *fingerprint.Request) { r.Path = "/orders/8" }, false, false},
-		"the query":          {func(r *fingerprint.Request) { r.Query = "x=2" }, false, false},
-		"the customer":       {func(r *fingerprint.Request) { r.Customer = "other" }, false, false},
-		"where a part ends":  {func(r *fingerprint.Request) { r.Host, r.Path = "a.example/orders", "/7" }, false, false},
-		"the body":           {func(r *fingerprint.Request) { r.Body = request([]byte("other")).Body }, true, false},
-		"the body's far end": {func(r *fingerprint.Request) { r.Body = request(append(bytes.Clone(long), 'y')).Body }, true, true},
+		"nothing":           {func(*fingerprint.Request) {}, true, true},
+		"the method":        {func(r *fingerprint.Request) { r.Method = "PUT" }, false, false},
+		"the host name":     {func(r *fingerprint.Request) { r.Host = "b.example" }, false, false},
+		"the path":          {func(r *fingerprint.Request) { r.Path = "/orders/8" }, false, false},
+		"the query":         {func(r *fingerprint.Request) { r.Query = "x=2" }, false, false},
+		"the customer":      {func(r *fingerprint.Request) { r.Customer = "other" }, false, false},
+		"where a part ends": {func(r *fingerprint.Request) { r.Host, r.Path = "a.example/orders", "/7" }, false, false},
+		"the body":          {func(r *fingerprint.Request) { r.Body = request([]byte("other")).Body }, true, false},
+		"the body's tail":   {func(r *fingerprint.Request) { r.Body = request(append(bytes.Clone(long), 'y')).Body }, true, true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -59,20 +59,20 @@
 	}
 }
 
-// TestABodyThatCannotBeReadHasNoDigest fails its reading.
+// TestABodyThatCannotBeReadHasNoDigest guards against a digest of a body that could not be read.
 func TestABodyThatCannotBeReadHasNoDigest(t *testing.T) {
 	r := request(nil)
-	r.Body = func(int) ([]byte, error) { return nil, errors.New("gone") }
+	r.Body = func(int) ([]byte, error) { return nil, errors.New("connection closed") }
 	if _, err := r.Digest(); err == nil {
-		t.Fatal("it has one")
+		t.Fatal("Digest returned no error for a body that cannot be read")
 	}
 	r.Body = nil
 	if digest(t, r) != digest(t, request(nil)) {
-		t.Fatal("no body and an empty one differ")
+		t.Fatal("the digests of no body and of an empty body differ")
 	}
 }
 
-// BenchmarkHead is what a request costs while something is held against another: 110 ns.
+// BenchmarkHead measures the cost per request while another request is suspected.
 func BenchmarkHead(b *testing.B) {
 	r := request(nil)
 	for b.Loop() {
@@ -80,7 +80,7 @@
 	}
 }
 
-// BenchmarkDigest is what one costs that shares its head with such a request, with a body of 64 KB: 51 us.
+// BenchmarkDigest measures the cost of a request with a body of 64 KiB that shares its head with a suspected request.
 func BenchmarkDigest(b *testing.B) {
 	r := request(bytes.Repeat([]byte("x"), fingerprint.BodyBytes))
 	b.SetBytes(fingerprint.BodyBytes)
