--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -49,9 +49,9 @@
 	// TrialAfter is the delay between the last end and the trial of a quarantined request. Backend servers that
 	// end together do so within this time, and other runs of the request have been answered by then.
 	TrialAfter = time.Second
-	// most is the maximum number of records in a Table. At 400 bytes each, they take 1.6 MB. Suspected requests
+	// maxRecords is the maximum number of records in a Table. At 400 bytes each, they take 1.6 MB. Suspected requests
 	// are evicted first, oldest first.
-	most = 4096
-	// longestText is the maximum length of the method, host name and path that are kept for operators, in bytes.
-	longestText = 200
+	maxRecords = 4096
+	// maxTextBytes is the maximum length of the method, host name and path that are kept for operators, in bytes.
+	maxTextBytes = 200
 )
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -63,11 +63,11 @@
 func newRecord(s Sighting) Record {
 	return Record{
 		ID: s.ID, Head: s.Head, Service: s.Service,
-		Method: cut(s.Method), Host: cut(s.Host), Path: cut(s.Path),
+		Method: truncate(s.Method), Host: truncate(s.Host), Path: truncate(s.Path),
 	}
 }
 
-func cut(text string) string { return text[:min(len(text), longestText)] }
+func truncate(text string) string { return text[:min(len(text), maxTextBytes)] }
 
 // Quarantined reports whether the request is quarantined.
 func (r Record) Quarantined() bool { return len(r.Ends) >= Limit }
@@ -107,18 +107,18 @@
 
 // TrialDue reports whether the trial of the request is due and not claimed.
 func (r Record) TrialDue(now time.Time) bool {
-	from, ok := r.trialFrom()
+	from, ok := r.trialDueAt()
 	return ok && !now.Before(from)
 }
 
-// trialFrom returns the time from which the trial is due, and reports whether the request is eligible for one.
-func (r Record) trialFrom() (time.Time, bool) {
+// trialDueAt returns the time from which the trial is due, and reports whether the request is eligible for one.
+func (r Record) trialDueAt() (time.Time, bool) {
 	return r.LastEnd().Add(TrialAfter), r.Quarantined() && r.TrialHost == ""
 }
 
-// settled returns the record with EverQuarantined derived from its other fields. Merge does not derive it, since the
+// normalized returns the record with EverQuarantined derived from its other fields. Merge does not derive it, since the
 // result would then depend on the order of merges.
-func (r Record) settled() Record {
+func (r Record) normalized() Record {
 	r.EverQuarantined = r.WasQuarantined()
 	return r
 }
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -83,7 +83,7 @@
 
 // put stores the record and reports whether it differs from the previous one.
 func (t *Table) put(r Record) (Record, bool) {
-	r = r.settled()
+	r = r.normalized()
 	if known, ok := t.records[r.ID]; ok && known.Same(r) {
 		return Record{}, false
 	}
@@ -101,20 +101,20 @@
 // returns as dropped.
 func (t *Table) Forget(now time.Time) (lapsed, dropped []Record) {
 	for _, r := range t.records {
-		if r.lapsed(now) {
+		if r.expired(now) {
 			lapsed = append(lapsed, r)
 			delete(t.records, r.ID)
 		}
 	}
-	dropped = t.tooMany()
+	dropped = t.evictable()
 	for _, r := range dropped {
 		delete(t.records, r.ID)
 	}
 	return lapsed, dropped
 }
 
-// lapsed reports whether the record has expired.
-func (r Record) lapsed(now time.Time) bool {
+// expired reports whether the record has expired.
+func (r Record) expired(now time.Time) bool {
 	unchanged := now.Sub(time.UnixMilli(r.Changed))
 	switch {
 	case r.Quarantined():
@@ -126,9 +126,9 @@
 	}
 }
 
-// tooMany returns the records to evict: those that are not quarantined first, and the oldest first among these.
-func (t *Table) tooMany() []Record {
-	if len(t.records) <= most {
+// evictable returns the records to evict: those that are not quarantined first, and the oldest first among these.
+func (t *Table) evictable() []Record {
+	if len(t.records) <= maxRecords {
 		return nil
 	}
 	all := t.Records()
@@ -141,7 +141,7 @@
 		}
 		return cmp.Compare(a.Changed, b.Changed)
 	})
-	return all[:len(all)-most]
+	return all[:len(all)-maxRecords]
 }
 
 // Records returns all records, sorted by ID.
--- a/internal/quarantine/view.go
+++ b/internal/quarantine/view.go
@@ -22,16 +22,16 @@
 
 // View is an immutable snapshot of a Table for lookups. It is safe for concurrent use.
 type View struct {
-	heads       map[uint64]struct{}
+	headHashes       map[uint64]struct{}
 	statuses    map[string]Status
-	trialFrom   map[string]time.Time // time from which the trial of a quarantined request is due
+	trialDueAt   map[string]time.Time // time from which the trial of a quarantined request is due
 	quarantines []Record             // of requests that are or were quarantined
 	sum         uint64
 }
 
 // View returns a snapshot of the table.
 func (t *Table) View() *View {
-	v := &View{heads: make(map[uint64]struct{}), statuses: make(map[string]Status), trialFrom: make(map[string]time.Time)}
+	v := &View{headHashes: make(map[uint64]struct{}), statuses: make(map[string]Status), trialDueAt: make(map[string]time.Time)}
 	for _, r := range t.records {
 		if r.EverQuarantined {
 			v.quarantines = append(v.quarantines, r)
@@ -40,22 +40,22 @@
 		if !r.Suspected() {
 			continue
 		}
-		v.heads[r.Head] = struct{}{}
+		v.headHashes[r.Head] = struct{}{}
 		v.statuses[r.ID] = r.Status()
-		if from, ok := r.trialFrom(); ok {
-			v.trialFrom[r.ID] = from
+		if from, ok := r.trialDueAt(); ok {
+			v.trialDueAt[r.ID] = from
 		}
 	}
 	return v
 }
 
 // Empty reports whether no request is suspected or quarantined.
-func (v *View) Empty() bool { return len(v.heads) == 0 }
+func (v *View) Empty() bool { return len(v.headHashes) == 0 }
 
 // HasHead reports whether a request with that head is suspected or quarantined. The digest, which includes the body,
 // decides whether it is the same request.
 func (v *View) HasHead(head uint64) bool {
-	_, ok := v.heads[head]
+	_, ok := v.headHashes[head]
 	return ok
 }
 
@@ -69,7 +69,7 @@
 
 // TrialDue reports whether the trial of the request is due and not claimed, judging by local state.
 func (v *View) TrialDue(now time.Time, id string) bool {
-	from, ok := v.trialFrom[id]
+	from, ok := v.trialDueAt[id]
 	return ok && !now.Before(from)
 }
 
