--- a/internal/record/keep_test.go
+++ b/internal/record/keep_test.go
@@ -18,24 +18,24 @@
 // lease, and against a new lease that is not renewed.
 func TestARecordOutlivesItsLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		began := time.Now()
-		away := func() bool { since := time.Since(began); return since > 15*time.Second && since < time.Minute }
+		startedAt := time.Now()
+		unavailable := func() bool { since := time.Since(startedAt); return since > 15*time.Second && since < time.Minute }
 		var lease store.Lease
 		var renewed time.Time
 		kv := store.Store{
 			Grant: func(context.Context, time.Duration) (store.Lease, error) {
-				if away() {
+				if unavailable() {
 					return store.NoLease, errors.New("unavailable")
 				}
 				lease++
 				renewed = time.Now()
 				return lease, nil
 			},
-			Renew: func(_ context.Context, asked store.Lease) error {
+			Renew: func(_ context.Context, id store.Lease) error {
 				switch {
-				case away():
+				case unavailable():
 					return errors.New("unavailable")
-				case asked != lease || time.Since(renewed) > leaseFor:
+				case id != lease || time.Since(renewed) > leaseTTL:
 					return store.ErrNoLease
 				}
 				renewed = time.Now()
@@ -66,7 +66,7 @@
 			}
 		})
 		r.Keep(ctx, first)
-		if lease != first+1 || time.Since(renewed) > renewEvery || !r.HostsCounted() {
+		if lease != first+1 || time.Since(renewed) > renewInterval || !r.HostsCounted() {
 			t.Fatalf("lease %d, renewed %s ago; the share may be used: %t", lease, time.Since(renewed), r.HostsCounted())
 		}
 	})
--- a/internal/record/part_test.go
+++ b/internal/record/part_test.go
@@ -14,30 +14,30 @@
 	"github.com/tideliftd/tidelift/test/wallclock"
 )
 
-// TestOnlyAFirstStartHasItsPartAtOnce guards against a host that uses its share of the retry slack immediately although
+// TestOnlyFirstStartUsesShareImmediately guards against a host that uses its share of the retry slack immediately although
 // an earlier incarnation may have used it, including after a lost answer of the store.
-func TestOnlyAFirstStartHasItsPartAtOnce(t *testing.T) {
+func TestOnlyFirstStartUsesShareImmediately(t *testing.T) {
 	errLost := errors.New("answer lost")
 	tests := []struct {
-		name    string
-		fleets  bool // first start
-		there   bool // the store has a record of the host
-		lost    bool // the first write succeeds, but its answer is lost
-		wantHas bool // the share may be used immediately
+		name       string
+		firstStart bool // of the fleet
+		exists     bool // the store has a record of the host
+		lost       bool // the first write succeeds, but its answer is lost
+		wantUsable bool // the share may be used immediately
 	}{
-		{name: "a fleet's first start", fleets: true, wantHas: true},
+		{name: "a fleet's first start", firstStart: true, wantUsable: true},
 		{name: "a host that joins a fleet"},
-		{name: "a start before the earlier record expires", fleets: true, there: true},
-		{name: "a first start with a lost answer", fleets: true, lost: true},
+		{name: "a start before the earlier record expires", firstStart: true, exists: true},
+		{name: "a first start with a lost answer", firstStart: true, lost: true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			there, lost := test.there, test.lost
+			exists, lost := test.exists, test.lost
 			commit := func(_ context.Context, change store.Change) (int64, error) {
-				if there && len(change.Expect) > 0 {
+				if exists && len(change.Expect) > 0 {
 					return 0, store.ErrConflict
 				}
-				there = true
+				exists = true
 				if lost {
 					lost = false
 					return 0, errLost
@@ -46,13 +46,13 @@
 			}
 			now := time.Now()
 			budgets := retry.NewBudgets(retry.Config{Began: now})
-			r := New(Config{Store: store.Store{Commit: commit}, FirstStart: test.fleets, Unused: budgets.Clear})
+			r := New(Config{Store: store.Store{Commit: commit}, FirstStart: test.firstStart, Unused: budgets.Clear})
 			budgets.Resize(now, map[string]retry.Size{"names": {Slack: 56, Window: 10 * time.Second, Hosts: 1}})
 			for r.commit(context.Background(), store.Put{Key: "hosts/a"}) != nil {
 				continue
 			}
-			if has := budgets.Left(now, "names"); has != test.wantHas {
-				t.Fatalf("the share may be used immediately: %t", has)
+			if usable := budgets.Left(now, "names"); usable != test.wantUsable {
+				t.Fatalf("the share may be used immediately: %t", usable)
 			}
 			if !budgets.Left(now.Add(10*time.Second), "names") {
 				t.Fatal("the share may not be used after a retry window")
@@ -61,19 +61,19 @@
 	}
 }
 
-// TestADeclaredHostHasItsPartAtOnceInItsFirstStart guards against a declared host that does not use its share
+// TestDeclaredHostUsesShareImmediatelyInFirstStart guards against a declared host that does not use its share
 // immediately in its first start, or does so in a later one or while the store does not answer.
-func TestADeclaredHostHasItsPartAtOnceInItsFirstStart(t *testing.T) {
+func TestDeclaredHostUsesShareImmediatelyInFirstStart(t *testing.T) {
 	tests := []struct {
-		name    string
-		fleets  bool  // first start
-		answer  error // of the store
-		wantHas bool
+		name       string
+		firstStart bool  // of the fleet
+		answer     error // of the store
+		wantUsable bool
 	}{
-		{name: "a fleet's first start", fleets: true, wantHas: true},
+		{name: "a fleet's first start", firstStart: true, wantUsable: true},
 		{name: "a host that joins a fleet"},
-		{name: "a later start with the same settings", fleets: true, answer: store.ErrConflict},
-		{name: "the store does not answer", fleets: true, answer: errors.New("unavailable")},
+		{name: "a later start with the same settings", firstStart: true, answer: store.ErrConflict},
+		{name: "the store does not answer", firstStart: true, answer: errors.New("unavailable")},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -86,13 +86,13 @@
 			now := time.Now()
 			budgets := retry.NewBudgets(retry.Config{Began: now})
 			r := New(Config{
-				Host: "csepel-1", Store: store.Store{Commit: commit}, FirstStart: test.fleets, Unused: budgets.Clear,
+				Host: "csepel-1", Store: store.Store{Commit: commit}, FirstStart: test.firstStart, Unused: budgets.Clear,
 				Health: storehealth.New(storehealth.Config{Logger: slog.New(slog.DiscardHandler)}),
 			})
 			budgets.Resize(now, map[string]retry.Size{"names": {Slack: 56, Window: 10 * time.Second, Hosts: 1}})
 			r.ClaimFirstStart(context.Background())
-			if has := budgets.Left(now, "names"); has != test.wantHas {
-				t.Fatalf("the share may be used immediately: %t", has)
+			if usable := budgets.Left(now, "names"); usable != test.wantUsable {
+				t.Fatalf("the share may be used immediately: %t", usable)
 			}
 			if !budgets.Left(now.Add(10*time.Second), "names") {
 				t.Fatal("the share may not be used after a retry window")
@@ -101,9 +101,9 @@
 	}
 }
 
-// TestAPartIsUsedWhileTheStoreHasTheRecord guards against a share that is used before the hosts are counted, or after
+// TestShareIsUsableWhileStoreConfirmsRecord guards against a share that is used before the hosts are counted, or after
 // the store stops confirming the record.
-func TestAPartIsUsedWhileTheStoreHasTheRecord(t *testing.T) {
+func TestShareIsUsableWhileStoreConfirmsRecord(t *testing.T) {
 	r := New(Config{})
 	now := time.Now()
 	r.confirmedAt.Store(&now)
@@ -114,21 +114,21 @@
 	if !r.HostsCounted() {
 		t.Fatal("the share may not be used after the hosts are counted")
 	}
-	before := time.Now().Add(-sharedFor)
+	before := time.Now().Add(-shareTTL)
 	r.confirmedAt.Store(&before)
 	if r.HostsCounted() {
 		t.Fatal("the share may be used although the store does not confirm the record")
 	}
 }
 
-// TestAPartEndsThoughTheClockStepsBack guards against a share that stays usable, and may be used twice, because the
+// TestShareExpiresWhenClockStepsBack guards against a share that stays usable, and may be used twice, because the
 // wall clock steps back after the last renewal of the record.
-func TestAPartEndsThoughTheClockStepsBack(t *testing.T) {
+func TestShareExpiresWhenClockStepsBack(t *testing.T) {
 	r := New(Config{})
 	r.counted.Store(true)
-	confirmed := wallclock.ReadBeforeStepBack(time.Now().Add(-sharedFor), time.Hour)
+	confirmed := wallclock.ReadBeforeStepBack(time.Now().Add(-shareTTL), time.Hour)
 	r.confirmedAt.Store(&confirmed)
 	if r.HostsCounted() {
-		t.Fatalf("the share may be used %s after the store last renewed the record", sharedFor)
+		t.Fatalf("the share may be used %s after the store last renewed the record", shareTTL)
 	}
 }
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -38,11 +38,11 @@
 )
 
 const (
-	// leaseFor is the lifetime of a record that is not renewed. A host that returns within it does not count as
+	// leaseTTL is the lifetime of a record that is not renewed. A host that returns within it does not count as
 	// gone.
-	leaseFor = 30 * time.Second
-	// renewEvery is the renewal interval. Two consecutive renewals may be lost.
-	renewEvery = 10 * time.Second
+	leaseTTL = 30 * time.Second
+	// renewInterval is the interval between renewals of the lease, of which two in a row may be lost.
+	renewInterval = 10 * time.Second
 	// getTimeout is the timeout for reading another host's record. The read is repeated while the host does not
 	// answer.
 	getTimeout = 2 * time.Second
@@ -72,9 +72,9 @@
 
 // Record is this host's record in the store.
 type Record struct {
-	config   Config
-	foundOwn atomic.Bool // the store is known to have had a record of this host, of any incarnation
-	counted  atomic.Bool // the hosts were listed countAfter after the start
+	config    Config
+	hadRecord atomic.Bool // the store is known to have had a record of this host, of any incarnation
+	counted   atomic.Bool // the hosts were listed countDelay after the start
 	// confirmedAt is the time of the last request by which the store wrote or renewed the record; nil if there is
 	// none. It is compared by its monotonic reading, since the wall clock may step.
 	confirmedAt atomic.Pointer[time.Time]
@@ -99,26 +99,26 @@
 // Keep renews the record until ctx ends. If the lease has expired, as after an outage of the store, it immediately
 // writes the record under a new one.
 func (r *Record) Keep(ctx context.Context, lease store.Lease) {
-	for wait.For(ctx, renewEvery) {
-		var lapsed bool
-		var asked time.Time
+	for wait.For(ctx, renewInterval) {
+		var leaseExpired bool
+		var requestedAt time.Time
 		r.config.Health.Retry(ctx, func() error {
-			asked = time.Now()
+			requestedAt = time.Now()
 			err := r.config.Store.Renew(ctx, lease)
-			lapsed = errors.Is(err, store.ErrNoLease)
-			if lapsed {
+			leaseExpired = errors.Is(err, store.ErrNoLease)
+			if leaseExpired {
 				return nil
 			}
 			return err
 		})
-		if lapsed {
+		if leaseExpired {
 			lease = r.Write(ctx)
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		if !lapsed {
-			r.confirmedAt.Store(&asked)
+		if !leaseExpired {
+			r.confirmedAt.Store(&requestedAt)
 		}
 		r.config.Health.Answered()
 	}
@@ -126,7 +126,7 @@
 
 // put writes the record under a new lease.
 func (r *Record) put(ctx context.Context) (store.Lease, error) {
-	lease, err := r.config.Store.Grant(ctx, leaseFor)
+	lease, err := r.config.Store.Grant(ctx, leaseTTL)
 	if err != nil {
 		return store.NoLease, err
 	}
@@ -136,11 +136,11 @@
 		return store.NoLease, errors.Wrap(err, "encode record")
 	}
 	put := store.Put{Key: r.key(self.Name), Data: data, Lease: lease}
-	asked := time.Now()
+	requestedAt := time.Now()
 	if err := r.commit(ctx, put); err != nil {
 		return store.NoLease, err
 	}
-	r.confirmedAt.Store(&asked)
+	r.confirmedAt.Store(&requestedAt)
 	return lease, nil
 }
 
@@ -149,20 +149,20 @@
 // incarnation did not renew its record for the lifetime of the lease, and there are no hosts that are gone by now.
 func (r *Record) commit(ctx context.Context, put store.Put) error {
 	change := store.Change{Puts: []store.Put{put}}
-	if !r.foundOwn.Load() {
+	if !r.hadRecord.Load() {
 		change.Expect = []store.Expect{{Key: put.Key}}
 	}
 	_, err := r.config.Store.Commit(ctx, change)
 	if errors.Is(err, store.ErrConflict) {
-		r.foundOwn.Store(true)
+		r.hadRecord.Store(true)
 		change.Expect = nil
 		_, err = r.config.Store.Commit(ctx, change)
 	}
 	if err != nil {
 		return err
 	}
-	if !r.foundOwn.Swap(true) && r.config.FirstStart {
-		r.config.Unused(leaseFor - sharedFor)
+	if !r.hadRecord.Swap(true) && r.config.FirstStart {
+		r.config.Unused(leaseTTL - shareTTL)
 	}
 	return nil
 }
--- a/internal/record/share.go
+++ b/internal/record/share.go
@@ -11,44 +11,44 @@
 )
 
 const (
-	// countAfter is the delay before a daemon counts the hosts. By then, hosts that start together have written their
+	// countDelay is the delay before a daemon counts the hosts. By then, hosts that start together have written their
 	// records, even if the store is slow.
-	countAfter = 5 * time.Second
-	// sharedFor is how long a daemon uses its share after the store last confirmed its record. It must be shorter
-	// than leaseFor: an incarnation that starts before the record expires finds it and waits, and one that starts
-	// later relies on the share being unused for leaseFor - sharedFor.
-	sharedFor = 20 * time.Second
-	// sharedCheckEvery is the interval at which sharedFor is checked. The share may be used for this much longer,
-	// which must be less than leaseFor - sharedFor.
-	sharedCheckEvery = time.Second
-	// neverUsed is the time for which a share counts as unused before the first start of a fleet. It has to be
+	countDelay = 5 * time.Second
+	// shareTTL is how long a daemon uses its share after the store last confirmed its record. It must be shorter
+	// than leaseTTL: an incarnation that starts before the record expires finds it and waits, and one that starts
+	// later relies on the share being unused for leaseTTL - shareTTL.
+	shareTTL = 20 * time.Second
+	// shareCheckInterval is the interval at which shareTTL is checked. The share may be used for this much longer,
+	// which must be less than leaseTTL - shareTTL.
+	shareCheckInterval = time.Second
+	// firstStartUnusedFor is the time for which a share counts as unused before the first start of a fleet. It has to be
 	// longer than any retry window.
-	neverUsed = 24 * time.Hour
+	firstStartUnusedFor = 24 * time.Hour
 )
 
-// CountHosts reads the records again countAfter after the start. They then include the hosts that started at the same
+// CountHosts reads the records again countDelay after the start. They then include the hosts that started at the same
 // time, even if these cannot reach each other, so the shares do not add up to more than the whole. It calls changed
 // whenever the result of HostsCounted may have changed, until ctx ends.
 func (r *Record) CountHosts(ctx context.Context, changed func()) {
-	if !wait.For(ctx, countAfter) {
+	if !wait.For(ctx, countDelay) {
 		return
 	}
 	r.ReadAll(ctx)
 	r.counted.Store(true)
 	changed()
-	for used := true; wait.For(ctx, sharedCheckEvery); {
-		if now := r.HostsCounted(); now != used {
-			used = now
+	for usable := true; wait.For(ctx, shareCheckInterval); {
+		if now := r.HostsCounted(); now != usable {
+			usable = now
 			changed()
 		}
 	}
 }
 
 // HostsCounted reports whether this daemon may use its share of the retry slack: the hosts are counted, and the store
-// confirmed this host's record less than sharedFor ago.
+// confirmed this host's record less than shareTTL ago.
 func (r *Record) HostsCounted() bool {
 	confirmed := r.confirmedAt.Load()
-	return r.counted.Load() && confirmed != nil && time.Since(*confirmed) < sharedFor
+	return r.counted.Load() && confirmed != nil && time.Since(*confirmed) < shareTTL
 }
 
 // ClaimFirstStart finds out whether this is the first start of a declared host in the first start of its fleet, and
@@ -64,7 +64,7 @@
 	_, err := r.config.Store.Commit(ctx, claim)
 	switch {
 	case err == nil:
-		r.config.Unused(neverUsed)
+		r.config.Unused(firstStartUnusedFor)
 	case !errors.Is(err, store.ErrConflict):
 		r.config.Health.Failed(err) // without an answer, the host waits as after a later start
 	}
