--- a/internal/fingerprint/fingerprint.go
+++ b/internal/fingerprint/fingerprint.go
@@ -12,8 +12,8 @@
 //   - Two requests are the same if their method, host name, path, query, customer and body are equal. The sender and
 //     the receiving host do not count: a repeated request may arrive at any host. Requests of different customers
 //     are never the same.
-//   - Only the first BodyBytes of a body count, so a longer request is identified before its body has streamed
-//     through. Bodies that differ later are considered equal.
+//   - Only the first MaxBodyBytes of a body count, so a longer request is identified before its whole body has
+//     been received. Bodies that differ later are considered equal.
 //   - A head hash serves as a lookup key and may collide. A digest resists second-preimage attacks: clients choose
 //     their bodies, and could otherwise cause another client's request to be refused.
 package fingerprint
@@ -28,8 +28,8 @@
 )
 
 const (
-	// BodyBytes is the length of the body prefix that counts, which is what the daemon buffers for retries.
-	BodyBytes = 64 << 10
+	// MaxBodyBytes is the length of the body prefix that counts, which is what the daemon buffers for retries.
+	MaxBodyBytes = 64 << 10
 	// digestBytes is the length of a digest before encoding. Finding another request with a given digest takes 2^128
 	// attempts.
 	digestBytes = 16
@@ -67,7 +67,7 @@
 func (r Request) Digest() (string, error) {
 	var body []byte
 	if r.Body != nil {
-		first, err := r.Body(BodyBytes)
+		first, err := r.Body(MaxBodyBytes)
 		if err != nil {
 			return "", errors.Wrap(err, "read body for fingerprint")
 		}
--- a/internal/fingerprint/fingerprint_test.go
+++ b/internal/fingerprint/fingerprint_test.go
@@ -28,7 +28,7 @@
 // TestWhatMakesRequestsTheSame guards against different requests that share a fingerprint, and repeated requests that
 // do not.
 func TestWhatMakesRequestsTheSame(t *testing.T) {
-	long := bytes.Repeat([]byte("x"), fingerprint.BodyBytes)
+	long := bytes.Repeat([]byte("x"), fingerprint.MaxBodyBytes)
 	tests := map[string]struct {
 		change   func(*fingerprint.Request)
 		sameHead bool
@@ -82,8 +82,8 @@
 
 // BenchmarkDigest measures the cost of a request with a body of 64 KiB that shares its head with a suspected request.
 func BenchmarkDigest(b *testing.B) {
-	r := request(bytes.Repeat([]byte("x"), fingerprint.BodyBytes))
-	b.SetBytes(fingerprint.BodyBytes)
+	r := request(bytes.Repeat([]byte("x"), fingerprint.MaxBodyBytes))
+	b.SetBytes(fingerprint.MaxBodyBytes)
 	for b.Loop() {
 		_, _ = r.Digest()
 	}
