--- a/internal/quarantine/fuzz_test.go
+++ b/internal/quarantine/fuzz_test.go
@@ -21,22 +21,22 @@
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		var told quarantine.Record
-		if json.Unmarshal(data, &told) != nil || told.ID == "" {
+		var received quarantine.Record
+		if json.Unmarshal(data, &received) != nil || received.ID == "" {
 			return
 		}
 		table := quarantine.New()
-		end(table, told.ID, quarantine.Limit)
-		table.Merge([]quarantine.Record{told, told})
+		end(table, received.ID, quarantine.Limit)
+		table.Merge([]quarantine.Record{received, received})
 		view := table.View()
 		_ = view.Sum()
-		_ = view.TrialDue(start, told.ID)
-		if view.Status(told.ID) != quarantine.Clear {
-			if _, ok := table.Lift(start, told.ID); !ok {
+		_ = view.TrialDue(start, received.ID)
+		if view.Status(received.ID) != quarantine.Clear {
+			if _, ok := table.Lift(start, received.ID); !ok {
 				t.Fatal("an operator cannot clear the request")
 			}
 		}
-		if got := table.View().Status(told.ID); got != quarantine.Clear {
+		if got := table.View().Status(received.ID); got != quarantine.Clear {
 			t.Fatalf("status after the lift is %s", got)
 		}
 		table.Forget(start.Add(time.Hour))
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -27,8 +27,8 @@
 	return now
 }
 
-// TestStandings guards against a request that is quarantined too early, too late or not cleared.
-func TestStandings(t *testing.T) {
+// TestStatus guards against a request that is quarantined too early, too late or not cleared.
+func TestStatus(t *testing.T) {
 	tests := []struct {
 		name string
 		do   func(*quarantine.Table)
@@ -114,7 +114,7 @@
 	table := quarantine.New()
 	end(table, "a", quarantine.Limit)
 	end(table, "bb", 1)
-	if lapsed, dropped := table.Forget(start.Add(quarantine.SuspectedFor / 2)); len(lapsed)+len(dropped) > 0 {
+	if expired, evicted := table.Forget(start.Add(quarantine.SuspectedFor / 2)); len(expired)+len(evicted) > 0 {
 		t.Fatal("a record expired early")
 	}
 	table.Forget(start.Add(2 * quarantine.SuspectedFor))
@@ -138,8 +138,8 @@
 	if cutOff.Merge(others.Records()); cutOff.View().Status("a") != quarantine.Clear {
 		t.Fatal("the daemon that was partitioned keeps the quarantine")
 	}
-	if lapsed, _ := others.Forget(last.Add(2 * quarantine.ClearedFor)); len(lapsed) != 1 {
-		t.Fatalf("expired records: %v, want one", lapsed)
+	if expired, _ := others.Forget(last.Add(2 * quarantine.ClearedFor)); len(expired) != 1 {
+		t.Fatalf("expired records: %v, want one", expired)
 	}
 }
 
@@ -169,8 +169,8 @@
 	for n := range 10_000 {
 		table.RecordEnd(start.Add(time.Duration(n)*time.Millisecond), sighting(fmt.Sprintf("flood-%d", n)), quarantine.End{Server: "server"})
 	}
-	if lapsed, dropped := table.Forget(start); len(lapsed) > 0 || len(dropped) < 5000 {
-		t.Fatalf("%d records expired, %d were evicted", len(lapsed), len(dropped))
+	if expired, evicted := table.Forget(start); len(expired) > 0 || len(evicted) < 5000 {
+		t.Fatalf("%d records expired, %d were evicted", len(expired), len(evicted))
 	}
 	if count := len(table.Records()); count > 5000 {
 		t.Fatalf("%d records are kept", count)
@@ -202,9 +202,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := drawRecord(t, "a"), drawRecord(t, "b"), drawRecord(t, "c")
 		merge := quarantine.Merge
-		same := func(law string, x, y quarantine.Record) {
+		same := func(property string, x, y quarantine.Record) {
 			if !x.Same(y) || x.Service != y.Service {
-				t.Fatalf("%s: %+v and %+v", law, x, y)
+				t.Fatalf("%s: %+v and %+v", property, x, y)
 			}
 		}
 		same("idempotence", merge(a, a), a)
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -74,8 +74,8 @@
 		if known, ok := t.records[r.ID]; ok {
 			r = Merge(known, r)
 		}
-		if changed, ok := t.put(r); ok {
-			updates = append(updates, changed)
+		if merged, ok := t.put(r); ok {
+			updates = append(updates, merged)
 		}
 	}
 	return updates
@@ -97,32 +97,31 @@
 	return r, ok
 }
 
-// Forget removes expired records, which it returns as lapsed, and then evicts records over the limit, which it
-// returns as dropped.
-func (t *Table) Forget(now time.Time) (lapsed, dropped []Record) {
+// Forget removes and returns the expired records, and then those evicted because the table exceeds its limit.
+func (t *Table) Forget(now time.Time) (expired, evicted []Record) {
 	for _, r := range t.records {
 		if r.expired(now) {
-			lapsed = append(lapsed, r)
+			expired = append(expired, r)
 			delete(t.records, r.ID)
 		}
 	}
-	dropped = t.evictable()
-	for _, r := range dropped {
+	evicted = t.evictable()
+	for _, r := range evicted {
 		delete(t.records, r.ID)
 	}
-	return lapsed, dropped
+	return expired, evicted
 }
 
-// expired reports whether the record has expired.
+// expired reports whether the record was not changed for longer than it is kept.
 func (r Record) expired(now time.Time) bool {
-	unchanged := now.Sub(time.UnixMilli(r.Changed))
+	sinceChange := now.Sub(time.UnixMilli(r.Changed))
 	switch {
 	case r.Quarantined():
 		return false
 	case r.EverQuarantined:
-		return unchanged > ClearedFor
+		return sinceChange > ClearedFor
 	default:
-		return unchanged > SuspectedFor
+		return sinceChange > SuspectedFor
 	}
 }
 
--- a/internal/quarantine/view.go
+++ b/internal/quarantine/view.go
@@ -22,9 +22,9 @@
 
 // View is an immutable snapshot of a Table for lookups. It is safe for concurrent use.
 type View struct {
-	headHashes       map[uint64]struct{}
+	headHashes  map[uint64]struct{}
 	statuses    map[string]Status
-	trialDueAt   map[string]time.Time // time from which the trial of a quarantined request is due
+	trialDueAt  map[string]time.Time // time from which the trial of a quarantined request is due
 	quarantines []Record             // of requests that are or were quarantined
 	sum         uint64
 }
