--- a/internal/quarantinesync/follow.go
+++ b/internal/quarantinesync/follow.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// watchWait is the maximum duration of one watch call. Daemons also notify each other directly, so long waits,
-	// which save calls, do not delay a quarantine.
-	watchWait = 40 * time.Second
-	// watchesEvery is the interval at which Config.Watches is checked.
-	watchesEvery = time.Second
-	// longestPause is the maximum pause between calls to a store that does not answer. It bounds the delay of a
+	// maxWatchDuration is the maximum duration of one watch call. Daemons also notify each other directly, so long
+	// waits, which save calls, do not delay a quarantine.
+	maxWatchDuration = 40 * time.Second
+	// watchCheckInterval is the interval at which Config.Watches is checked.
+	watchCheckInterval = time.Second
+	// maxPause is the maximum pause between calls to a store that does not answer. It bounds the delay of a
 	// quarantine after an outage.
-	longestPause = 2 * time.Second
+	maxPause = 2 * time.Second
 )
 
 // follow receives quarantines from the store while this daemon watches it. Daemons that do not watch the store are
 // notified by others, and compare their state with each other.
 func (s *Syncer) follow(ctx context.Context) {
-	for wait.For(ctx, watchesEvery) {
+	for wait.For(ctx, watchCheckInterval) {
 		if s.config.Watches() {
 			s.watch(ctx)
 		}
@@ -38,14 +38,14 @@
 	defer stop()
 	go store.Follow(ctx, store.FollowConfig{
 		Store:        s.config.Store,
-		Prefix:       s.heldPrefix(),
-		Wait:         watchWait,
-		LongestPause: longestPause,
+		Prefix:       s.quarantinedPrefix(),
+		Wait:         maxWatchDuration,
+		LongestPause: maxPause,
 		Take:         s.mergeItems,
 		OnError:      s.config.OnError,
 		OnAnswer:     s.config.OnAnswer,
 	})
-	for s.config.Watches() && wait.For(ctx, watchesEvery) {
+	for s.config.Watches() && wait.For(ctx, watchCheckInterval) {
 	}
 }
 
@@ -71,7 +71,7 @@
 func (s *Syncer) decode(item store.Item) (quarantine.Record, bool) {
 	var record quarantine.Record
 	err := json.Unmarshal(item.Data, &record)
-	if err == nil && item.Key == s.keyOf(record) {
+	if err == nil && item.Key == s.key(record) {
 		return record, true
 	}
 	event.Log(s.config.Logger, event.RecordRefused, "key", item.Key, "names", record.ID, "error", err)
--- a/internal/quarantinesync/lease.go
+++ b/internal/quarantinesync/lease.go
@@ -12,38 +12,38 @@
 )
 
 const (
-	// leaseFor is the lifetime of the lease for records that were never quarantined. The store has to keep them for
+	// leaseTTL is the lifetime of the lease for records that were never quarantined. The store has to keep them for
 	// at least as long as daemons do, so that a daemon that sees a second end finds the first.
-	leaseFor = 2 * quarantine.SuspectedFor
-	// leaseUsed is how long a lease is used for new records, which then last for at least SuspectedFor.
-	leaseUsed = leaseFor - quarantine.SuspectedFor
+	leaseTTL = 2 * quarantine.SuspectedFor
+	// leaseReuseTime is how long a lease is used for new records, which then last for at least SuspectedFor.
+	leaseReuseTime = leaseTTL - quarantine.SuspectedFor
 )
 
 // lease is the store lease under which records that were never quarantined expire.
 type lease struct {
-	mu   sync.Mutex
-	id   store.Lease
-	from time.Time
+	mu        sync.Mutex
+	id        store.Lease
+	grantedAt time.Time
 }
 
 // get returns a lease that lasts for at least quarantine.SuspectedFor, and requests a new one if needed.
 func (l *lease) get(ctx context.Context, kv store.Store) (store.Lease, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.id != store.NoLease && time.Since(l.from) < leaseUsed {
+	if l.id != store.NoLease && time.Since(l.grantedAt) < leaseReuseTime {
 		return l.id, nil
 	}
-	from := time.Now()
-	id, err := kv.Grant(ctx, leaseFor)
+	requestedAt := time.Now()
+	id, err := kv.Grant(ctx, leaseTTL)
 	if err != nil {
 		return store.NoLease, errors.Wrap(err, "get lease for suspected requests")
 	}
-	l.id, l.from = id, from
+	l.id, l.grantedAt = id, requestedAt
 	return id, nil
 }
 
-// drop discards a lease that has expired.
-func (l *lease) drop() {
+// discard discards a lease that has expired.
+func (l *lease) discard() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.id = store.NoLease
--- a/internal/quarantinesync/lift.go
+++ b/internal/quarantinesync/lift.go
@@ -10,8 +10,8 @@
 // Lift clears a request on behalf of an operator, and returns once the store has the change. If only the write to
 // the store fails, Lift returns the cleared record with the error; the write is retried in the background.
 func (s *Syncer) Lift(ctx context.Context, id string) (quarantine.Record, error) {
-	reply := make(chan answer, 1)
-	lifted, err := s.ask(ctx, liftMessage{id: id, reply: reply}, reply)
+	reply := make(chan taskReply, 1)
+	lifted, err := s.request(ctx, liftMessage{id: id, reply: reply}, reply)
 	if err != nil {
 		return quarantine.Record{}, err
 	}
--- a/internal/quarantinesync/messages.go
+++ b/internal/quarantinesync/messages.go
@@ -6,21 +6,21 @@
 type (
 	// endedMessage reports that a backend server ended while running a request.
 	endedMessage struct {
-		sighting quarantine.Sighting
-		end      quarantine.End
-		known    chan struct{} // closed once lookups reflect the end
+		request quarantine.Sighting
+		end     quarantine.End
+		applied chan struct{} // closed once lookups reflect the end
 	}
 	// answeredMessage reports that a backend server answered a request.
 	answeredMessage struct{ id string }
 	// liftMessage clears a request on behalf of an operator.
 	liftMessage struct {
 		id    string
-		reply chan answer
+		reply chan taskReply
 	}
 	// trialMessage requests the record that claims the trial of a request for this host.
 	trialMessage struct {
 		id    string
-		reply chan answer
+		reply chan taskReply
 	}
 	mergeMessage struct {
 		records []quarantine.Record
@@ -35,8 +35,8 @@
 	}
 )
 
-// answer is the reply to a liftMessage or a trialMessage. The record is valid only if ok.
-type answer struct {
+// taskReply is the reply to a liftMessage or a trialMessage. The record is valid only if ok.
+type taskReply struct {
 	record quarantine.Record
 	ok     bool
 }
--- a/internal/quarantinesync/quarantinesync.go
+++ b/internal/quarantinesync/quarantinesync.go
@@ -45,11 +45,11 @@
 )
 
 const (
-	// forgetEvery is the interval at which expired records are removed.
-	forgetEvery = 10 * time.Second
-	// messagesWaiting is the capacity of the message queue; senders block while it is full. An end of a backend
+	// pruneInterval is the interval at which expired records are removed.
+	pruneInterval = 10 * time.Second
+	// messageQueueSize is the capacity of the message queue; senders block while it is full. An end of a backend
 	// server sends one message for each request that was running there.
-	messagesWaiting = 256
+	messageQueueSize = 256
 )
 
 // Config configures a Syncer.
@@ -78,7 +78,7 @@
 type Syncer struct {
 	config   Config
 	messages chan any
-	ended    chan struct{}
+	stopped  chan struct{}
 	view     atomic.Pointer[quarantine.View]
 	lease    lease
 	metrics  metrics
@@ -93,8 +93,8 @@
 func New(config Config) *Syncer {
 	s := &Syncer{
 		config:   config,
-		messages: make(chan any, messagesWaiting),
-		ended:    make(chan struct{}),
+		messages: make(chan any, messageQueueSize),
+		stopped:  make(chan struct{}),
 		metrics: metrics{
 			suspected:    config.Scope.Gauge("quarantine_suspected"),
 			quarantined:  config.Scope.Gauge("quarantine_quarantined"),
@@ -108,7 +108,7 @@
 
 // Run synchronizes the quarantine until ctx ends.
 func (s *Syncer) Run(ctx context.Context) {
-	defer close(s.ended)
+	defer close(s.stopped)
 	go s.follow(ctx)
 	newTask(s).run(ctx)
 }
@@ -136,15 +136,15 @@
 	if err != nil {
 		return // the client disconnected while sending the body
 	}
-	known := make(chan struct{})
+	applied := make(chan struct{})
 	s.send(context.Background(), endedMessage{
-		sighting: quarantine.Sighting{ID: id, Head: r.Head(), Service: service, Method: r.Method, Host: r.Host, Path: r.Path},
-		end:      end,
-		known:    known,
+		request: quarantine.Sighting{ID: id, Head: r.Head(), Service: service, Method: r.Method, Host: r.Host, Path: r.Path},
+		end:     end,
+		applied: applied,
 	})
 	select {
-	case <-known:
-	case <-s.ended:
+	case <-applied:
+	case <-s.stopped:
 	}
 }
 
@@ -173,21 +173,21 @@
 	select {
 	case records := <-reply:
 		return records
-	case <-s.ended:
+	case <-s.stopped:
 		return nil
 	}
 }
 
-// ask sends a message to the task and waits for the reply.
-func (s *Syncer) ask(ctx context.Context, message any, reply chan answer) (answer, error) {
+// request sends a message to the task and waits for the reply.
+func (s *Syncer) request(ctx context.Context, message any, reply chan taskReply) (taskReply, error) {
 	s.send(ctx, message)
 	select {
 	case a := <-reply:
 		return a, nil
 	case <-ctx.Done():
-		return answer{}, result.Wrap(result.PlatformDown, ctx.Err())
-	case <-s.ended:
-		return answer{}, result.New(result.Stopping)
+		return taskReply{}, result.Wrap(result.PlatformDown, ctx.Err())
+	case <-s.stopped:
+		return taskReply{}, result.New(result.Stopping)
 	}
 }
 
@@ -196,6 +196,6 @@
 	select {
 	case s.messages <- message:
 	case <-ctx.Done():
-	case <-s.ended:
+	case <-s.stopped:
 	}
 }
--- a/internal/quarantinesync/quarantinesync_test.go
+++ b/internal/quarantinesync/quarantinesync_test.go
@@ -25,20 +25,20 @@
 )
 
 const (
-	patience = 10 * time.Second
-	prefix   = "tidelift/quarantine"
+	timeout = 10 * time.Second
+	prefix  = "tidelift/quarantine"
 )
 
 // group is a group of syncers that share a store.
 type group struct {
-	t       *testing.T
-	standin *standin.Standin
-	kv      store.Store
-	syncers []*quarantinesync.Syncer
-	cut     atomic.Bool // syncers cannot notify each other
-	deaf    bool        // syncers that are added do not watch the store
-	mu      sync.Mutex
-	log     bytes.Buffer
+	t           *testing.T
+	standin     *standin.Standin
+	kv          store.Store
+	syncers     []*quarantinesync.Syncer
+	partitioned atomic.Bool // syncers cannot notify each other
+	skipWatch   bool        // syncers that are added do not watch the store
+	mu          sync.Mutex
+	log         bytes.Buffer
 }
 
 func newGroup(t *testing.T, count int) *group {
@@ -71,28 +71,28 @@
 
 // add starts another syncer.
 func (g *group) add() *quarantinesync.Syncer {
-	number, deaf := len(g.syncers), g.deaf
-	k := quarantinesync.New(quarantinesync.Config{
+	number, skipWatch := len(g.syncers), g.skipWatch
+	syncer := quarantinesync.New(quarantinesync.Config{
 		Host: fmt.Sprintf("host-%d", number), Store: g.kv, Prefix: prefix,
 		Tell: func(_ string, records []quarantine.Record) {
 			for n, other := range g.all() {
-				if n != number && !g.cut.Load() {
+				if n != number && !g.partitioned.Load() {
 					go other.Merge(records)
 				}
 			}
 		},
 		Spread:  func([]quarantine.Record) {},
-		Watches: func() bool { return !deaf },
+		Watches: func() bool { return !skipWatch },
 		Logger:  slog.New(slog.NewTextHandler(g, nil)), Scope: tally.NoopScope,
 		OnError: func(error) {}, OnAnswer: func() {},
 	})
 	ctx, stop := context.WithCancel(context.Background())
 	g.t.Cleanup(stop)
-	go k.Run(ctx)
+	go syncer.Run(ctx)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.syncers = append(g.syncers, k)
-	return k
+	g.syncers = append(g.syncers, syncer)
+	return syncer
 }
 
 func (g *group) all() []*quarantinesync.Syncer {
@@ -107,14 +107,14 @@
 	}}
 }
 
-func status(k *quarantinesync.Syncer, body string) quarantine.Status {
-	s, _ := k.Status(request(body))
+func status(syncer *quarantinesync.Syncer, body string) quarantine.Status {
+	s, _ := syncer.Status(request(body))
 	return s
 }
 
 func (g *group) await(what string, done func() bool) {
 	g.t.Helper()
-	for end := time.Now().Add(patience); !done(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(timeout); !done(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			g.t.Fatalf("timed out waiting until %s; log:\n%s", what, g.log.String())
 		}
@@ -125,8 +125,8 @@
 func (g *group) awaitAll(want quarantine.Status) {
 	g.t.Helper()
 	g.await(fmt.Sprintf("the request is %s at every syncer", want), func() bool {
-		for _, k := range g.syncers {
-			if status(k, "guilty") != want {
+		for _, syncer := range g.syncers {
+			if status(syncer, "guilty") != want {
 				return false
 			}
 		}
@@ -146,19 +146,19 @@
 func TestEndsAtDifferentHostsComeTogether(t *testing.T) {
 	tests := map[string]func(*group){
 		"no fault":                          func(*group) {},
-		"they cannot reach each other":      func(g *group) { g.cut.Store(true) },
+		"they cannot reach each other":      func(g *group) { g.partitioned.Store(true) },
 		"the store is unavailable":          func(g *group) { g.standin.SetOutage(true) },
 		"the store loses answers to writes": func(g *group) { g.standin.SetLoseAnswers("quarantine") },
 	}
-	for name, trouble := range tests {
+	for name, injectFault := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := newGroup(t, quarantine.Limit+1)
-			trouble(g)
+			injectFault(g)
 			g.endEach("guilty", quarantine.Limit)
 			g.endEach("innocent", 1)
 			g.awaitAll(quarantine.Quarantined)
-			for _, k := range g.syncers {
-				if status(k, "innocent") == quarantine.Quarantined || status(k, "other") != quarantine.Clear {
+			for _, syncer := range g.syncers {
+				if status(syncer, "innocent") == quarantine.Quarantined || status(syncer, "other") != quarantine.Clear {
 					t.Fatal("another request is quarantined")
 				}
 			}
@@ -174,8 +174,8 @@
 	g.endEach("guilty", quarantine.Limit)
 	time.Sleep(300 * time.Millisecond)
 	g.standin.SetOutage(false)
-	late := g.add()
-	g.await("the request is quarantined at a syncer that starts later", func() bool { return status(late, "guilty") == quarantine.Quarantined })
+	joiner := g.add()
+	g.await("the request is quarantined at a syncer that starts later", func() bool { return status(joiner, "guilty") == quarantine.Quarantined })
 }
 
 // TestOneOfAllTriesAQuarantinedRequestOnce guards against more than one trial of a quarantined request when all daemons
@@ -193,9 +193,9 @@
 		var wg sync.WaitGroup
 		var mu sync.Mutex
 		allowed := 0
-		for _, k := range g.syncers {
+		for _, syncer := range g.syncers {
 			wg.Go(func() {
-				if k.StartTrial(context.Background(), id) {
+				if syncer.StartTrial(context.Background(), id) {
 					mu.Lock()
 					defer mu.Unlock()
 					allowed++
@@ -230,10 +230,10 @@
 // force at daemons that cannot be notified or that start later.
 func TestAQuarantineEndsEverywhere(t *testing.T) {
 	tests := map[string]func(*quarantinesync.Syncer){
-		"an answer": func(k *quarantinesync.Syncer) { k.RecordAnswer(request("guilty")) },
-		"an operator": func(k *quarantinesync.Syncer) {
-			_, id := k.Status(request("guilty"))
-			if _, err := k.Lift(context.Background(), id); err != nil {
+		"an answer": func(syncer *quarantinesync.Syncer) { syncer.RecordAnswer(request("guilty")) },
+		"an operator": func(syncer *quarantinesync.Syncer) {
+			_, id := syncer.Status(request("guilty"))
+			if _, err := syncer.Lift(context.Background(), id); err != nil {
 				t.Error(err)
 			}
 		},
@@ -243,12 +243,12 @@
 			g := newGroup(t, 3)
 			g.endEach("guilty", quarantine.Limit)
 			g.awaitAll(quarantine.Quarantined)
-			g.cut.Store(true)
+			g.partitioned.Store(true)
 			end(g.syncers[1])
 			g.awaitAll(quarantine.Clear)
-			late := g.add()
+			joiner := g.add()
 			time.Sleep(200 * time.Millisecond)
-			if status(late, "guilty") != quarantine.Clear {
+			if status(joiner, "guilty") != quarantine.Clear {
 				t.Fatal("the request is quarantined at a syncer that starts later")
 			}
 			if lines := g.logged("event=507"); lines != 3 {
@@ -262,39 +262,39 @@
 // does not receive quarantines by comparing its state with another daemon.
 func TestOneThatDoesNotWatchAsksOthers(t *testing.T) {
 	g := newGroup(t, 2)
-	g.cut.Store(true)
+	g.partitioned.Store(true)
 	g.endEach("guilty", quarantine.Limit)
 	g.awaitAll(quarantine.Quarantined)
-	g.deaf = true
-	deaf := g.add()
-	if deaf.Sum() == g.syncers[0].Sum() {
+	g.skipWatch = true
+	unwatched := g.add()
+	if unwatched.Sum() == g.syncers[0].Sum() {
 		t.Fatal("the sums are equal before the merge")
 	}
-	deaf.Merge(g.syncers[0].Quarantines())
+	unwatched.Merge(g.syncers[0].Quarantines())
 	g.awaitAll(quarantine.Quarantined)
-	if deaf.Sum() != g.syncers[0].Sum() {
+	if unwatched.Sum() != g.syncers[0].Sum() {
 		t.Fatal("the sums differ after the merge")
 	}
 }
 
-// TestARecordThatCannotBeReadSaysNothing guards against invalid records in the store that hide valid ones, are not
+// TestInvalidStoredRecordsAreIgnored guards against invalid records in the store that hide valid ones, are not
 // logged, or take effect under the key of another request.
-func TestARecordThatCannotBeReadSaysNothing(t *testing.T) {
+func TestInvalidStoredRecordsAreIgnored(t *testing.T) {
 	g := newGroup(t, 1)
 	g.standin.Write(prefix+"/held/rubbish", []byte("{"))
 	g.standin.Write(prefix+"/held/empty", []byte("{}"))
-	others, err := request("innocent").Digest()
+	otherID, err := request("innocent").Digest()
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.standin.Write(prefix+"/held/other", fmt.Appendf(nil, `{"id":%q,"head":%d,"ends":[{"server":"a"},{"server":"b"},{"server":"c"}]}`, others, request("").Head()))
+	g.standin.Write(prefix+"/held/other", fmt.Appendf(nil, `{"id":%q,"head":%d,"ends":[{"server":"a"},{"server":"b"},{"server":"c"}]}`, otherID, request("").Head()))
 	g.endEach("guilty", quarantine.Limit)
-	late := g.add()
-	g.await("the valid record is merged", func() bool { return status(late, "guilty") == quarantine.Quarantined })
+	joiner := g.add()
+	g.await("the valid record is merged", func() bool { return status(joiner, "guilty") == quarantine.Quarantined })
 	if g.logged("event=404") < 3 {
 		t.Fatal("invalid records were not logged")
 	}
-	if status(late, "innocent") != quarantine.Clear {
+	if status(joiner, "innocent") != quarantine.Clear {
 		t.Fatal("a record under the key of another request took effect")
 	}
 }
@@ -306,9 +306,9 @@
 	g.await("all syncers watch the store", func() bool { return g.standin.Calls() >= 16 })
 	time.Sleep(100 * time.Millisecond)
 	steps := []struct {
-		what string
-		do   func()
-		most int64
+		name     string
+		do       func()
+		maxCalls int64
 	}{
 		{"a first end", func() { g.syncers[0].RecordEnd(request("guilty"), "lookup", quarantine.End{Server: "server-0"}) }, 2},
 		{"a second end", func() { g.syncers[1].RecordEnd(request("guilty"), "lookup", quarantine.End{Server: "server-1"}) }, 4},
@@ -318,23 +318,23 @@
 		before := g.standin.Calls()
 		step.do()
 		time.Sleep(200 * time.Millisecond)
-		if calls := g.standin.Calls() - before; calls > step.most {
-			t.Errorf("%s: %d calls, want at most %d", step.what, calls, step.most)
+		if calls := g.standin.Calls() - before; calls > step.maxCalls {
+			t.Errorf("%s: %d calls, want at most %d", step.name, calls, step.maxCalls)
 		}
 	}
 }
 
-// BenchmarkQuietStanding measures the cost per request while no request is suspected or quarantined.
-func BenchmarkQuietStanding(b *testing.B) {
-	k := quarantinesync.New(quarantinesync.Config{Scope: tally.NoopScope})
+// BenchmarkEmpty measures the cost per request while no request is suspected or quarantined.
+func BenchmarkEmpty(b *testing.B) {
+	syncer := quarantinesync.New(quarantinesync.Config{Scope: tally.NoopScope})
 	for b.Loop() {
-		k.Quiet()
+		syncer.Quiet()
 	}
 }
 
-// BenchmarkStanding measures the cost per request while another request is suspected.
-func BenchmarkStanding(b *testing.B) {
-	k := quarantinesync.New(quarantinesync.Config{
+// BenchmarkStatus measures the cost per request while another request is suspected.
+func BenchmarkStatus(b *testing.B) {
+	syncer := quarantinesync.New(quarantinesync.Config{
 		Host: "host", Scope: tally.NoopScope, Logger: slog.New(slog.DiscardHandler), OnError: func(error) {}, OnAnswer: func() {},
 		Tell: func(string, []quarantine.Record) {},
 		Store: store.Store{
@@ -348,12 +348,12 @@
 	})
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	go k.Run(ctx)
-	k.RecordEnd(request("guilty"), "lookup", quarantine.End{Server: "server"})
+	go syncer.Run(ctx)
+	syncer.RecordEnd(request("guilty"), "lookup", quarantine.End{Server: "server"})
 	other := request("")
 	other.Path = "/other"
 	for b.Loop() {
-		k.Status(other)
+		syncer.Status(other)
 	}
 }
 
@@ -366,11 +366,11 @@
 	time.Sleep(quarantine.TrialAfter + 100*time.Millisecond)
 	commit := g.kv.Commit
 	g.kv.Commit = func(context.Context, store.Change) (int64, error) { return 0, errors.New("unavailable") }
-	late := g.add()
+	joiner := g.add()
 	g.kv.Commit = commit
 	g.awaitAll(quarantine.Quarantined)
-	_, id := late.Status(request("guilty"))
-	if late.StartTrial(context.Background(), id) {
+	_, id := joiner.Status(request("guilty"))
+	if joiner.StartTrial(context.Background(), id) {
 		t.Fatal("a daemon started the trial although the store did not answer its claim")
 	}
 	if lines := g.logged("event=509"); lines != 1 {
--- a/internal/quarantinesync/schedule.go
+++ b/internal/quarantinesync/schedule.go
@@ -8,30 +8,30 @@
 )
 
 const (
-	// firstEndWait is the delay before a single end is written. Most requests are retried on another backend server
+	// singleEndDelay is the delay before a single end is written. Most requests are retried on another backend server
 	// and answered within this time, and then need no write.
-	firstEndWait = 500 * time.Millisecond
-	// mostTogether is the maximum number of records in one change. The store accepts 32 entries.
-	mostTogether = 16
+	singleEndDelay = 500 * time.Millisecond
+	// maxBatch is the maximum number of records in one change. The store accepts 32 entries.
+	maxBatch = 16
 )
 
 // dueWrite is a scheduled write of a record.
 type dueWrite struct {
-	from time.Time
+	notBefore time.Time
 	// unlessCleared skips the write if the request is no longer suspected.
 	unlessCleared bool
 }
 
-// writeLater schedules the write of a change that this daemon made: immediately if it may complete or end a
-// quarantine, and after firstEndWait for a single end, which the answer of a retry clears in most cases.
-func (t *task) writeLater(now time.Time, before, after quarantine.Record) {
+// scheduleWrite schedules the write of a change that this daemon made: immediately if it may complete or end a
+// quarantine, and after singleEndDelay for a single end, which the answer of a retry clears in most cases.
+func (t *task) scheduleWrite(now time.Time, before, after quarantine.Record) {
 	switch {
 	case after.WasQuarantined() || len(after.Ends) > 1 || len(before.Ends) > 1:
-		t.due[after.ID] = dueWrite{from: now}
+		t.due[after.ID] = dueWrite{notBefore: now}
 	case after.Suspected():
-		t.due[after.ID] = dueWrite{from: now.Add(firstEndWait), unlessCleared: true}
-	case now.Sub(before.LastEnd()) >= firstEndWait:
-		t.due[after.ID] = dueWrite{from: now} // the end may already be in the store
+		t.due[after.ID] = dueWrite{notBefore: now.Add(singleEndDelay), unlessCleared: true}
+	case now.Sub(before.LastEnd()) >= singleEndDelay:
+		t.due[after.ID] = dueWrite{notBefore: now} // the end may already be in the store
 	default:
 		delete(t.due, after.ID)
 	}
@@ -40,12 +40,12 @@
 // startWrite starts writing a batch of due records unless another batch is being written.
 func (t *task) startWrite(ctx context.Context) {
 	now := time.Now()
-	if t.writing || now.Before(t.resume) {
+	if t.writing || now.Before(t.pausedUntil) {
 		return
 	}
 	batch := t.takeDue(now)
 	if len(batch) == 0 {
-		t.wakeForNext(now)
+		t.resetTimer(now)
 		return
 	}
 	t.writing = true
@@ -56,10 +56,10 @@
 func (t *task) takeDue(now time.Time) []quarantine.Record {
 	var batch []quarantine.Record
 	for id, due := range t.due {
-		if now.Before(due.from) {
+		if now.Before(due.notBefore) {
 			continue
 		}
-		if len(batch) == mostTogether {
+		if len(batch) == maxBatch {
 			break
 		}
 		delete(t.due, id)
@@ -71,16 +71,16 @@
 	return batch
 }
 
-// wakeForNext wakes the task when the next write is due.
-func (t *task) wakeForNext(now time.Time) {
+// resetTimer sets the timer to the next due write.
+func (t *task) resetTimer(now time.Time) {
 	wait := time.Duration(-1)
 	for _, due := range t.due {
-		if left := max(0, due.from.Sub(now)); wait < 0 || left < wait {
+		if left := max(0, due.notBefore.Sub(now)); wait < 0 || left < wait {
 			wait = left
 		}
 	}
 	if wait >= 0 {
-		t.retry.Reset(wait)
+		t.timer.Reset(wait)
 	}
 }
 
@@ -89,7 +89,7 @@
 	t.writing = false
 	t.merge(mergeMessage{records: m.stored})
 	for _, id := range m.failed {
-		t.due[id] = dueWrite{from: time.Now()}
+		t.due[id] = dueWrite{notBefore: time.Now()}
 	}
 	if len(m.failed) == 0 {
 		t.pause.Reset()
@@ -97,6 +97,6 @@
 	}
 	t.syncer.metrics.failedWrites.Inc(int64(len(m.failed)))
 	pause := t.pause.NextBackOff()
-	t.resume = time.Now().Add(pause)
-	t.retry.Reset(pause)
+	t.pausedUntil = time.Now().Add(pause)
+	t.timer.Reset(pause)
 }
--- a/internal/quarantinesync/task.go
+++ b/internal/quarantinesync/task.go
@@ -13,15 +13,15 @@
 
 // task owns the table and handles all messages in one goroutine.
 type task struct {
-	syncer  *Syncer
-	table   *quarantine.Table
-	due     map[string]dueWrite // scheduled writes by request ID
-	writing bool                // a batch is being written
-	resume  time.Time           // no batch is started before; set after a failed write
-	retry   *time.Timer         // fires when a write is due
-	pause   *backoff.ExponentialBackOff
-	updates []quarantine.Record // to send to the daemons of their services
-	spread  []quarantine.Record // to distribute to all daemons
+	syncer      *Syncer
+	table       *quarantine.Table
+	due         map[string]dueWrite // scheduled writes by request ID
+	writing     bool                // a batch is being written
+	pausedUntil time.Time           // no batch is started before; set after a failed write
+	timer       *time.Timer         // fires when a write is due
+	pause       *backoff.ExponentialBackOff
+	updates     []quarantine.Record // to send to the daemons of their services
+	gossip      []quarantine.Record // to distribute to all daemons
 }
 
 func newTask(s *Syncer) *task {
@@ -29,26 +29,26 @@
 		syncer: s,
 		table:  quarantine.New(),
 		due:    make(map[string]dueWrite),
-		retry:  time.NewTimer(time.Hour),
+		timer:  time.NewTimer(time.Hour),
 		pause:  store.NewPause(),
 	}
-	t.retry.Stop()
+	t.timer.Stop()
 	return t
 }
 
 // run handles messages until ctx ends. The changes of all queued messages are sent and written together.
 func (t *task) run(ctx context.Context) {
-	forget := time.NewTicker(forgetEvery)
-	defer forget.Stop()
-	defer t.retry.Stop()
+	pruneTicker := time.NewTicker(pruneInterval)
+	defer pruneTicker.Stop()
+	defer t.timer.Stop()
 	for {
 		select {
 		case message := <-t.syncer.messages:
 			t.handle(time.Now(), message)
-			t.handleWaiting()
-		case <-t.retry.C:
-		case <-forget.C:
-			t.forget(ctx, time.Now())
+			t.handleQueued()
+		case <-t.timer.C:
+		case <-pruneTicker.C:
+			t.prune(ctx, time.Now())
 		case <-ctx.Done():
 			return
 		}
@@ -57,9 +57,9 @@
 	}
 }
 
-// handleWaiting handles the queued messages, at most as many as the queue holds.
-func (t *task) handleWaiting() {
-	for range messagesWaiting {
+// handleQueued handles the queued messages, at most as many as the queue holds.
+func (t *task) handleQueued() {
+	for range messageQueueSize {
 		select {
 		case message := <-t.syncer.messages:
 			t.handle(time.Now(), message)
@@ -72,16 +72,16 @@
 func (t *task) handle(now time.Time, message any) {
 	switch m := message.(type) {
 	case endedMessage:
-		t.learn(now, m.sighting.ID, func() (quarantine.Record, bool) { return t.table.RecordEnd(now, m.sighting, m.end) })
-		close(m.known)
+		t.applyLocal(now, m.request.ID, func() (quarantine.Record, bool) { return t.table.RecordEnd(now, m.request, m.end) })
+		close(m.applied)
 	case answeredMessage:
-		t.learn(now, m.id, func() (quarantine.Record, bool) { return t.table.RecordAnswer(now, m.id) })
+		t.applyLocal(now, m.id, func() (quarantine.Record, bool) { return t.table.RecordAnswer(now, m.id) })
 	case liftMessage:
-		record, ok := t.learn(now, m.id, func() (quarantine.Record, bool) { return t.table.Lift(now, m.id) })
-		m.reply <- answer{record: record, ok: ok}
+		record, ok := t.applyLocal(now, m.id, func() (quarantine.Record, bool) { return t.table.Lift(now, m.id) })
+		m.reply <- taskReply{record: record, ok: ok}
 	case trialMessage:
 		record, ok := t.table.ProposeTrial(now, m.id, t.syncer.config.Host)
-		m.reply <- answer{record: record, ok: ok}
+		m.reply <- taskReply{record: record, ok: ok}
 	case mergeMessage:
 		t.merge(m)
 	case recordsMessage:
@@ -91,14 +91,14 @@
 	}
 }
 
-// learn applies a change that originates on this daemon, and schedules its notification and write.
-func (t *task) learn(now time.Time, id string, change func() (quarantine.Record, bool)) (quarantine.Record, bool) {
+// applyLocal applies a change that originates on this daemon, and schedules its notification and write.
+func (t *task) applyLocal(now time.Time, id string, change func() (quarantine.Record, bool)) (quarantine.Record, bool) {
 	before, _ := t.table.Find(id)
 	after, changed := change()
 	if !changed {
 		return after, false
 	}
-	t.writeLater(now, before, after)
+	t.scheduleWrite(now, before, after)
 	t.updates = append(t.updates, after)
 	t.apply(before, after)
 	return after, true
@@ -108,7 +108,7 @@
 func (t *task) apply(before, after quarantine.Record) {
 	t.publish()
 	if after.Quarantined() != before.Quarantined() {
-		t.spread = append(t.spread, after)
+		t.gossip = append(t.gossip, after)
 	}
 	log := t.syncer.config.Logger
 	switch {
@@ -137,42 +137,42 @@
 			t.apply(before, after)
 		}
 		if m.stored {
-			t.writeIfMore(record)
+			t.writeIfDifferent(record)
 		}
 	}
 }
 
-// writeIfMore schedules a write if the local record differs from the stored one, for example because the request was
-// answered.
-func (t *task) writeIfMore(stored quarantine.Record) {
+// writeIfDifferent schedules a write if the local record differs from the stored one, for example because the request
+// was answered.
+func (t *task) writeIfDifferent(stored quarantine.Record) {
 	if known, ok := t.table.Find(stored.ID); ok && !known.Same(stored) {
-		t.due[stored.ID] = dueWrite{from: time.Now()}
+		t.due[stored.ID] = dueWrite{notBefore: time.Now()}
 	}
 }
 
-// forget removes expired records from the table and the store, and evicts records over the limit from the table.
-func (t *task) forget(ctx context.Context, now time.Time) {
-	lapsed, dropped := t.table.Forget(now)
-	if len(lapsed)+len(dropped) == 0 {
+// prune removes expired records from the table and the store, and evicts records over the limit from the table.
+func (t *task) prune(ctx context.Context, now time.Time) {
+	expired, evicted := t.table.Forget(now)
+	if len(expired)+len(evicted) == 0 {
 		return
 	}
 	t.publish()
-	t.logDropped(dropped)
-	go t.syncer.remove(ctx, lapsed)
+	t.logEvicted(evicted)
+	go t.syncer.remove(ctx, expired)
 }
 
-// logDropped logs how many records were evicted.
-func (t *task) logDropped(dropped []quarantine.Record) {
-	if len(dropped) == 0 {
+// logEvicted logs how many records were evicted.
+func (t *task) logEvicted(evicted []quarantine.Record) {
+	if len(evicted) == 0 {
 		return
 	}
 	quarantined := 0
-	for _, record := range dropped {
+	for _, record := range evicted {
 		if record.Quarantined() {
 			quarantined++
 		}
 	}
-	event.Log(t.syncer.config.Logger, event.QuarantineDropped, "count", len(dropped), "quarantined", quarantined)
+	event.Log(t.syncer.config.Logger, event.QuarantineDropped, "count", len(evicted), "quarantined", quarantined)
 }
 
 // sendUpdates sends local changes to the daemons of their services, and distributes quarantines that began or ended.
@@ -182,9 +182,9 @@
 		byService[record.Service] = append(byService[record.Service], record)
 	}
 	t.updates = nil
-	if len(t.spread) > 0 {
-		t.syncer.config.Spread(t.spread)
-		t.spread = nil
+	if len(t.gossip) > 0 {
+		t.syncer.config.Spread(t.gossip)
+		t.gossip = nil
 	}
 	for service, records := range byService {
 		t.syncer.config.Tell(service, records)
--- a/internal/quarantinesync/trial.go
+++ b/internal/quarantinesync/trial.go
@@ -11,8 +11,8 @@
 	"github.com/tideliftd/tidelift/internal/store"
 )
 
-// trialWithin is the timeout for claiming a trial, for which the request waits. A claim takes two store calls.
-const trialWithin = 250 * time.Millisecond
+// trialTimeout is the timeout for claiming a trial, for which the request waits. A claim takes two store calls.
+const trialTimeout = 250 * time.Millisecond
 
 // TrialDue reports whether the trial of the quarantined request is due and not claimed, judging by local state.
 func (s *Syncer) TrialDue(id string) bool { return s.view.Load().TrialDue(time.Now(), id) }
@@ -23,31 +23,31 @@
 	if !s.TrialDue(id) {
 		return false
 	}
-	record, ok := s.proposal(ctx, id)
+	record, ok := s.proposeTrial(ctx, id)
 	if !ok {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, trialWithin)
+	ctx, cancel := context.WithTimeout(ctx, trialTimeout)
 	defer cancel()
 	return s.claim(ctx, record)
 }
 
-// proposal requests the record that claims the trial for this host.
-func (s *Syncer) proposal(ctx context.Context, id string) (quarantine.Record, bool) {
-	reply := make(chan answer, 1)
-	proposed, err := s.ask(ctx, trialMessage{id: id, reply: reply}, reply)
+// proposeTrial requests the record that claims the trial for this host.
+func (s *Syncer) proposeTrial(ctx context.Context, id string) (quarantine.Record, bool) {
+	reply := make(chan taskReply, 1)
+	proposed, err := s.request(ctx, trialMessage{id: id, reply: reply}, reply)
 	return proposed.record, err == nil && proposed.ok // no trial without a reply
 }
 
 // claim writes the record if the store has the request in quarantine and its trial is not claimed. It reports whether
 // the claim was written.
 func (s *Syncer) claim(ctx context.Context, record quarantine.Record) bool {
-	item, err := s.config.Store.Get(ctx, s.keyOf(record))
+	item, err := s.config.Store.Get(ctx, s.key(record))
 	if err != nil {
-		s.logUntried(record, err)
+		s.logTrialFailed(record, err)
 		return false
 	}
-	stored, ok := s.decodeFound(item)
+	stored, ok := s.decodeItem(item)
 	if !ok {
 		return false // the quarantine is not in the store yet, so other daemons could not see the claim
 	}
@@ -56,9 +56,9 @@
 		s.send(ctx, mergeMessage{records: []quarantine.Record{stored}})
 		return false
 	}
-	put, err := s.putOf(ctx, merged)
+	put, err := s.newPut(ctx, merged)
 	if err != nil {
-		s.logUntried(record, err)
+		s.logTrialFailed(record, err)
 		return false
 	}
 	change := store.Change{Puts: []store.Put{put}, Expect: []store.Expect{{Key: put.Key, Revision: item.Revision}}}
@@ -67,7 +67,7 @@
 		return false // another daemon wrote the record first
 	}
 	if err != nil {
-		s.logUntried(record, err)
+		s.logTrialFailed(record, err)
 		return false
 	}
 	s.send(ctx, mergeMessage{records: []quarantine.Record{merged}})
@@ -76,9 +76,9 @@
 	return true
 }
 
-// logUntried records that a store call of a claim failed. If the claim was written nevertheless, no daemon sends the
-// request, since this one cannot know that it may.
-func (s *Syncer) logUntried(record quarantine.Record, err error) {
+// logTrialFailed records that a store call of a claim failed. If the claim was written nevertheless, no daemon sends
+// the request, since this one cannot know that it may.
+func (s *Syncer) logTrialFailed(record quarantine.Record, err error) {
 	s.config.OnError(err)
 	event.Log(s.config.Logger, event.QuarantineUntried, "fingerprint", record.ID, "service", record.Service, "path", record.Path, "error", err)
 }
--- a/internal/quarantinesync/write.go
+++ b/internal/quarantinesync/write.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// writeWithin is the timeout for writing a batch.
-	writeWithin = 2 * time.Second
-	// conflicts is the maximum number of attempts to write a record that other daemons change concurrently, as the
-	// daemons of a service do when the same request ends their backend servers within milliseconds.
-	conflicts = 6
+	// writeTimeout is the timeout for writing a batch.
+	writeTimeout = 2 * time.Second
+	// maxWriteAttempts is the maximum number of attempts to write a record that other daemons change concurrently, as
+	// the daemons of a service do when the same request ends their backend servers within milliseconds.
+	maxWriteAttempts = 6
 )
 
-// heldPrefix returns the key prefix of records that are or were quarantined.
-func (s *Syncer) heldPrefix() string { return s.config.Prefix + "/held/" }
+// quarantinedPrefix returns the key prefix of records that are or were quarantined.
+func (s *Syncer) quarantinedPrefix() string { return s.config.Prefix + "/held/" }
 
-// keyOf returns the key of a record. Records that were never quarantined have a separate prefix that no daemon
+// key returns the key of a record. Records that were never quarantined have a separate prefix that no daemon
 // follows; a daemon reads such a record when it writes another end of the request.
-func (s *Syncer) keyOf(r quarantine.Record) string {
+func (s *Syncer) key(r quarantine.Record) string {
 	if r.WasQuarantined() {
-		return s.heldPrefix() + r.ID
+		return s.quarantinedPrefix() + r.ID
 	}
 	return s.config.Prefix + "/suspected/" + r.ID
 }
@@ -34,31 +34,31 @@
 // writeBatch writes the records in one change, on the assumption that none is in the store. If that fails, it merges
 // and writes them one by one.
 func (s *Syncer) writeBatch(ctx context.Context, batch []quarantine.Record) writtenMessage {
-	ctx, cancel := context.WithTimeout(ctx, writeWithin)
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	if len(batch) > 1 && s.writeNew(ctx, batch) == nil {
 		s.config.OnAnswer()
 		return writtenMessage{stored: batch}
 	}
-	var done writtenMessage
+	var result writtenMessage
 	for _, record := range batch {
 		stored, err := s.writeMerged(ctx, record)
 		if err != nil {
 			s.config.OnError(err)
-			done.failed = append(done.failed, record.ID)
+			result.failed = append(result.failed, record.ID)
 			continue
 		}
 		s.config.OnAnswer()
-		done.stored = append(done.stored, stored)
+		result.stored = append(result.stored, stored)
 	}
-	return done
+	return result
 }
 
 // writeNew writes records in one change, which fails if the store has any of them.
 func (s *Syncer) writeNew(ctx context.Context, records []quarantine.Record) error {
 	var change store.Change
 	for _, record := range records {
-		put, err := s.putOf(ctx, record)
+		put, err := s.newPut(ctx, record)
 		if err != nil {
 			return err
 		}
@@ -70,13 +70,13 @@
 
 // writeMerged merges a record with the stored one, writes the result unless the store already has it, and returns it.
 func (s *Syncer) writeMerged(ctx context.Context, record quarantine.Record) (quarantine.Record, error) {
-	known := int64(0) // revision of the stored record that was merged; zero if the key is expected to be absent
-	for range conflicts {
-		put, err := s.putOf(ctx, record)
+	revision := int64(0) // revision of the stored record that was merged; zero if the key is expected to be absent
+	for range maxWriteAttempts {
+		put, err := s.newPut(ctx, record)
 		if err != nil {
 			return record, err
 		}
-		err = s.commit(ctx, store.Change{Puts: []store.Put{put}, Expect: []store.Expect{{Key: put.Key, Revision: known}}})
+		err = s.commit(ctx, store.Change{Puts: []store.Put{put}, Expect: []store.Expect{{Key: put.Key, Revision: revision}}})
 		if !errors.Is(err, store.ErrConflict) {
 			return record, err
 		}
@@ -84,8 +84,8 @@
 		if err != nil {
 			return record, err
 		}
-		known = item.Revision
-		stored, ok := s.decodeFound(item)
+		revision = item.Revision
+		stored, ok := s.decodeItem(item)
 		if !ok {
 			continue
 		}
@@ -93,29 +93,29 @@
 		if record.Same(stored) {
 			return record, nil
 		}
-		if s.keyOf(record) != put.Key {
-			known = 0 // the merged record is quarantined, which has another key
+		if s.key(record) != put.Key {
+			revision = 0 // the merged record is quarantined, which has another key
 		}
 	}
 	return record, errors.Wrapf(store.ErrConflict, "write record of request %s", record.ID)
 }
 
-// decodeFound decodes the stored record, and reports whether there is a valid one.
-func (s *Syncer) decodeFound(item store.Item) (quarantine.Record, bool) {
+// decodeItem decodes the stored record, and reports whether there is a valid one.
+func (s *Syncer) decodeItem(item store.Item) (quarantine.Record, bool) {
 	if item.Data == nil {
 		return quarantine.Record{}, false
 	}
 	return s.decode(item)
 }
 
-// putOf returns the put that writes the record. Records that were never quarantined expire with a lease; the others
+// newPut returns the put that writes the record. Records that were never quarantined expire with a lease; the others
 // stay until they are removed.
-func (s *Syncer) putOf(ctx context.Context, record quarantine.Record) (store.Put, error) {
+func (s *Syncer) newPut(ctx context.Context, record quarantine.Record) (store.Put, error) {
 	data, err := json.Marshal(record)
 	if err != nil {
 		return store.Put{}, errors.Wrap(err, "encode record")
 	}
-	put := store.Put{Key: s.keyOf(record), Data: data}
+	put := store.Put{Key: s.key(record), Data: data}
 	if record.WasQuarantined() {
 		return put, nil
 	}
@@ -127,7 +127,7 @@
 func (s *Syncer) commit(ctx context.Context, change store.Change) error {
 	_, err := s.config.Store.Commit(ctx, change)
 	if errors.Is(err, store.ErrNoLease) {
-		s.lease.drop()
+		s.lease.discard()
 	}
 	return err
 }
@@ -136,19 +136,19 @@
 // were quarantined; the others expire with their lease. A key that is left behind is read and expires again at the next
 // start of a daemon.
 func (s *Syncer) remove(ctx context.Context, records []quarantine.Record) {
-	ctx, cancel := context.WithTimeout(ctx, writeWithin)
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	for _, record := range records {
 		if !record.EverQuarantined || !s.config.Watches() {
 			continue
 		}
-		key := s.keyOf(record)
+		key := s.key(record)
 		item, err := s.config.Store.Get(ctx, key)
 		if err != nil {
 			s.config.OnError(err)
 			return
 		}
-		stored, ok := s.decodeFound(item)
+		stored, ok := s.decodeItem(item)
 		if !ok || !stored.Same(record) {
 			continue
 		}
