--- a/internal/ingress/admit.go
+++ b/internal/ingress/admit.go
@@ -26,7 +26,7 @@
 	deadline        time.Time
 	customer        string
 	queueCustomer   string // as which it waits in queues
-	terms           attempts.Terms
+	terms           attempts.Request
 	priority        int
 	body            *body.Body
 	route           route.Name
@@ -47,7 +47,7 @@
 // usual returns how long an answer to the request usually takes; zero if that is not
 // known.
 func (r *request) usual() time.Duration {
-	usual, _ := r.latency.Usual()
+	usual, _ := r.latency.Median()
 	return usual
 }
 
@@ -116,11 +116,11 @@
 		deadline:      now.Add(a.timeLeft),
 		customer:      a.caller.name,
 		queueCustomer: in.queueCustomer(a.state, a.caller),
-		terms: attempts.Terms{
+		terms: attempts.Request{
 			Service:       &service.attempts,
 			NonIdempotent: !a.match.Idempotent(r.Method),
 			MaxSent:       a.match.Attempts,
-			Began:         now,
+			StartedAt:     now,
 			TargetAt:      now.Add(target),
 		},
 		priority: a.caller.priority,
--- a/internal/ingress/attempts.go
+++ b/internal/ingress/attempts.go
@@ -20,7 +20,7 @@
 		choice := in.choose(ctx, r, p)
 		if choice.Target == nil {
 			r.service.limit.giveBack(p.grant)
-			return p.end(p.NoneLeft(len(r.service.pool.Targets()), p.passedOver.String()))
+			return p.end(p.NoTargetFailure(len(r.service.pool.Targets()), p.passedOver.String()))
 		}
 		o := in.runRace(ctx, &attempt{in: in, request: r, Choice: choice, grant: p.grant}, p)
 		if o.isAnswer() {
@@ -40,7 +40,7 @@
 // choose returns the backend server to ask next. It waits while a better choice may be found.
 func (in *Ingress) choose(ctx context.Context, r *request, p *progress) attempts.Choice {
 	choice := attempts.Choose(time.Now(), r.terms, &p.History)
-	for choice.LookAgain && wait.For(ctx, attempts.LookAgainAfter) {
+	for choice.RetrySelection && wait.For(ctx, attempts.SelectionRetryDelay) {
 		choice = attempts.Choose(time.Now(), r.terms, &p.History)
 	}
 	return choice
@@ -63,7 +63,7 @@
 
 // logAttempt logs a failed attempt, unless it only sends the request on.
 func (in *Ingress) logAttempt(r *request, a *attempt, p *progress, failure *result.Error, retried bool) {
-	if retried && failures.Of(failure.Code).PassedOver() {
+	if retried && failures.Classify(failure.Code).PassedOver() {
 		p.passedOver.add(failure.Code)
 		return
 	}
--- a/internal/ingress/customer.go
+++ b/internal/ingress/customer.go
@@ -98,7 +98,7 @@
 
 // giveBack gives the customer's limit back what a request took that reached no backend server.
 func (in *Ingress) giveBack(r *request) {
-	if in.config.GiveBack != nil && r.customer != "" {
-		in.config.GiveBack(r.customer)
+	if in.config.RefundCustomer != nil && r.customer != "" {
+		in.config.RefundCustomer(r.customer)
 	}
 }
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -98,20 +98,20 @@
 	Logger *slog.Logger
 	// Scope receives the metrics.
 	Scope tally.Scope
-	// Far reports whether bytes to another daemon's address are dear and travel compressed,
+	// ShouldCompress reports whether bytes to another daemon's address are dear and travel compressed,
 	// which they do without TLS alone; nil if none do.
-	Far func(address string) bool
+	ShouldCompress func(address string) bool
 	// Ping asks another host's daemon for any answer; nil if hosts are not asked.
 	Ping func(context.Context, fleet.Host) error
-	// Silent is told of a host that has not answered for long.
-	Silent func(fleet.Host)
-	// Subrequest is told what is seen of routes that the backend servers of this host may
+	// OnHostUnresponsive is told of a host that has not answered for long.
+	OnHostUnresponsive func(fleet.Host)
+	// OnSubrequestEvidence is told what is seen of routes that the backend servers of this host may
 	// call; nil if it is of no use.
-	Subrequest func([]subrequest.Evidence)
+	OnSubrequestEvidence func([]subrequest.Evidence)
 	// AdmitCustomer decides whether a request of the customer is within its limit, and GiveBack
 	// takes that back for one that reached no backend server; nil if there are no limits.
-	AdmitCustomer func(customer string) quota.Decision
-	GiveBack      func(customer string)
+	AdmitCustomer  func(customer string) quota.Decision
+	RefundCustomer func(customer string)
 	// Runs knows what the backend servers of this host run; nil if nothing is known of that.
 	Runs *runs.Table
 	// Retries is the host's budgets of retries; nil keeps one for the ingress alone.
@@ -165,7 +165,7 @@
 		config.Runs = runs.New()
 	}
 	if config.Retries == nil {
-		config.Retries = retry.NewBudgets(retry.Config{Began: time.Now()})
+		config.Retries = retry.NewBudgets(retry.Config{StartedAt: time.Now()})
 	}
 	in := &Ingress{
 		config:   config,
@@ -200,7 +200,7 @@
 
 // dialTo returns what connects to other daemons.
 func dialTo(config Config) dial.Func {
-	far := config.Far
+	far := config.ShouldCompress
 	if config.TLS != nil {
 		far = nil // the length of what is compressed tells something of it
 	}
--- a/internal/ingress/limit.go
+++ b/internal/ingress/limit.go
@@ -29,7 +29,7 @@
 // likelyLeft reports whether a retry is likely to be had now. Every request asks it, and whether others may
 // be asked is the cheaper question of the two by far.
 func (l *retryLimit) likelyLeft(now time.Time) bool {
-	return l.budgets.MayBorrow(now, l.service) || l.budgets.Left(now, l.service)
+	return l.budgets.MayBorrow(now, l.service) || l.budgets.Available(now, l.service)
 }
 
 // takeOwn takes a retry of this host, and reports whether there was one.
--- a/internal/ingress/reservation_test.go
+++ b/internal/ingress/reservation_test.go
@@ -17,7 +17,7 @@
 	if failure.Code.Number != result.CancelledBefore.Number {
 		t.Fatalf("got %s", failure.Code.Name)
 	}
-	if _, seen := failures.Evidence(failure.Code); seen || failures.Of(failure.Code).Target != failures.Unchanged {
+	if _, seen := failures.Evidence(failure.Code); seen || failures.Classify(failure.Code).Target != failures.Unchanged {
 		t.Fatal("the host that was asked is blamed")
 	}
 }
@@ -25,7 +25,7 @@
 // TestAReservationThatDoesNotComeIsEvidence keeps what a silent host shows.
 func TestAReservationThatDoesNotComeIsEvidence(t *testing.T) {
 	failure := result.From(reservationFailure(context.Background(), result.New(result.DeadlineBeforeRun)))
-	if failure.Code.Number != result.ReservationUnanswered.Number || failures.Of(failure.Code).Target != failures.HostSilent {
+	if failure.Code.Number != result.ReservationUnanswered.Number || failures.Classify(failure.Code).Target != failures.HostUnresponsive {
 		t.Fatalf("got %s", failure.Code.Name)
 	}
 }
--- a/internal/ingress/service.go
+++ b/internal/ingress/service.go
@@ -44,7 +44,7 @@
 		services: make(map[string]*service, len(index.Declaration.Services)),
 	}
 	next.customers = in.customersOf(index.Declaration)
-	in.config.Retries.Resize(time.Now(), in.retrySizes(index.Declaration))
+	in.config.Retries.SetLimits(time.Now(), in.retrySizes(index.Declaration))
 	for _, declared := range index.Declaration.Services {
 		next.services[declared.Name] = in.reconfigureService(declared, index)
 	}
@@ -58,14 +58,14 @@
 
 // retrySizes returns the limits of the services' retries, whose slack all hosts share once they have
 // been counted.
-func (in *Ingress) retrySizes(d fleet.Declaration) map[string]retry.Size {
+func (in *Ingress) retrySizes(d fleet.Declaration) map[string]retry.Limit {
 	hosts := len(d.Hosts)
 	if in.config.HostsCounted != nil && !in.config.HostsCounted() {
 		hosts = 0
 	}
-	sizes := make(map[string]retry.Size, len(d.Services))
+	sizes := make(map[string]retry.Limit, len(d.Services))
 	for _, s := range d.Services {
-		sizes[s.Name] = retry.Size{Share: s.RetryShare, Slack: s.RetrySlack, Window: s.RetryWindow, Hosts: hosts}
+		sizes[s.Name] = retry.Limit{Share: s.RetryShare, Slack: s.RetrySlack, Window: s.RetryWindow, Hosts: hosts}
 	}
 	return sizes
 }
@@ -108,5 +108,5 @@
 // overdueLimit is how long an attempt at the target may take before it counts
 // as overdue; zero without others to compare with.
 func (s *service) overdueLimit(target *balance.Target) time.Duration {
-	return s.rules.OverdueLimit(target.Typical())
+	return s.rules.OverdueLimit(target.TypicalLatency())
 }
--- a/internal/ingress/stop.go
+++ b/internal/ingress/stop.go
@@ -13,9 +13,9 @@
 // InFlight returns how many callers' requests are being served.
 func (in *Ingress) InFlight() int64 { return in.inFlight.Load() }
 
-// Settle records that a planned stop has begun: what is in flight stays where it is, without
+// BeginShutdown records that a planned stop has begun: what is in flight stays where it is, without
 // hedges, since another backend server may not take it any more.
-func (in *Ingress) Settle() { in.settling.Store(true) }
+func (in *Ingress) BeginShutdown() { in.settling.Store(true) }
 
 // Stop refuses new requests from now on.
 func (in *Ingress) Stop() { in.stopping.Store(true) }
--- a/internal/ingress/subrequest.go
+++ b/internal/ingress/subrequest.go
@@ -27,10 +27,10 @@
 func (in *Ingress) countForLimit(r *request, now time.Time) {
 	run, ok := in.config.Runs.Caller(now, in.requestID(r.Request))
 	if !ok {
-		in.config.Retries.Request(now, r.serviceName)
+		in.config.Retries.RecordRequest(now, r.serviceName)
 		return
 	}
-	r.countsAsRetry = in.config.Retries.Call(now, run, r.serviceName)
+	r.countsAsRetry = in.config.Retries.RecordCall(now, run, r.serviceName)
 	r.sentByRetry = run.Retry
 	if run.Retry {
 		r.service.calls.ofRetry.Inc(1)
@@ -61,14 +61,14 @@
 // says that it failed.
 func (in *Ingress) ServerAnswered(good bool) {
 	updates := in.subrequest.Answered(time.Now(), good)
-	if len(updates) > 0 && in.config.Subrequest != nil {
-		in.config.Subrequest(updates)
+	if len(updates) > 0 && in.config.OnSubrequestEvidence != nil {
+		in.config.OnSubrequestEvidence(updates)
 	}
 }
 
-// HearSubrequest records what another host of the same service saw of routes that its backend
+// MergeSubrequestEvidence records what another host of the same service saw of routes that its backend
 // servers may call, and returns those that are known to be called.
-func (in *Ingress) HearSubrequest(told []subrequest.Evidence) []route.Name {
+func (in *Ingress) MergeSubrequestEvidence(told []subrequest.Evidence) []route.Name {
 	var known []route.Name
 	for _, e := range told {
 		if in.subrequest.Hear(e) {
@@ -78,9 +78,9 @@
 	return known
 }
 
-// LearnSubrequest records what another host of the same service knows: its backend servers call
+// MarkSubrequestRoutes records what another host of the same service knows: its backend servers call
 // the routes.
-func (in *Ingress) LearnSubrequest(routes []route.Name) {
+func (in *Ingress) MarkSubrequestRoutes(routes []route.Name) {
 	for _, name := range routes {
 		in.subrequest.Learn(name)
 	}
--- a/internal/ingress/targets.go
+++ b/internal/ingress/targets.go
@@ -39,16 +39,16 @@
 	return s.pool, true
 }
 
-// Draining keeps away for a while from backend servers that another daemon says
+// MarkDraining keeps away for a while from backend servers that another daemon says
 // take no more work.
-func (in *Ingress) Draining(names []string) {
+func (in *Ingress) MarkDraining(names []string) {
 	until := time.Now().Add(drainingPause)
 	in.eachTarget(names, func(pool *balance.Pool, target *balance.Target) { pool.Pause(target, until) })
 }
 
-// Trusted records that backend servers are no longer suspected.
-func (in *Ingress) Trusted(names []string) {
-	in.eachTarget(names, func(pool *balance.Pool, target *balance.Target) { pool.Trust(target) })
+// ClearSuspicion records that backend servers are no longer suspected.
+func (in *Ingress) ClearSuspicion(names []string) {
+	in.eachTarget(names, func(pool *balance.Pool, target *balance.Target) { pool.ClearSuspicion(target) })
 }
 
 // eachTarget calls the function for the targets of those names.
--- a/internal/quarantine/fuzz_test.go
+++ b/internal/quarantine/fuzz_test.go
@@ -39,6 +39,6 @@
 		if got := table.View().Status(received.ID); got != quarantine.Clear {
 			t.Fatalf("status after the lift is %s", got)
 		}
-		table.Forget(start.Add(time.Hour))
+		table.Prune(start.Add(time.Hour))
 	})
 }
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -40,15 +40,15 @@
 	// request that was running there, and two still coincide with unrelated ends of backend servers; see
 	// docs/design/0014-quarantine.md.
 	Limit = 3
-	// SuspectedFor is how long after its last change a suspected request is kept. The store keeps its record
+	// SuspectTTL is how long after its last change a suspected request is kept. The store keeps its record
 	// twice as long.
-	SuspectedFor = 5 * time.Minute
-	// ClearedFor is how long the record of a lifted quarantine is kept, so that a daemon that was partitioned
+	SuspectTTL = 5 * time.Minute
+	// ClearedTTL is how long the record of a lifted quarantine is kept, so that a daemon that was partitioned
 	// for hours does not reinstate it.
-	ClearedFor = 24 * time.Hour
-	// TrialAfter is the delay between the last end and the trial of a quarantined request. Backend servers that
+	ClearedTTL = 24 * time.Hour
+	// TrialDelay is the delay between the last end and the trial of a quarantined request. Backend servers that
 	// end together do so within this time, and other runs of the request have been answered by then.
-	TrialAfter = time.Second
+	TrialDelay = time.Second
 	// maxRecords is the maximum number of records in a Table. At 400 bytes each, they take 1.6 MB. Suspected requests
 	// are evicted first, oldest first.
 	maxRecords = 4096
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -12,8 +12,8 @@
 
 var start = time.UnixMilli(1_700_000_000_000)
 
-func sighting(id string) quarantine.Sighting {
-	return quarantine.Sighting{ID: id, Head: uint64(len(id)), Service: "lookup", Method: "GET", Host: "a.example", Path: "/x"}
+func sighting(id string) quarantine.Request {
+	return quarantine.Request{ID: id, HeadHash: uint64(len(id)), Service: "lookup", Method: "GET", Host: "a.example", Path: "/x"}
 }
 
 // end records the ends of count backend servers while running the request, a second apart, and returns the time of
@@ -94,7 +94,7 @@
 	if _, ok := table.ProposeTrial(last, "a", "host-1"); ok || table.View().TrialDue(last, "a") {
 		t.Fatal("the trial is due immediately after the last end")
 	}
-	later := last.Add(quarantine.TrialAfter)
+	later := last.Add(quarantine.TrialDelay)
 	record, ok := table.ProposeTrial(later, "a", "host-1")
 	if !ok || !table.View().TrialDue(later, "a") {
 		t.Fatal("the trial is not due after the delay")
@@ -114,10 +114,10 @@
 	table := quarantine.New()
 	end(table, "a", quarantine.Limit)
 	end(table, "bb", 1)
-	if expired, evicted := table.Forget(start.Add(quarantine.SuspectedFor / 2)); len(expired)+len(evicted) > 0 {
+	if expired, evicted := table.Prune(start.Add(quarantine.SuspectTTL / 2)); len(expired)+len(evicted) > 0 {
 		t.Fatal("a record expired early")
 	}
-	table.Forget(start.Add(2 * quarantine.SuspectedFor))
+	table.Prune(start.Add(2 * quarantine.SuspectTTL))
 	if records := table.Records(); len(records) != 1 || records[0].ID != "a" {
 		t.Fatalf("got records %v, want only the quarantined request", records)
 	}
@@ -130,15 +130,15 @@
 	last := end(cutOff, "a", quarantine.Limit)
 	others.Merge(cutOff.Records())
 	others.Lift(last, "a")
-	back := last.Add(quarantine.ClearedFor / 2)
-	others.Forget(back)
+	back := last.Add(quarantine.ClearedTTL / 2)
+	others.Prune(back)
 	if updates := others.Merge(cutOff.Records()); len(updates) > 0 || others.View().Status("a") != quarantine.Clear {
 		t.Fatalf("the lifted quarantine is back: %+v", updates)
 	}
 	if cutOff.Merge(others.Records()); cutOff.View().Status("a") != quarantine.Clear {
 		t.Fatal("the daemon that was partitioned keeps the quarantine")
 	}
-	if expired, _ := others.Forget(last.Add(2 * quarantine.ClearedFor)); len(expired) != 1 {
+	if expired, _ := others.Prune(last.Add(2 * quarantine.ClearedTTL)); len(expired) != 1 {
 		t.Fatalf("expired records: %v, want one", expired)
 	}
 }
@@ -169,7 +169,7 @@
 	for n := range 10_000 {
 		table.RecordEnd(start.Add(time.Duration(n)*time.Millisecond), sighting(fmt.Sprintf("flood-%d", n)), quarantine.End{Server: "server"})
 	}
-	if expired, evicted := table.Forget(start); len(expired) > 0 || len(evicted) < 5000 {
+	if expired, evicted := table.Prune(start); len(expired) > 0 || len(evicted) < 5000 {
 		t.Fatalf("%d records expired, %d were evicted", len(expired), len(evicted))
 	}
 	if count := len(table.Records()); count > 5000 {
@@ -183,7 +183,7 @@
 // drawRecord draws a record as another daemon may send it.
 func drawRecord(t *rapid.T, name string) quarantine.Record {
 	r := quarantine.Record{
-		ID: "a", Head: 1, Service: rapid.SampledFrom([]string{"lookup", "records"}).Draw(t, name+" service"),
+		ID: "a", HeadHash: 1, Service: rapid.SampledFrom([]string{"lookup", "records"}).Draw(t, name+" service"),
 		Epoch:           rapid.Int64Range(0, 2).Draw(t, name+" epoch"),
 		TrialHost:       rapid.SampledFrom([]string{"", "host-1", "host-2"}).Draw(t, name+" tried"),
 		EverQuarantined: rapid.Bool().Draw(t, name+" held"),
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -17,11 +17,11 @@
 	ClearedByOperator ClearedBy = "lifted"
 )
 
-// Sighting identifies a request that a backend server was running when it ended.
-type Sighting struct {
+// Request identifies a request that a backend server was running when it ended.
+type Request struct {
 	// ID is the digest of the request's fingerprint; Head is the hash of everything but the body.
-	ID   string
-	Head uint64
+	ID       string
+	HeadHash uint64
 	// Service is the service of the backend server.
 	Service string
 	// Method, Host and Path describe the request to operators.
@@ -39,12 +39,12 @@
 
 // Record is the quarantine state of a request.
 type Record struct {
-	ID      string `json:"id"`
-	Head    uint64 `json:"head"`
-	Service string `json:"service"`
-	Method  string `json:"method"`
-	Host    string `json:"host"`
-	Path    string `json:"path"`
+	ID       string `json:"id"`
+	HeadHash uint64 `json:"head"`
+	Service  string `json:"service"`
+	Method   string `json:"method"`
+	Host     string `json:"host"`
+	Path     string `json:"path"`
 	// Epoch increases each time the request is cleared.
 	Epoch int64 `json:"epoch"`
 	// Ends holds the ends in this epoch, earliest first, at most Limit.
@@ -60,9 +60,9 @@
 }
 
 // newRecord returns a record without ends, in the first epoch.
-func newRecord(s Sighting) Record {
+func newRecord(s Request) Record {
 	return Record{
-		ID: s.ID, Head: s.Head, Service: s.Service,
+		ID: s.ID, HeadHash: s.HeadHash, Service: s.Service,
 		Method: truncate(s.Method), Host: truncate(s.Host), Path: truncate(s.Path),
 	}
 }
@@ -113,7 +113,7 @@
 
 // trialDueAt returns the time from which the trial is due, and reports whether the request is eligible for one.
 func (r Record) trialDueAt() (time.Time, bool) {
-	return r.LastEnd().Add(TrialAfter), r.Quarantined() && r.TrialHost == ""
+	return r.LastEnd().Add(TrialDelay), r.Quarantined() && r.TrialHost == ""
 }
 
 // normalized returns the record with EverQuarantined derived from its other fields. Merge does not derive it, since the
--- a/internal/quarantine/simulation_test.go
+++ b/internal/quarantine/simulation_test.go
@@ -244,7 +244,7 @@
 // recordEnd records that a backend server ended while running the request, and retries the request if attempts are left.
 func (s *simulation) recordEnd(id string, from, to *simulatedHost, incarnation, left int) {
 	ended := quarantine.End{Server: fmt.Sprintf("server-%d-%d", to.number, incarnation), At: start.Add(to.serverEndedAt).UnixMilli()}
-	if record, ok := to.table.RecordEnd(s.wallTime(), quarantine.Sighting{ID: id, Service: "lookup"}, ended); ok {
+	if record, ok := to.table.RecordEnd(s.wallTime(), quarantine.Request{ID: id, Service: "lookup"}, ended); ok {
 		s.distribute(to, record)
 	}
 	switch {
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -17,7 +17,7 @@
 
 // RecordEnd records that a backend server ended while running the request. It returns the changed record, which the
 // caller distributes, or false if the end is already known.
-func (t *Table) RecordEnd(now time.Time, s Sighting, end End) (Record, bool) {
+func (t *Table) RecordEnd(now time.Time, s Request, end End) (Record, bool) {
 	known, ok := t.records[s.ID]
 	if !ok {
 		known = newRecord(s)
@@ -97,8 +97,8 @@
 	return r, ok
 }
 
-// Forget removes and returns the expired records, and then those evicted because the table exceeds its limit.
-func (t *Table) Forget(now time.Time) (expired, evicted []Record) {
+// Prune removes and returns the expired records, and then those evicted because the table exceeds its limit.
+func (t *Table) Prune(now time.Time) (expired, evicted []Record) {
 	for _, r := range t.records {
 		if r.expired(now) {
 			expired = append(expired, r)
@@ -119,9 +119,9 @@
 	case r.Quarantined():
 		return false
 	case r.EverQuarantined:
-		return sinceChange > ClearedFor
+		return sinceChange > ClearedTTL
 	default:
-		return sinceChange > SuspectedFor
+		return sinceChange > SuspectTTL
 	}
 }
 
--- a/internal/quarantine/view.go
+++ b/internal/quarantine/view.go
@@ -40,7 +40,7 @@
 		if !r.Suspected() {
 			continue
 		}
-		v.headHashes[r.Head] = struct{}{}
+		v.headHashes[r.HeadHash] = struct{}{}
 		v.statuses[r.ID] = r.Status()
 		if from, ok := r.trialDueAt(); ok {
 			v.trialDueAt[r.ID] = from
@@ -52,9 +52,9 @@
 // Empty reports whether no request is suspected or quarantined.
 func (v *View) Empty() bool { return len(v.headHashes) == 0 }
 
-// HasHead reports whether a request with that head is suspected or quarantined. The digest, which includes the body,
+// MayContain reports whether a request with that head is suspected or quarantined. The digest, which includes the body,
 // decides whether it is the same request.
-func (v *View) HasHead(head uint64) bool {
+func (v *View) MayContain(head uint64) bool {
 	_, ok := v.headHashes[head]
 	return ok
 }
--- a/internal/quarantinesync/lease.go
+++ b/internal/quarantinesync/lease.go
@@ -14,9 +14,9 @@
 const (
 	// leaseTTL is the lifetime of the lease for records that were never quarantined. The store has to keep them for
 	// at least as long as daemons do, so that a daemon that sees a second end finds the first.
-	leaseTTL = 2 * quarantine.SuspectedFor
+	leaseTTL = 2 * quarantine.SuspectTTL
 	// leaseReuseTime is how long a lease is used for new records, which then last for at least SuspectedFor.
-	leaseReuseTime = leaseTTL - quarantine.SuspectedFor
+	leaseReuseTime = leaseTTL - quarantine.SuspectTTL
 )
 
 // lease is the store lease under which records that were never quarantined expire.
--- a/internal/quarantinesync/messages.go
+++ b/internal/quarantinesync/messages.go
@@ -6,7 +6,7 @@
 type (
 	// endedMessage reports that a backend server ended while running a request.
 	endedMessage struct {
-		request quarantine.Sighting
+		request quarantine.Request
 		end     quarantine.End
 		applied chan struct{} // closed once lookups reflect the end
 	}
--- a/internal/quarantinesync/quarantinesync.go
+++ b/internal/quarantinesync/quarantinesync.go
@@ -59,10 +59,10 @@
 	// Store is the platform's key-value store. All keys begin with Prefix.
 	Store  store.Store
 	Prefix string
-	// Tell notifies the daemons that have backend servers of the service, without waiting for them. Spread
+	// NotifyService notifies the daemons that have backend servers of the service, without waiting for them. Spread
 	// notifies a few daemons, each of which notifies a few more.
-	Tell   func(service string, records []quarantine.Record)
-	Spread func(records []quarantine.Record)
+	NotifyService func(service string, records []quarantine.Record)
+	Gossip        func(records []quarantine.Record)
 	// Watches reports whether this daemon watches the store.
 	Watches func() bool
 	// Logger receives numbered events.
@@ -113,13 +113,13 @@
 	newTask(s).run(ctx)
 }
 
-// Quiet reports whether no request is suspected or quarantined.
-func (s *Syncer) Quiet() bool { return s.view.Load().Empty() }
+// Empty reports whether no request is suspected or quarantined.
+func (s *Syncer) Empty() bool { return s.view.Load().Empty() }
 
 // Status returns the status of the request and, unless that is quarantine.Clear, its digest.
 func (s *Syncer) Status(r fingerprint.Request) (quarantine.Status, string) {
 	view := s.view.Load()
-	if view.Empty() || !view.HasHead(r.Head()) {
+	if view.Empty() || !view.MayContain(r.HeadHash()) {
 		return quarantine.Clear, ""
 	}
 	id, err := r.Digest()
@@ -138,7 +138,7 @@
 	}
 	applied := make(chan struct{})
 	s.send(context.Background(), endedMessage{
-		request: quarantine.Sighting{ID: id, Head: r.Head(), Service: service, Method: r.Method, Host: r.Host, Path: r.Path},
+		request: quarantine.Request{ID: id, HeadHash: r.HeadHash(), Service: service, Method: r.Method, Host: r.Host, Path: r.Path},
 		end:     end,
 		applied: applied,
 	})
--- a/internal/quarantinesync/quarantinesync_test.go
+++ b/internal/quarantinesync/quarantinesync_test.go
@@ -74,14 +74,14 @@
 	number, skipWatch := len(g.syncers), g.skipWatch
 	syncer := quarantinesync.New(quarantinesync.Config{
 		Host: fmt.Sprintf("host-%d", number), Store: g.kv, Prefix: prefix,
-		Tell: func(_ string, records []quarantine.Record) {
+		NotifyService: func(_ string, records []quarantine.Record) {
 			for n, other := range g.all() {
 				if n != number && !g.partitioned.Load() {
 					go other.Merge(records)
 				}
 			}
 		},
-		Spread:  func([]quarantine.Record) {},
+		Gossip:  func([]quarantine.Record) {},
 		Watches: func() bool { return !skipWatch },
 		Logger:  slog.New(slog.NewTextHandler(g, nil)), Scope: tally.NoopScope,
 		OnError: func(error) {}, OnAnswer: func() {},
@@ -188,7 +188,7 @@
 	if g.syncers[0].StartTrial(context.Background(), id) {
 		t.Fatal("the trial started immediately after the last end")
 	}
-	time.Sleep(quarantine.TrialAfter + 100*time.Millisecond)
+	time.Sleep(quarantine.TrialDelay + 100*time.Millisecond)
 	for round := range 2 {
 		var wg sync.WaitGroup
 		var mu sync.Mutex
@@ -215,7 +215,7 @@
 	g := newGroup(t, 2)
 	g.endEach("guilty", quarantine.Limit)
 	g.awaitAll(quarantine.Quarantined)
-	time.Sleep(quarantine.TrialAfter + 100*time.Millisecond)
+	time.Sleep(quarantine.TrialDelay + 100*time.Millisecond)
 	g.standin.SetOutage(true)
 	_, id := g.syncers[0].Status(request("guilty"))
 	if g.syncers[0].StartTrial(context.Background(), id) || g.syncers[1].StartTrial(context.Background(), id) {
@@ -287,7 +287,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.standin.Write(prefix+"/held/other", fmt.Appendf(nil, `{"id":%q,"head":%d,"ends":[{"server":"a"},{"server":"b"},{"server":"c"}]}`, otherID, request("").Head()))
+	g.standin.Write(prefix+"/held/other", fmt.Appendf(nil, `{"id":%q,"head":%d,"ends":[{"server":"a"},{"server":"b"},{"server":"c"}]}`, otherID, request("").HeadHash()))
 	g.endEach("guilty", quarantine.Limit)
 	joiner := g.add()
 	g.await("the valid record is merged", func() bool { return status(joiner, "guilty") == quarantine.Quarantined })
@@ -328,7 +328,7 @@
 func BenchmarkEmpty(b *testing.B) {
 	syncer := quarantinesync.New(quarantinesync.Config{Scope: tally.NoopScope})
 	for b.Loop() {
-		syncer.Quiet()
+		syncer.Empty()
 	}
 }
 
@@ -336,7 +336,7 @@
 func BenchmarkStatus(b *testing.B) {
 	syncer := quarantinesync.New(quarantinesync.Config{
 		Host: "host", Scope: tally.NoopScope, Logger: slog.New(slog.DiscardHandler), OnError: func(error) {}, OnAnswer: func() {},
-		Tell: func(string, []quarantine.Record) {},
+		NotifyService: func(string, []quarantine.Record) {},
 		Store: store.Store{
 			List: func(ctx context.Context, _ string) (store.Batch, error) {
 				<-ctx.Done()
@@ -363,7 +363,7 @@
 	g := newGroup(t, 1)
 	g.endEach("guilty", quarantine.Limit)
 	g.awaitAll(quarantine.Quarantined)
-	time.Sleep(quarantine.TrialAfter + 100*time.Millisecond)
+	time.Sleep(quarantine.TrialDelay + 100*time.Millisecond)
 	commit := g.kv.Commit
 	g.kv.Commit = func(context.Context, store.Change) (int64, error) { return 0, errors.New("unavailable") }
 	joiner := g.add()
--- a/internal/quarantinesync/task.go
+++ b/internal/quarantinesync/task.go
@@ -152,7 +152,7 @@
 
 // prune removes expired records from the table and the store, and evicts records over the limit from the table.
 func (t *task) prune(ctx context.Context, now time.Time) {
-	expired, evicted := t.table.Forget(now)
+	expired, evicted := t.table.Prune(now)
 	if len(expired)+len(evicted) == 0 {
 		return
 	}
@@ -183,10 +183,10 @@
 	}
 	t.updates = nil
 	if len(t.gossip) > 0 {
-		t.syncer.config.Spread(t.gossip)
+		t.syncer.config.Gossip(t.gossip)
 		t.gossip = nil
 	}
 	for service, records := range byService {
-		t.syncer.config.Tell(service, records)
+		t.syncer.config.NotifyService(service, records)
 	}
 }
--- a/internal/record/part_test.go
+++ b/internal/record/part_test.go
@@ -45,16 +45,16 @@
 				return 1, nil
 			}
 			now := time.Now()
-			budgets := retry.NewBudgets(retry.Config{Began: now})
-			r := New(Config{Store: store.Store{Commit: commit}, FirstStart: test.firstStart, Unused: budgets.Clear})
-			budgets.Resize(now, map[string]retry.Size{"names": {Slack: 56, Window: 10 * time.Second, Hosts: 1}})
+			budgets := retry.NewBudgets(retry.Config{StartedAt: now})
+			r := New(Config{Store: store.Store{Commit: commit}, FirstStart: test.firstStart, OnShareUnused: budgets.SetSlackUnused})
+			budgets.SetLimits(now, map[string]retry.Limit{"names": {Slack: 56, Window: 10 * time.Second, Hosts: 1}})
 			for r.commit(context.Background(), store.Put{Key: "hosts/a"}) != nil {
 				continue
 			}
-			if usable := budgets.Left(now, "names"); usable != test.wantUsable {
+			if usable := budgets.Available(now, "names"); usable != test.wantUsable {
 				t.Fatalf("the share may be used immediately: %t", usable)
 			}
-			if !budgets.Left(now.Add(10*time.Second), "names") {
+			if !budgets.Available(now.Add(10*time.Second), "names") {
 				t.Fatal("the share may not be used after a retry window")
 			}
 		})
@@ -84,17 +84,17 @@
 				return 1, test.answer
 			}
 			now := time.Now()
-			budgets := retry.NewBudgets(retry.Config{Began: now})
+			budgets := retry.NewBudgets(retry.Config{StartedAt: now})
 			r := New(Config{
-				Host: "csepel-1", Store: store.Store{Commit: commit}, FirstStart: test.firstStart, Unused: budgets.Clear,
+				Host: "csepel-1", Store: store.Store{Commit: commit}, FirstStart: test.firstStart, OnShareUnused: budgets.SetSlackUnused,
 				Health: storehealth.New(storehealth.Config{Logger: slog.New(slog.DiscardHandler)}),
 			})
-			budgets.Resize(now, map[string]retry.Size{"names": {Slack: 56, Window: 10 * time.Second, Hosts: 1}})
+			budgets.SetLimits(now, map[string]retry.Limit{"names": {Slack: 56, Window: 10 * time.Second, Hosts: 1}})
 			r.ClaimFirstStart(context.Background())
-			if usable := budgets.Left(now, "names"); usable != test.wantUsable {
+			if usable := budgets.Available(now, "names"); usable != test.wantUsable {
 				t.Fatalf("the share may be used immediately: %t", usable)
 			}
-			if !budgets.Left(now.Add(10*time.Second), "names") {
+			if !budgets.Available(now.Add(10*time.Second), "names") {
 				t.Fatal("the share may not be used after a retry window")
 			}
 		})
@@ -107,16 +107,16 @@
 	r := New(Config{})
 	now := time.Now()
 	r.confirmedAt.Store(&now)
-	if r.HostsCounted() {
+	if r.ShareUsable() {
 		t.Fatal("the share may be used before the hosts are counted")
 	}
 	r.counted.Store(true)
-	if !r.HostsCounted() {
+	if !r.ShareUsable() {
 		t.Fatal("the share may not be used after the hosts are counted")
 	}
 	before := time.Now().Add(-shareTTL)
 	r.confirmedAt.Store(&before)
-	if r.HostsCounted() {
+	if r.ShareUsable() {
 		t.Fatal("the share may be used although the store does not confirm the record")
 	}
 }
@@ -128,7 +128,7 @@
 	r.counted.Store(true)
 	confirmed := wallclock.ReadBeforeStepBack(time.Now().Add(-shareTTL), time.Hour)
 	r.confirmedAt.Store(&confirmed)
-	if r.HostsCounted() {
+	if r.ShareUsable() {
 		t.Fatalf("the share may be used %s after the store last renewed the record", shareTTL)
 	}
 }
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -63,11 +63,11 @@
 	Logger *slog.Logger
 	// Self returns the content of this host's record.
 	Self func() member.Host
-	// Learn receives the hosts that were read from the store.
-	Learn func([]member.Host)
-	// Unused is called if no incarnation of this host used its share of the retry slack recently, with the time
+	// OnHosts receives the hosts that were read from the store.
+	OnHosts func([]member.Host)
+	// OnShareUnused is called if no incarnation of this host used its share of the retry slack recently, with the time
 	// before this start for which the share is known to be unused.
-	Unused func(before time.Duration)
+	OnShareUnused func(before time.Duration)
 }
 
 // Record is this host's record in the store.
@@ -96,9 +96,9 @@
 	return lease
 }
 
-// Keep renews the record until ctx ends. If the lease has expired, as after an outage of the store, it immediately
+// KeepAlive renews the record until ctx ends. If the lease has expired, as after an outage of the store, it immediately
 // writes the record under a new one.
-func (r *Record) Keep(ctx context.Context, lease store.Lease) {
+func (r *Record) KeepAlive(ctx context.Context, lease store.Lease) {
 	for wait.For(ctx, renewInterval) {
 		var leaseExpired bool
 		var requestedAt time.Time
@@ -162,7 +162,7 @@
 		return err
 	}
 	if !r.hadRecord.Swap(true) && r.config.FirstStart {
-		r.config.Unused(leaseTTL - shareTTL)
+		r.config.OnShareUnused(leaseTTL - shareTTL)
 	}
 	return nil
 }
@@ -176,7 +176,7 @@
 		return err
 	})
 	if answered {
-		r.config.Learn(decodeRecords(batch.Items, r.logRefused))
+		r.config.OnHosts(decodeRecords(batch.Items, r.logRefused))
 	}
 }
 
--- a/internal/record/share.go
+++ b/internal/record/share.go
@@ -37,16 +37,16 @@
 	r.counted.Store(true)
 	changed()
 	for usable := true; wait.For(ctx, shareCheckInterval); {
-		if now := r.HostsCounted(); now != usable {
+		if now := r.ShareUsable(); now != usable {
 			usable = now
 			changed()
 		}
 	}
 }
 
-// HostsCounted reports whether this daemon may use its share of the retry slack: the hosts are counted, and the store
+// ShareUsable reports whether this daemon may use its share of the retry slack: the hosts are counted, and the store
 // confirmed this host's record less than shareTTL ago.
-func (r *Record) HostsCounted() bool {
+func (r *Record) ShareUsable() bool {
 	confirmed := r.confirmedAt.Load()
 	return r.counted.Load() && confirmed != nil && time.Since(*confirmed) < shareTTL
 }
@@ -64,7 +64,7 @@
 	_, err := r.config.Store.Commit(ctx, claim)
 	switch {
 	case err == nil:
-		r.config.Unused(firstStartUnusedFor)
+		r.config.OnShareUnused(firstStartUnusedFor)
 	case !errors.Is(err, store.ErrConflict):
 		r.config.Health.Failed(err) // without an answer, the host waits as after a later start
 	}
