--- a/internal/fingerprint/fingerprint.go
+++ b/internal/fingerprint/fingerprint.go
@@ -3,7 +3,7 @@
 // # Usage
 //
 //	r := fingerprint.Request{Method: "POST", Host: "a.example", Path: "/orders/7", Customer: "library-12", Body: body.First}
-//	if view.HasHead(r.Head()) { // does not read the body
+//	if view.MayContain(r.HeadHash()) { // does not read the body
 //		id, err := r.Digest()
 //	}
 //
--- a/internal/quarantine/plays_test.go
+++ b/internal/quarantine/plays_test.go
@@ -7,9 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestAFleetKeepsAGuiltyRequestAway guards against a request that crashes backend servers and is still sent after
-// every daemon should have quarantined it, despite network partitions, restarts, an outage of the store and
-// unrelated ends of backend servers.
+// TestAFleetKeepsAGuiltyRequestAway guards against a crashing request that is sent after every daemon should have
+// quarantined it, under network partitions, restarts, a store outage and unrelated ends of backend servers.
 func TestAFleetKeepsAGuiltyRequestAway(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := scenario{
@@ -50,9 +49,8 @@
 	})
 }
 
-// TestWhereAllBackendServersEndFewerAreRefusedThanLost guards against a quarantine that does more harm than the
-// outage: while nearly all backend servers keep ending, fewer innocent requests are refused than fail with their
-// backend servers.
+// TestWhereAllBackendServersEndFewerAreRefusedThanLost guards against a quarantine that refuses more innocent requests
+// than are lost with their backend servers while nearly all of these keep ending.
 func TestWhereAllBackendServersEndFewerAreRefusedThanLost(t *testing.T) {
 	tests := []struct {
 		hosts, simultaneousEnds int
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -8,7 +8,7 @@
 // # Usage
 //
 //	table := quarantine.New()
-//	changed, ok := table.RecordEnd(now, quarantine.Sighting{ID: id, Head: head, Service: "lookup"}, quarantine.End{Server: "i-7f3a", At: millis})
+//	changed, ok := table.RecordEnd(now, quarantine.Request{ID: id, HeadHash: head, Service: "lookup"}, quarantine.End{Server: "i-7f3a", At: millis})
 //	updates := table.Merge(records)                       // from other daemons or from the store
 //	changed, ok = table.RecordAnswer(now, id)             // a backend server answered the request
 //	changed, ok = table.ProposeTrial(now, id, "csepel-1") // may this daemon send it once more?
@@ -23,10 +23,10 @@
 //     an end that several runs or daemons report counts once.
 //   - An answer or an operator starts a new epoch without ends. The later of two epochs wins, so a late report
 //     of an end of an earlier epoch has no effect.
-//   - A quarantined request gets one trial: a single daemon of the fleet sends it once more, TrialAfter after its
+//   - A quarantined request gets one trial: a single daemon of the fleet sends it once more, TrialDelay after its
 //     last end, since many backend servers may have ended together for an unrelated reason. After the trial, only an
 //     operator, or the answer of a run that began earlier, lifts the quarantine.
-//   - A suspected request expires SuspectedFor after its last change, and a lifted quarantine ClearedFor after
+//   - A suspected request expires SuspectTTL after its last change, and a lifted quarantine ClearedTTL after
 //     its last change. A quarantine in force does not expire.
 //
 // The Table is in table.go, the merge of records in record.go, and lookups in view.go. None of them uses a clock,
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -19,7 +19,7 @@
 
 // Request identifies a request that a backend server was running when it ended.
 type Request struct {
-	// ID is the digest of the request's fingerprint; Head is the hash of everything but the body.
+	// ID is the digest of the request's fingerprint; HeadHash is the hash of everything but the body.
 	ID       string
 	HeadHash uint64
 	// Service is the service of the backend server.
--- a/internal/quarantine/simulation_test.go
+++ b/internal/quarantine/simulation_test.go
@@ -93,7 +93,7 @@
 	serverRestarts  int           // number of restarts of its backend server
 	daemonStartedAt time.Duration // start of its daemon
 	serverDown      bool          // its backend server is unavailable
-	serverEndedAt   time.Duration // last end of its backend server
+	lastEnd         time.Duration // last end of its backend server
 }
 
 type simulation struct {
@@ -134,13 +134,13 @@
 	return s.outcome
 }
 
-func (s *simulation) schedule(after time.Duration, do func()) {
+func (s *simulation) at(after time.Duration, do func()) {
 	heap.Push(&s.queue, scheduledEvent{at: s.now + after, do: do})
 }
 
 // repeat calls do at random times with the given mean interval.
 func (s *simulation) repeat(interval time.Duration, do func()) {
-	s.schedule(time.Duration(s.random.Float64()*2*float64(interval)), func() {
+	s.at(time.Duration(s.random.Float64()*2*float64(interval)), func() {
 		do()
 		s.repeat(interval, do)
 	})
@@ -217,7 +217,7 @@
 	if id == guilty && s.quarantineDeadline > 0 && s.now > s.quarantineDeadline && s.storeSteady() && s.daemonSteady(from) && s.daemonSteady(to) {
 		s.outcome.late++
 	}
-	s.schedule(time.Duration((0.5+s.random.Float64())*float64(meanRunTime)), func() {
+	s.at(time.Duration((0.5+s.random.Float64())*float64(meanRunTime)), func() {
 		alive := to.serverRestarts == incarnation && !to.serverDown
 		switch {
 		case alive && id == guilty:
@@ -243,8 +243,8 @@
 
 // recordEnd records that a backend server ended while running the request, and retries the request if attempts are left.
 func (s *simulation) recordEnd(id string, from, to *simulatedHost, incarnation, left int) {
-	ended := quarantine.End{Server: fmt.Sprintf("server-%d-%d", to.number, incarnation), At: start.Add(to.serverEndedAt).UnixMilli()}
-	if record, ok := to.table.RecordEnd(s.wallTime(), quarantine.Request{ID: id, Service: "lookup"}, ended); ok {
+	lastEnd := quarantine.End{Server: fmt.Sprintf("server-%d-%d", to.number, incarnation), At: start.Add(to.lastEnd).UnixMilli()}
+	if record, ok := to.table.RecordEnd(s.wallTime(), quarantine.Request{ID: id, Service: "lookup"}, lastEnd); ok {
 		s.distribute(to, record)
 	}
 	switch {
@@ -266,8 +266,8 @@
 }
 
 func (s *simulation) scheduleRestart(h *simulatedHost) {
-	h.serverEndedAt = s.now
-	s.schedule(restartDelay, func() {
+	h.lastEnd = s.now
+	s.at(restartDelay, func() {
 		h.serverDown = false
 		h.serverRestarts++
 	})
@@ -302,7 +302,7 @@
 	if s.design.notifies {
 		for _, h := range s.hostStates {
 			if h != from && s.reaches(from, h) {
-				s.schedule(s.randomDelay(maxNotifyDelay), func() { h.table.Merge([]quarantine.Record{record}) })
+				s.at(s.randomDelay(maxNotifyDelay), func() { h.table.Merge([]quarantine.Record{record}) })
 			}
 		}
 	}
@@ -313,7 +313,7 @@
 	if len(record.Ends) == 1 {
 		wait = singleEndDelay
 	}
-	s.schedule(wait, func() {
+	s.at(wait, func() {
 		if known, ok := from.table.Find(record.ID); ok && (known.Suspected() || wait < singleEndDelay) {
 			s.write(from, known)
 		}
@@ -328,7 +328,7 @@
 // are or were quarantined.
 func (s *simulation) write(from *simulatedHost, record quarantine.Record) {
 	if !s.storeUp() {
-		s.schedule(time.Second, func() { s.write(from, record) })
+		s.at(time.Second, func() { s.write(from, record) })
 		return
 	}
 	merged := record
@@ -345,7 +345,7 @@
 		if !s.reaches(from, h) && !s.watched(h) {
 			wait = max(wait, fallbackWatchDelay-s.now)
 		}
-		s.schedule(wait, func() { h.table.Merge([]quarantine.Record{merged}) })
+		s.at(wait, func() { h.table.Merge([]quarantine.Record{merged}) })
 	}
 }
 
--- a/internal/quarantine/view.go
+++ b/internal/quarantine/view.go
@@ -52,10 +52,10 @@
 // Empty reports whether no request is suspected or quarantined.
 func (v *View) Empty() bool { return len(v.headHashes) == 0 }
 
-// MayContain reports whether a request with that head is suspected or quarantined. The digest, which includes the body,
-// decides whether it is the same request.
-func (v *View) MayContain(head uint64) bool {
-	_, ok := v.headHashes[head]
+// MayContain reports whether a request with the head hash is suspected or quarantined. The digest, which includes the
+// body, decides whether it is the same request.
+func (v *View) MayContain(headHash uint64) bool {
+	_, ok := v.headHashes[headHash]
 	return ok
 }
 
--- a/internal/quarantinesync/follow.go
+++ b/internal/quarantinesync/follow.go
@@ -71,7 +71,7 @@
 func (s *Syncer) decode(item store.Item) (quarantine.Record, bool) {
 	var record quarantine.Record
 	err := json.Unmarshal(item.Data, &record)
-	if err == nil && item.Key == s.key(record) {
+	if err == nil && item.Key == s.recordKey(record) {
 		return record, true
 	}
 	event.Log(s.config.Logger, event.RecordRefused, "key", item.Key, "names", record.ID, "error", err)
--- a/internal/quarantinesync/quarantinesync.go
+++ b/internal/quarantinesync/quarantinesync.go
@@ -7,11 +7,11 @@
 // everything but the body, and nothing while no request is suspected or quarantined.
 //
 // A Syncer owns the daemon's quarantine.Table. It uses the store and the daemon's calls to other daemons
-// (Config.Tell, Config.Spread).
+// (Config.NotifyService, Config.Gossip).
 //
 // # Usage
 //
-//	s := quarantinesync.New(quarantinesync.Config{Host: "csepel-1", Store: kv, Prefix: "tidelift/quarantine", Tell: tell, ...})
+//	s := quarantinesync.New(quarantinesync.Config{Host: "csepel-1", Store: kv, Prefix: "tidelift/quarantine", NotifyService: notify, ...})
 //	go s.Run(ctx)
 //	status, id := s.Status(request)
 //	if status == quarantine.Quarantined && !s.StartTrial(ctx, id) { ... } // refuse the request
@@ -59,7 +59,7 @@
 	// Store is the platform's key-value store. All keys begin with Prefix.
 	Store  store.Store
 	Prefix string
-	// NotifyService notifies the daemons that have backend servers of the service, without waiting for them. Spread
+	// NotifyService notifies the daemons that have backend servers of the service, without waiting for them. Gossip
 	// notifies a few daemons, each of which notifies a few more.
 	NotifyService func(service string, records []quarantine.Record)
 	Gossip        func(records []quarantine.Record)
--- a/internal/quarantinesync/quarantinesync_test.go
+++ b/internal/quarantinesync/quarantinesync_test.go
@@ -36,7 +36,7 @@
 	kv          store.Store
 	syncers     []*quarantinesync.Syncer
 	partitioned atomic.Bool // syncers cannot notify each other
-	skipWatch   bool        // syncers that are added do not watch the store
+	nonWatching bool        // syncers that are added do not watch the store
 	mu          sync.Mutex
 	log         bytes.Buffer
 }
@@ -71,7 +71,7 @@
 
 // add starts another syncer.
 func (g *group) add() *quarantinesync.Syncer {
-	number, skipWatch := len(g.syncers), g.skipWatch
+	number, nonWatching := len(g.syncers), g.nonWatching
 	syncer := quarantinesync.New(quarantinesync.Config{
 		Host: fmt.Sprintf("host-%d", number), Store: g.kv, Prefix: prefix,
 		NotifyService: func(_ string, records []quarantine.Record) {
@@ -82,7 +82,7 @@
 			}
 		},
 		Gossip:  func([]quarantine.Record) {},
-		Watches: func() bool { return !skipWatch },
+		Watches: func() bool { return !nonWatching },
 		Logger:  slog.New(slog.NewTextHandler(g, nil)), Scope: tally.NoopScope,
 		OnError: func(error) {}, OnAnswer: func() {},
 	})
@@ -265,14 +265,14 @@
 	g.partitioned.Store(true)
 	g.endEach("guilty", quarantine.Limit)
 	g.awaitAll(quarantine.Quarantined)
-	g.skipWatch = true
-	unwatched := g.add()
-	if unwatched.Sum() == g.syncers[0].Sum() {
+	g.nonWatching = true
+	nonWatching := g.add()
+	if nonWatching.Sum() == g.syncers[0].Sum() {
 		t.Fatal("the sums are equal before the merge")
 	}
-	unwatched.Merge(g.syncers[0].Quarantines())
+	nonWatching.Merge(g.syncers[0].Quarantines())
 	g.awaitAll(quarantine.Quarantined)
-	if unwatched.Sum() != g.syncers[0].Sum() {
+	if nonWatching.Sum() != g.syncers[0].Sum() {
 		t.Fatal("the sums differ after the merge")
 	}
 }
--- a/internal/quarantinesync/task.go
+++ b/internal/quarantinesync/task.go
@@ -38,8 +38,8 @@
 
 // run handles messages until ctx ends. The changes of all queued messages are sent and written together.
 func (t *task) run(ctx context.Context) {
-	pruneTicker := time.NewTicker(pruneInterval)
-	defer pruneTicker.Stop()
+	prune := time.NewTicker(pruneInterval)
+	defer prune.Stop()
 	defer t.timer.Stop()
 	for {
 		select {
@@ -47,7 +47,7 @@
 			t.handle(time.Now(), message)
 			t.handleQueued()
 		case <-t.timer.C:
-		case <-pruneTicker.C:
+		case <-prune.C:
 			t.prune(ctx, time.Now())
 		case <-ctx.Done():
 			return
--- a/internal/quarantinesync/trial.go
+++ b/internal/quarantinesync/trial.go
@@ -42,7 +42,7 @@
 // claim writes the record if the store has the request in quarantine and its trial is not claimed. It reports whether
 // the claim was written.
 func (s *Syncer) claim(ctx context.Context, record quarantine.Record) bool {
-	item, err := s.config.Store.Get(ctx, s.key(record))
+	item, err := s.config.Store.Get(ctx, s.recordKey(record))
 	if err != nil {
 		s.logTrialFailed(record, err)
 		return false
--- a/internal/quarantinesync/write.go
+++ b/internal/quarantinesync/write.go
@@ -22,9 +22,9 @@
 // quarantinedPrefix returns the key prefix of records that are or were quarantined.
 func (s *Syncer) quarantinedPrefix() string { return s.config.Prefix + "/held/" }
 
-// key returns the key of a record. Records that were never quarantined have a separate prefix that no daemon
+// recordKey returns the key of a record. Records that were never quarantined have a separate prefix that no daemon
 // follows; a daemon reads such a record when it writes another end of the request.
-func (s *Syncer) key(r quarantine.Record) string {
+func (s *Syncer) recordKey(r quarantine.Record) string {
 	if r.WasQuarantined() {
 		return s.quarantinedPrefix() + r.ID
 	}
@@ -93,7 +93,7 @@
 		if record.Same(stored) {
 			return record, nil
 		}
-		if s.key(record) != put.Key {
+		if s.recordKey(record) != put.Key {
 			revision = 0 // the merged record is quarantined, which has another key
 		}
 	}
@@ -115,7 +115,7 @@
 	if err != nil {
 		return store.Put{}, errors.Wrap(err, "encode record")
 	}
-	put := store.Put{Key: s.key(record), Data: data}
+	put := store.Put{Key: s.recordKey(record), Data: data}
 	if record.WasQuarantined() {
 		return put, nil
 	}
@@ -142,7 +142,7 @@
 		if !record.EverQuarantined || !s.config.Watches() {
 			continue
 		}
-		key := s.key(record)
+		key := s.recordKey(record)
 		item, err := s.config.Store.Get(ctx, key)
 		if err != nil {
 			s.config.OnError(err)
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -14,11 +14,11 @@
 //
 // # Usage
 //
-//	r := record.New(record.Config{Host: name, Store: kv, Prefix: prefix, Health: health, Self: self, Learn: learn, Unused: unused})
+//	r := record.New(record.Config{Host: name, Store: kv, Prefix: prefix, Health: health, Self: self, OnHosts: onHosts, OnShareUnused: onShareUnused})
 //	lease := r.Write(ctx)
 //	r.ReadAll(ctx)
 //	go r.CountHosts(ctx, reapply)
-//	r.Keep(ctx, lease) // until ctx ends
+//	r.KeepAlive(ctx, lease) // until ctx ends
 package record
 
 import (
@@ -167,7 +167,7 @@
 	return nil
 }
 
-// ReadAll reads the records of all hosts and passes them to Config.Learn. It retries until the store answers or ctx
+// ReadAll reads the records of all hosts and passes them to Config.OnHosts. It retries until the store answers or ctx
 // ends.
 func (r *Record) ReadAll(ctx context.Context) {
 	var batch store.Batch
--- a/internal/record/share.go
+++ b/internal/record/share.go
@@ -28,7 +28,7 @@
 
 // CountHosts reads the records again countDelay after the start. They then include the hosts that started at the same
 // time, even if these cannot reach each other, so the shares do not add up to more than the whole. It calls changed
-// whenever the result of HostsCounted may have changed, until ctx ends.
+// whenever the result of ShareUsable may have changed, until ctx ends.
 func (r *Record) CountHosts(ctx context.Context, changed func()) {
 	if !wait.For(ctx, countDelay) {
 		return
@@ -52,7 +52,7 @@
 }
 
 // ClaimFirstStart finds out whether this is the first start of a declared host in the first start of its fleet, and
-// calls Config.Unused if it is, so that the host uses its share immediately. A hedge needs a retry, and in the first
+// calls Config.OnShareUnused if it is, so that the host uses its share immediately. A hedge needs a retry, and in the first
 // seconds no request has earned one. The store keeps a key for each host that ever started, so a later start with the
 // same settings waits for a retry window.
 func (r *Record) ClaimFirstStart(ctx context.Context) {
