--- a/internal/quarantine/plays_test.go
+++ b/internal/quarantine/plays_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestAFleetKeepsAGuiltyRequestAway guards against a crashing request that is sent after every daemon should have
+// TestFleetQuarantinesGuiltyRequest guards against a crashing request that is sent after every daemon should have
 // quarantined it, under network partitions, restarts, a store outage and unrelated ends of backend servers.
-func TestAFleetKeepsAGuiltyRequestAway(t *testing.T) {
+func TestFleetQuarantinesGuiltyRequest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := scenario{
 			design:           completeDesign,
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// TestATrialIsOnceAndNotAtOnce guards against a trial that starts immediately after the last end, or twice.
-func TestATrialIsOnceAndNotAtOnce(t *testing.T) {
+// TestTrialRunsOnceAfterDelay guards against a trial that starts immediately after the last end, or twice.
+func TestTrialRunsOnceAfterDelay(t *testing.T) {
 	table := quarantine.New()
 	last := end(table, "a", quarantine.Limit)
 	if _, ok := table.ProposeTrial(last, "a", "host-1"); ok || table.View().TrialDue(last, "a") {
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -60,10 +60,10 @@
 }
 
 // newRecord returns a record without ends, in the first epoch.
-func newRecord(s Request) Record {
+func newRecord(request Request) Record {
 	return Record{
-		ID: s.ID, HeadHash: s.HeadHash, Service: s.Service,
-		Method: truncate(s.Method), Host: truncate(s.Host), Path: truncate(s.Path),
+		ID: request.ID, HeadHash: request.HeadHash, Service: request.Service,
+		Method: truncate(request.Method), Host: truncate(request.Host), Path: truncate(request.Path),
 	}
 }
 
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -17,15 +17,15 @@
 
 // RecordEnd records that a backend server ended while running the request. It returns the changed record, which the
 // caller distributes, or false if the end is already known.
-func (t *Table) RecordEnd(now time.Time, s Request, end End) (Record, bool) {
-	known, ok := t.records[s.ID]
+func (t *Table) RecordEnd(now time.Time, request Request, end End) (Record, bool) {
+	known, ok := t.records[request.ID]
 	if !ok {
-		known = newRecord(s)
+		known = newRecord(request)
 	}
-	seen := known
-	seen.Ends = []End{end}
-	seen.Changed = now.UnixMilli()
-	return t.put(Merge(known, seen))
+	update := known
+	update.Ends = []End{end}
+	update.Changed = now.UnixMilli()
+	return t.put(Merge(known, update))
 }
 
 // RecordAnswer records that a backend server answered the request, which clears it. It returns the changed record,
--- a/internal/quarantinesync/quarantinesync_test.go
+++ b/internal/quarantinesync/quarantinesync_test.go
@@ -209,9 +209,9 @@
 	}
 }
 
-// TestNobodyTriesWithoutTheStore guards against a trial while the store is unavailable, and against one that is
+// TestNoTrialWithoutStore guards against a trial while the store is unavailable, and against one that is
 // omitted without a log line.
-func TestNobodyTriesWithoutTheStore(t *testing.T) {
+func TestNoTrialWithoutStore(t *testing.T) {
 	g := newGroup(t, 2)
 	g.endEach("guilty", quarantine.Limit)
 	g.awaitAll(quarantine.Quarantined)
--- a/internal/record/keep_test.go
+++ b/internal/record/keep_test.go
@@ -21,24 +21,24 @@
 		startedAt := time.Now()
 		unavailable := func() bool { since := time.Since(startedAt); return since > 15*time.Second && since < time.Minute }
 		var lease store.Lease
-		var renewed time.Time
+		var renewedAt time.Time
 		kv := store.Store{
 			Grant: func(context.Context, time.Duration) (store.Lease, error) {
 				if unavailable() {
 					return store.NoLease, errors.New("unavailable")
 				}
 				lease++
-				renewed = time.Now()
+				renewedAt = time.Now()
 				return lease, nil
 			},
 			Renew: func(_ context.Context, id store.Lease) error {
 				switch {
 				case unavailable():
 					return errors.New("unavailable")
-				case id != lease || time.Since(renewed) > leaseTTL:
+				case id != lease || time.Since(renewedAt) > leaseTTL:
 					return store.ErrNoLease
 				}
-				renewed = time.Now()
+				renewedAt = time.Now()
 				return nil
 			},
 			Commit: func(_ context.Context, change store.Change) (int64, error) {
@@ -66,8 +66,8 @@
 			}
 		})
 		r.KeepAlive(ctx, first)
-		if lease != first+1 || time.Since(renewed) > renewInterval || !r.ShareUsable() {
-			t.Fatalf("lease %d, renewed %s ago; the share may be used: %t", lease, time.Since(renewed), r.ShareUsable())
+		if lease != first+1 || time.Since(renewedAt) > renewInterval || !r.ShareUsable() {
+			t.Fatalf("lease %d, renewed %s ago; the share may be used: %t", lease, time.Since(renewedAt), r.ShareUsable())
 		}
 	})
 }
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -9,9 +9,9 @@
 	"github.com/tideliftd/tidelift/internal/store"
 )
 
-// TestARecordIsTakenWhole guards against fields of a host's record that are lost when it is read from the store. They
+// TestRecordIsDecodedCompletely guards against fields of a host's record that are lost when it is read from the store. They
 // would stay lost, since the host's own updates have the same version.
-func TestARecordIsTakenWhole(t *testing.T) {
+func TestRecordIsDecodedCompletely(t *testing.T) {
 	want := member.Host{
 		Name: "csepel-1", DataCentre: "csepel", Start: "s", Incarnation: 2, Version: 5,
 		Servers: []member.Server{{Name: "i-1", Service: "lookup", Address: "127.0.0.1:1", Slots: 4}},
--- a/internal/record/share.go
+++ b/internal/record/share.go
@@ -52,9 +52,9 @@
 }
 
 // ClaimFirstStart finds out whether this is the first start of a declared host in the first start of its fleet, and
-// calls Config.OnShareUnused if it is, so that the host uses its share immediately. A hedge needs a retry, and in the first
-// seconds no request has earned one. The store keeps a key for each host that ever started, so a later start with the
-// same settings waits for a retry window.
+// calls Config.OnShareUnused if it is, so that the host uses its share immediately. A hedge needs a retry, and in the
+// first seconds no request has earned one. The store keeps a key for each host that ever started, so a later start with
+// the same settings waits for a retry window.
 func (r *Record) ClaimFirstStart(ctx context.Context) {
 	if !r.config.FirstStart {
 		return
