--- a/internal/quarantine/fuzz_test.go
+++ b/internal/quarantine/fuzz_test.go
@@ -8,8 +8,8 @@
 	"github.com/tideliftd/tidelift/internal/quarantine"
 )
 
-// FuzzRecord takes records of any bytes, as another daemon or the store may tell them: whatever they say, an answer or
-// an operator's word clears a request, and lookups hold.
+// FuzzRecord guards against records of arbitrary content, from another daemon or the store, that make lookups panic
+// or that an operator cannot clear.
 func FuzzRecord(f *testing.F) {
 	table := quarantine.New()
 	end(table, "a", quarantine.Limit)
@@ -21,23 +21,23 @@
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		var told quarantine.Record
-		if json.Unmarshal(data, &told) != nil || told.ID == "" {
+		var received quarantine.Record
+		if json.Unmarshal(data, &received) != nil || received.ID == "" {
 			return
 		}
 		table := quarantine.New()
-		end(table, told.ID, quarantine.Limit)
-		table.Merge([]quarantine.Record{told, told})
+		end(table, received.ID, quarantine.Limit)
+		table.Merge([]quarantine.Record{received, received})
 		view := table.View()
 		_ = view.Sum()
-		_ = view.TrialDue(start, told.ID)
-		if view.Status(told.ID) != quarantine.Clear {
-			if _, ok := table.Lift(start, told.ID); !ok {
-				t.Fatal("an operator cannot lift it")
+		_ = view.TrialDue(start, received.ID)
+		if view.Status(received.ID) != quarantine.Clear {
+			if _, ok := table.Lift(start, received.ID); !ok {
+				t.Fatal("an operator cannot clear the request")
 			}
 		}
-		if got := table.View().Status(told.ID); got != quarantine.Clear {
-			t.Fatalf("it is %s", got)
+		if got := table.View().Status(received.ID); got != quarantine.Clear {
+			t.Fatalf("status after the lift is %s", got)
 		}
 		table.Prune(start.Add(time.Hour))
 	})
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -7,40 +7,40 @@
 	"time"
 )
 
-// Table is what one daemon knows of requests.
+// Table holds the records of one daemon. It is not safe for concurrent use.
 type Table struct {
 	records map[string]Record
 }
 
-// New returns a table without records.
+// New returns an empty table.
 func New() *Table { return &Table{records: make(map[string]Record)} }
 
-// RecordEnd records that a backend server ended while it ran the request. It returns the record to tell others,
-// or false if that is known.
-func (t *Table) RecordEnd(now time.Time, s Request, end End) (Record, bool) {
-	known, ok := t.records[s.ID]
+// RecordEnd records that a backend server ended while running the request. It returns the changed record, which the
+// caller distributes, or false if the end is already known.
+func (t *Table) RecordEnd(now time.Time, request Request, end End) (Record, bool) {
+	known, ok := t.records[request.ID]
 	if !ok {
-		known = newRecord(s)
+		known = newRecord(request)
 	}
-	seen := known
-	seen.Ends = []End{end}
-	seen.Changed = now.UnixMilli()
-	return t.put(Merge(known, seen))
+	update := known
+	update.Ends = []End{end}
+	update.Changed = now.UnixMilli()
+	return t.put(Merge(known, update))
 }
 
-// RecordAnswer records that a backend server answered the request. It returns the record to tell others, or
-// false if nothing was held against it.
+// RecordAnswer records that a backend server answered the request, which clears it. It returns the changed record,
+// which the caller distributes, or false if the request was not suspected.
 func (t *Table) RecordAnswer(now time.Time, id string) (Record, bool) {
 	return t.clear(now, id, ClearedByAnswer)
 }
 
-// Lift records that an operator lets the request run. It returns the record to tell others, or false if
-// nothing is held against it.
+// Lift records that an operator cleared the request. It returns the changed record, which the caller
+// distributes, or false if the request was not suspected.
 func (t *Table) Lift(now time.Time, id string) (Record, bool) {
 	return t.clear(now, id, ClearedByOperator)
 }
 
-// clear begins a new epoch of a request that is suspected.
+// clear starts a new epoch of a suspected request.
 func (t *Table) clear(now time.Time, id string, by ClearedBy) (Record, bool) {
 	r, ok := t.records[id]
 	if !ok || !r.Suspected() {
@@ -54,8 +54,9 @@
 	return t.put(r)
 }
 
-// ProposeTrial reports whether the host may send a request in quarantine once more, as far as is known here, and
-// returns the record that says so, which it must first have made known as the only one.
+// ProposeTrial reports whether the host may claim the trial of a quarantined request, judging by local state, and
+// returns the record that claims it. The table is unchanged: before it sends the request, the host must commit the
+// record as the only claim.
 func (t *Table) ProposeTrial(now time.Time, id, host string) (Record, bool) {
 	r, ok := t.records[id]
 	if !ok || !r.TrialDue(now) {
@@ -66,23 +67,23 @@
 	return r, true
 }
 
-// Merge merges records of other daemons or of the store, and returns those that have changed.
+// Merge merges records of other daemons or of the store into the table, and returns the changed records.
 func (t *Table) Merge(records []Record) []Record {
 	var updates []Record
 	for _, r := range records {
 		if known, ok := t.records[r.ID]; ok {
 			r = Merge(known, r)
 		}
-		if changed, ok := t.put(r); ok {
-			updates = append(updates, changed)
+		if merged, ok := t.put(r); ok {
+			updates = append(updates, merged)
 		}
 	}
 	return updates
 }
 
-// put stores the record and reports whether it differs from the one before.
+// put stores the record and reports whether it differs from the previous one.
 func (t *Table) put(r Record) (Record, bool) {
-	r = r.settled()
+	r = r.normalized()
 	if known, ok := t.records[r.ID]; ok && known.Same(r) {
 		return Record{}, false
 	}
@@ -96,39 +97,37 @@
 	return r, ok
 }
 
-// Prune drops the records that are no longer needed, which it returns as lapsed, and those beyond the most that
-// are kept, which it returns as dropped.
-func (t *Table) Prune(now time.Time) (lapsed, dropped []Record) {
+// Prune removes and returns the expired records, and then those evicted because the table exceeds its limit.
+func (t *Table) Prune(now time.Time) (expired, evicted []Record) {
 	for _, r := range t.records {
-		if r.lapsed(now) {
-			lapsed = append(lapsed, r)
+		if r.expired(now) {
+			expired = append(expired, r)
 			delete(t.records, r.ID)
 		}
 	}
-	dropped = t.tooMany()
-	for _, r := range dropped {
+	evicted = t.evictable()
+	for _, r := range evicted {
 		delete(t.records, r.ID)
 	}
-	return lapsed, dropped
+	return expired, evicted
 }
 
-// lapsed reports whether the record is no longer needed.
-func (r Record) lapsed(now time.Time) bool {
-	unchanged := now.Sub(time.UnixMilli(r.Changed))
+// expired reports whether the record was not changed for longer than it is kept.
+func (r Record) expired(now time.Time) bool {
+	sinceChange := now.Sub(time.UnixMilli(r.Changed))
 	switch {
 	case r.Quarantined():
 		return false
 	case r.EverQuarantined:
-		return unchanged > ClearedTTL
+		return sinceChange > ClearedTTL
 	default:
-		return unchanged > SuspectTTL
+		return sinceChange > SuspectTTL
 	}
 }
 
-// tooMany returns the records beyond the most that are kept: those that are no quarantine go first, and of
-// these the oldest.
-func (t *Table) tooMany() []Record {
-	if len(t.records) <= most {
+// evictable returns the records to evict: those that are not quarantined first, and the oldest first among these.
+func (t *Table) evictable() []Record {
+	if len(t.records) <= maxRecords {
 		return nil
 	}
 	all := t.Records()
@@ -141,10 +140,10 @@
 		}
 		return cmp.Compare(a.Changed, b.Changed)
 	})
-	return all[:len(all)-most]
+	return all[:len(all)-maxRecords]
 }
 
-// Records returns all records, in the order of their ids.
+// Records returns all records, sorted by ID.
 func (t *Table) Records() []Record {
 	return slices.SortedFunc(maps.Values(t.records), func(a, b Record) int { return cmp.Compare(a.ID, b.ID) })
 }
--- a/internal/quarantinesync/quarantinesync.go
+++ b/internal/quarantinesync/quarantinesync.go
@@ -1,34 +1,34 @@
-// Package quarantinesync keeps a daemon's quarantine of requests in step with the fleet's.
+// Package quarantinesync synchronizes a daemon's quarantine with the rest of the fleet.
 //
-// What a daemon's own backend servers show is sent at once to the daemons that keep others of the
-// service, and written to the store, where records of daemons that cannot reach each other come
-// together. A quarantine is sent to all daemons, since a route may lead to another service later: those
-// that watch the store follow it there, and each tells a few others. A request waits for no call: a
-// lookup costs a hash of the request's head, and nothing at all while nothing is held against any.
+// Changes that a daemon's own backend servers cause are sent immediately to the daemons with other backend servers of
+// the service, and written to the store, where records of daemons that cannot reach each other are merged. A
+// quarantine is distributed to all daemons, since a route may later lead to another service: daemons that watch the
+// store receive it there, and each notifies a few others. Requests do not wait for calls: a lookup costs a hash of
+// everything but the body, and nothing while no request is suspected or quarantined.
 //
-// A Syncer owns the daemon's quarantine.Table and relies on the store and on the daemon's calls to
-// others (Config.Tell, Config.Spread).
+// A Syncer owns the daemon's quarantine.Table. It uses the store and the daemon's calls to other daemons
+// (Config.NotifyService, Config.Gossip).
 //
 // # Usage
 //
-//	s := quarantinesync.New(quarantinesync.Config{Host: "csepel-1", Store: kv, Prefix: "tidelift/quarantine", Tell: tell, ...})
+//	s := quarantinesync.New(quarantinesync.Config{Host: "csepel-1", Store: kv, Prefix: "tidelift/quarantine", NotifyService: notify, ...})
 //	go s.Run(ctx)
 //	status, id := s.Status(request)
-//	if status == quarantine.Quarantined && !s.StartTrial(ctx, id) { ... } // refuse it
-//	s.RecordEnd(request, "lookup", end) // its backend server ended while it ran it
+//	if status == quarantine.Quarantined && !s.StartTrial(ctx, id) { ... } // refuse the request
+//	s.RecordEnd(request, "lookup", end) // its backend server ended while running it
 //	s.RecordAnswer(request)             // or answered it
-//	s.Merge(records)                    // of another daemon
+//	s.Merge(records)                    // from another daemon
 //
-// One task owns the table and handles messages (task.go, messages.go). The store is followed in
-// follow.go; when a record is written is in schedule.go, how in write.go and lease.go; who may
-// send a request in quarantine once more in trial.go; an operator's lifting in lift.go. A Syncer
-// is safe for concurrent use.
+// A single goroutine owns the table and handles messages (task.go, messages.go). follow.go follows the store;
+// schedule.go decides when a record is written, write.go and lease.go how; trial.go claims the trial of a
+// quarantined request; lift.go clears a request on behalf of an operator. A Syncer is safe for concurrent use.
 //
 // # Cost
 //
-// An end of a backend server costs a call to each daemon of its service, and one write, or three
-// where the request is known in the store; a first one nothing, if the request is answered soon. A
-// quarantine costs six calls a daemon. In quiet times those that watch the store wait for it.
+// An end of a backend server costs a call to each daemon of its service and one write, or three store calls if the
+// store already has a record of the request. A first end costs no write if the request is answered soon. A quarantine
+// costs six calls per daemon. While no request is suspected or quarantined, the only calls are those of the daemons
+// that watch the store.
 package quarantinesync
 
 import (
@@ -46,40 +46,40 @@
 )
 
 const (
-	// forgetEvery is how often old records are dropped. Not measured: they are kept for minutes.
-	forgetEvery = 10 * time.Second
-	// messagesWaiting is how many messages may wait for the task. Not measured: an end of a backend server
-	// sends one for each request that ran there; a sender waits when there are more.
-	messagesWaiting = 256
+	// pruneInterval is the interval at which expired records are removed.
+	pruneInterval = 10 * time.Second
+	// messageQueueSize is the capacity of the message queue; senders block while it is full. An end of a backend
+	// server sends one message for each request that was running there.
+	messageQueueSize = 256
 )
 
-// Config says whose quarantine it is.
+// Config configures a Syncer.
 type Config struct {
-	// Host is the daemon's name.
+	// Host is the name of the daemon's host.
 	Host string
-	// Store is the platform's, in which keys begin with Prefix.
+	// Store is the platform's key-value store. All keys begin with Prefix.
 	Store  store.Store
 	Prefix string
-	// NotifyService tells the daemons that keep backend servers of the service, without waiting for them. Spread
-	// tells a few others, each of which tells a few in turn.
+	// NotifyService notifies the daemons that have backend servers of the service, without waiting for them. Gossip
+	// notifies a few daemons, each of which notifies a few more.
 	NotifyService func(service string, records []quarantine.Record)
 	Gossip        func(records []quarantine.Record)
-	// Watches reports whether this daemon is one that watches the store.
+	// Watches reports whether this daemon watches the store.
 	Watches func() bool
 	// Logger receives numbered events.
 	Logger *slog.Logger
 	// Scope receives the metrics.
 	Scope tally.Scope
-	// OnError is told of each call that the store did not answer, OnAnswer of each that it did.
+	// OnError is called for each store call that fails, and OnAnswer for each that is answered.
 	OnError  func(error)
 	OnAnswer func()
 }
 
-// Syncer keeps the quarantine.
+// Syncer synchronizes the quarantine of a daemon.
 type Syncer struct {
 	config   Config
 	messages chan any
-	ended    chan struct{}
+	stopped  chan struct{}
 	view     atomic.Pointer[quarantine.View]
 	lease    lease
 	metrics  metrics
@@ -90,12 +90,12 @@
 	trials, failedWrites   tally.Counter
 }
 
-// New returns a syncer that knows nothing yet.
+// New returns a Syncer without records. It does nothing until Run is called.
 func New(config Config) *Syncer {
 	s := &Syncer{
 		config:   config,
-		messages: make(chan any, messagesWaiting),
-		ended:    make(chan struct{}),
+		messages: make(chan any, messageQueueSize),
+		stopped:  make(chan struct{}),
 		metrics: metrics{
 			suspected:    config.Scope.Gauge("quarantine_suspected"),
 			quarantined:  config.Scope.Gauge("quarantine_quarantined"),
@@ -107,17 +107,17 @@
 	return s
 }
 
-// Run keeps the quarantine until ctx ends.
+// Run synchronizes the quarantine until ctx ends.
 func (s *Syncer) Run(ctx context.Context) {
-	defer close(s.ended)
+	defer close(s.stopped)
 	go s.follow(ctx)
 	newTask(s).run(ctx)
 }
 
-// Empty reports whether nothing is held against any request.
+// Empty reports whether no request is suspected or quarantined.
 func (s *Syncer) Empty() bool { return s.view.Load().Empty() }
 
-// Status returns the status of the request and, unless that is quarantine.Clear, its id.
+// Status returns the status of the request and, unless that is quarantine.Clear, its digest.
 func (s *Syncer) Status(r fingerprint.Request) (quarantine.Status, string) {
 	view := s.view.Load()
 	if view.Empty() || !view.MayContain(r.HeadHash()) {
@@ -125,78 +125,78 @@
 	}
 	id, err := r.Digest()
 	if err != nil {
-		return quarantine.Clear, "" // a body that cannot be read cannot be sent
+		return quarantine.Clear, "" // a request whose body cannot be read is not sent
 	}
 	return view.Status(id), id
 }
 
-// RecordEnd records that a backend server of the service ended while it ran the request. When it
-// returns, this daemon's lookups know it.
+// RecordEnd records that a backend server of the service ended while running the request. When it returns, lookups
+// on this daemon reflect the end.
 func (s *Syncer) RecordEnd(r fingerprint.Request, service string, end quarantine.End) {
 	id, err := r.Digest()
 	if err != nil {
-		return // its caller has gone away in the middle of the body
+		return // the client disconnected while sending the body
 	}
-	known := make(chan struct{})
+	applied := make(chan struct{})
 	s.send(context.Background(), endedMessage{
-		sighting: quarantine.Request{ID: id, HeadHash: r.HeadHash(), Service: service, Method: r.Method, Host: r.Host, Path: r.Path},
-		end:      end,
-		known:    known,
+		request: quarantine.Request{ID: id, HeadHash: r.HeadHash(), Service: service, Method: r.Method, Host: r.Host, Path: r.Path},
+		end:     end,
+		applied: applied,
 	})
 	select {
-	case <-known:
-	case <-s.ended:
+	case <-applied:
+	case <-s.stopped:
 	}
 }
 
-// RecordAnswer records that a backend server answered the request.
+// RecordAnswer records that a backend server answered the request, which clears it.
 func (s *Syncer) RecordAnswer(r fingerprint.Request) {
 	if status, id := s.Status(r); status != quarantine.Clear {
 		s.send(context.Background(), answeredMessage{id: id})
 	}
 }
 
-// Merge merges records of another daemon.
+// Merge merges records from another daemon.
 func (s *Syncer) Merge(records []quarantine.Record) {
 	s.send(context.Background(), mergeMessage{records: records})
 }
 
-// Sum returns a hash of what is known of quarantines, by which two daemons find whether they know the same.
+// Sum returns a hash of the records that Quarantines returns, by which two daemons detect whether these differ.
 func (s *Syncer) Sum() uint64 { return s.view.Load().Sum() }
 
-// Quarantines returns what is known of quarantines, also of those that have ended.
+// Quarantines returns the records of requests that are or were quarantined.
 func (s *Syncer) Quarantines() []quarantine.Record { return s.view.Load().Quarantines() }
 
-// Records returns all records.
+// Records returns all records, or nil if Run has ended.
 func (s *Syncer) Records() []quarantine.Record {
 	reply := make(chan []quarantine.Record, 1)
 	s.send(context.Background(), recordsMessage{reply: reply})
 	select {
 	case records := <-reply:
 		return records
-	case <-s.ended:
+	case <-s.stopped:
 		return nil
 	}
 }
 
-// ask sends the task a message and returns its answer.
-func (s *Syncer) ask(ctx context.Context, message any, reply chan answer) (answer, error) {
+// request sends a message to the task and waits for the reply.
+func (s *Syncer) request(ctx context.Context, message any, reply chan taskReply) (taskReply, error) {
 	s.send(ctx, message)
 	select {
 	case a := <-reply:
 		return a, nil
 	case <-ctx.Done():
-		return answer{}, result.Wrap(result.PlatformDown, ctx.Err())
-	case <-s.ended:
-		return answer{}, result.New(result.Stopping)
+		return taskReply{}, result.Wrap(result.PlatformDown, ctx.Err())
+	case <-s.stopped:
+		return taskReply{}, result.New(result.Stopping)
 	}
 }
 
-// send sends the task a message, unless it has ended.
+// send sends a message to the task, unless Run or ctx has ended.
 func (s *Syncer) send(ctx context.Context, message any) {
 	select {
 	case s.messages <- message:
 	case <-ctx.Done():
-	case <-s.ended:
+	case <-s.stopped:
 	}
 }
