--- a/internal/daemon/build.go
+++ b/internal/daemon/build.go
@@ -198,7 +198,7 @@
 		Off:         d.config.Settings.Experiments.Off,
 		Logger:      d.config.Logger,
 		Scope:       d.metrics.Scope,
-		Answered:    func(good bool) { d.ingress.ServerAnswered(good) },
+		OnAnswer:    func(good bool) { d.ingress.ServerAnswered(good) },
 		Peer:        d.sidecarPeer(),
 		Runs:        d.runs,
 		Retries:     d.budgets,
--- a/internal/daemon/calls.go
+++ b/internal/daemon/calls.go
@@ -72,7 +72,7 @@
 	if err := control.Decode(params, &ask); err != nil {
 		return nil, err
 	}
-	return d.sidecar.Ask(ask.Name, ask.Request)
+	return d.sidecar.GrantLease(ask.Name, ask.Request)
 }
 
 func (d *daemon) callRelease(_ context.Context, params json.RawMessage) (any, error) {
