--- a/internal/ingress/admit.go
+++ b/internal/ingress/admit.go
@@ -139,7 +139,7 @@
 // putSubrequestFirst gives a request that a backend server sent while it runs another the first
 // place in queues, and all of its time to wait there.
 func (in *Ingress) putSubrequestFirst(r *request) {
-	if in.disabled.subrequests || !r.mayBeSubrequest || !in.subrequest.Is(r.route) {
+	if in.disabled.subrequests || !r.mayBeSubrequest || !in.subrequest.IsSubrequest(r.route) {
 		return
 	}
 	r.terms.Subrequest = true
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -187,7 +187,7 @@
 			seconds:  config.Scope.Histogram("ingress_seconds", tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 15)),
 		},
 	}
-	in.subrequest = subrequest.New(subrequest.Config{Changed: in.logSubrequest})
+	in.subrequest = subrequest.New(subrequest.Config{OnChange: in.logSubrequest})
 	in.reach = &reach{in: in, away: make(map[string]bool)}
 	ended, cancel := context.WithCancel(context.Background())
 	in.ended = ended
--- a/internal/ingress/subrequest.go
+++ b/internal/ingress/subrequest.go
@@ -71,7 +71,7 @@
 func (in *Ingress) MergeSubrequestEvidence(told []subrequest.Evidence) []route.Name {
 	var known []route.Name
 	for _, e := range told {
-		if in.subrequest.Hear(e) {
+		if in.subrequest.AddRemoteEvidence(e) {
 			known = append(known, e.Route)
 		}
 	}
@@ -82,7 +82,7 @@
 // the routes.
 func (in *Ingress) MarkSubrequestRoutes(routes []route.Name) {
 	for _, name := range routes {
-		in.subrequest.Learn(name)
+		in.subrequest.MarkCalled(name)
 	}
 }
 
