--- a/internal/daemon/build.go
+++ b/internal/daemon/build.go
@@ -91,7 +91,7 @@
 		Plan:     func() *gossip.Plan { return d.declarations.Plan() },
 		Services: func() ([]fleet.Service, bool) { return d.declarations.Services() },
 		Reapply:  func() { d.declarations.Reapply() },
-		Ask:      func(ctx context.Context, address string) bool { return d.declarations.Ask(ctx, address) },
+		Ask:      func(ctx context.Context, address string) bool { return d.declarations.Sync(ctx, address) },
 	})
 }
 
@@ -133,7 +133,7 @@
 		Logger:      d.config.Logger,
 		Health:      d.health,
 		Peers:       d.peers,
-		Away:        d.isAway,
+		Unreachable: d.isAway,
 		Members:     d.members,
 		Quarantines: d.quarantines,
 		Source:      d.source(),
--- a/internal/declaration/poll.go
+++ b/internal/declaration/poll.go
@@ -47,7 +47,7 @@
 	}
 	host, ok := plan.Poll()
 	for range maxDraws {
-		if !ok || !f.config.Away(host.Name) {
+		if !ok || !f.config.Unreachable(host.Name) {
 			break
 		}
 		host, ok = plan.Poll()
