--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -175,5 +175,5 @@
 			})
 		}
 	}
-	return declared.With(hosts, servers)
+	return declared.WithRegistered(hosts, servers)
 }
