--- a/internal/storehealth/storehealth.go
+++ b/internal/storehealth/storehealth.go
@@ -141,7 +141,7 @@
 // Retry is UntilAnswered for a call whose answer may yet mean that another has to follow: only
 // failures are recorded.
 func (h *Health) Retry(ctx context.Context, call func() error) bool {
-	pause := store.NewPause()
+	pause := store.NewBackoff()
 	for ctx.Err() == nil {
 		err := call()
 		if err == nil {
