--- a/internal/daemon/build.go
+++ b/internal/daemon/build.go
@@ -104,8 +104,8 @@
 	d.ledger = revision.New(revision.Config{
 		Store:    d.config.Store,
 		Prefix:   d.config.Settings.Platform.Prefix,
-		OnError:  d.health.Failed,
-		OnAnswer: d.health.Answered,
+		OnError:  d.health.RecordFailure,
+		OnAnswer: d.health.RecordSuccess,
 	})
 }
 
@@ -118,8 +118,8 @@
 		Index:    func() (*fleet.Index, bool) { return d.declarations.Index() },
 		Draining: func(draining bool) { d.sidecar.HostDraining(draining) },
 		Logger:   d.config.Logger,
-		OnError:  d.health.Failed,
-		OnAnswer: d.health.Answered,
+		OnError:  d.health.RecordFailure,
+		OnAnswer: d.health.RecordSuccess,
 	})
 }
 
--- a/internal/daemon/quarantine.go
+++ b/internal/daemon/quarantine.go
@@ -17,8 +17,8 @@
 		Watches:       d.watchesQuarantines,
 		Logger:        d.config.Logger,
 		Scope:         d.metrics.Scope,
-		OnError:       d.health.Failed,
-		OnAnswer:      d.health.Answered,
+		OnError:       d.health.RecordFailure,
+		OnAnswer:      d.health.RecordSuccess,
 	})
 }
 
--- a/internal/declaration/ask.go
+++ b/internal/declaration/ask.go
@@ -33,7 +33,7 @@
 	}
 	f.config.Members.Exchange(ctx, address, held)
 	f.recordQuarantines(held)
-	f.config.Health.Seen(time.Now().Add(-time.Duration(held.SilentMs) * time.Millisecond))
+	f.config.Health.RecordSeen(time.Now().Add(-time.Duration(held.SilentMs) * time.Millisecond))
 	if held.Revision.Number > above.Revision {
 		f.apply(revision.Revision(held.Revision))
 	}
--- a/internal/declaration/source.go
+++ b/internal/declaration/source.go
@@ -57,8 +57,8 @@
 		Number:   config.Stored.Number,
 		Hide:     config.Stored.Redact,
 		OnBad:    func(err error) { event.Log(config.Logger, event.DeclarationRefused, "error", err) },
-		OnError:  config.Health.Failed,
-		OnAnswer: config.Health.Answered,
+		OnError:  config.Health.RecordFailure,
+		OnAnswer: config.Health.RecordSuccess,
 	}
 	return Source{
 		Follow: func(ctx context.Context, above int64, apply func(revision.Revision)) {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -109,7 +109,7 @@
 	go m.tellUpdates(ctx)
 	lease := m.record.Write(ctx)
 	m.record.ReadAll(ctx)
-	m.config.Record.Health.Seen(time.Now())
+	m.config.Record.Health.RecordSeen(time.Now())
 	m.askSomeone(ctx)
 	close(m.joined)
 	m.tell("", []member.Host{m.known.self()})
--- a/internal/record/share.go
+++ b/internal/record/share.go
@@ -66,6 +66,6 @@
 	case err == nil:
 		r.config.OnShareUnused(firstStartUnusedFor)
 	case !errors.Is(err, store.ErrConflict):
-		r.config.Health.Failed(err) // without an answer, the host waits as after a later start
+		r.config.Health.RecordFailure(err) // without an answer, the host waits as after a later start
 	}
 }
