--- a/internal/daemon/build.go
+++ b/internal/daemon/build.go
@@ -91,7 +91,7 @@
 		Plan:     func() *gossip.Plan { return d.declarations.Plan() },
 		Services: func() ([]fleet.Service, bool) { return d.declarations.Services() },
 		Reapply:  func() { d.declarations.Reapply() },
-		Ask:      func(ctx context.Context, address string) bool { return d.declarations.Sync(ctx, address) },
+		Sync:     func(ctx context.Context, address string) bool { return d.declarations.Sync(ctx, address) },
 	})
 }
 
@@ -223,7 +223,7 @@
 		Runs:                 d.runs,
 		Retries:              d.budgets,
 		BorrowRetry:          d.lender.Borrow,
-		HostsCounted:         d.members.HostsCounted,
+		HostsCounted:         d.members.ShareUsable,
 		Local:                d.sidecar.Do,
 		LocalReservation:     d.sidecar.Reserve,
 		ShouldCompress:       d.isFar,
--- a/internal/daemon/calls.go
+++ b/internal/daemon/calls.go
@@ -18,7 +18,7 @@
 		control.MethodSubrequest: d.callSubrequest,
 		control.MethodHost:       d.hostList.HandleHost,
 		control.MethodNotice:     d.declarations.HandleNotice,
-		control.MethodTold:       d.members.HandleTold,
+		control.MethodTold:       d.members.HandleUpdates,
 		control.MethodRevision:   d.declarations.HandleRevision,
 		control.MethodQuarantine: d.callQuarantine,
 		control.MethodLend:       d.lender.HandleLend,
--- a/internal/membership/updates.go
+++ b/internal/membership/updates.go
@@ -112,8 +112,8 @@
 	m.config.Peers.Tell(to, control.MethodTold, told)
 }
 
-// HandleTold answers another daemon that tells of hosts, with what it does not know.
-func (m *Membership) HandleTold(_ context.Context, params json.RawMessage) (any, error) {
+// HandleUpdates answers another daemon that tells of hosts, with what it does not know.
+func (m *Membership) HandleUpdates(_ context.Context, params json.RawMessage) (any, error) {
 	var told control.Told
 	if err := control.Decode(params, &told); err != nil {
 		return nil, err
