--- a/internal/daemon/quarantine.go
+++ b/internal/daemon/quarantine.go
@@ -40,5 +40,5 @@
 	if plan == nil {
 		return // whoever is found later reads it in the store
 	}
-	d.peers.Tell(plan.Notify(), control.MethodQuarantine, control.Quarantine{Records: records})
+	d.peers.Tell(plan.NotifyTargets(), control.MethodQuarantine, control.Quarantine{Records: records})
 }
--- a/internal/membership/updates.go
+++ b/internal/membership/updates.go
@@ -105,9 +105,9 @@
 		return // whoever is found later is told all
 	}
 	told := control.Told{Host: m.config.Self.Name, Hosts: slices.Collect(maps.Values(batch.hosts))}
-	to := plan.Near()
+	to := plan.UpdateTargets()
 	if batch.own {
-		to = append(to, plan.OneOfEach()...)
+		to = append(to, plan.RemoteUpdateTargets()...)
 	}
 	m.config.Peers.Tell(to, control.MethodTold, told)
 }
