--- a/internal/membership/known.go
+++ b/internal/membership/known.go
@@ -40,14 +40,14 @@
 func (k *known) missing(digest []byte) []member.Host {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.table.Missing(digest)
+	return k.table.Diff(digest)
 }
 
 // compare returns the same and the digest of what is known here at that moment.
 func (k *known) compare(digest []byte) ([]member.Host, []byte) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.table.Missing(digest), k.table.Digest()
+	return k.table.Diff(digest), k.table.Digest()
 }
 
 // self returns what is told of the own host.
