--- a/internal/membership/known.go
+++ b/internal/membership/known.go
@@ -150,7 +150,7 @@
 		k.changed = time.Now()
 	}
 	for _, h := range told {
-		if h.Name == k.table.Self().Name && k.registry.Forbid(h.Left) {
+		if h.Name == k.table.Self().Name && k.registry.RestoreLeft(h.Left) {
 			k.publish()
 			updates = append(updates, k.table.Self())
 			forbidden = append(forbidden, h.Left...)
