--- a/internal/suspicion/suspicion.go
+++ b/internal/suspicion/suspicion.go
@@ -199,9 +199,9 @@
 // MayProbe reports whether an idempotent request may be sent as a probe.
 func (s *Suspicion) MayProbe(now time.Time) bool { return !now.Before(s.nextProbe) }
 
-// MayProbeWithAny reports whether a probe has been due for so long without an idempotent request
+// MayProbeNonIdempotent reports whether a probe has been due for so long without an idempotent request
 // that any request may be the probe.
-func (s *Suspicion) MayProbeWithAny(now time.Time) bool {
+func (s *Suspicion) MayProbeNonIdempotent(now time.Time) bool {
 	delay := nonIdempotentProbeDelay
 	if s.successes > 0 {
 		delay = nonIdempotentReprobeDelay
--- a/internal/suspicion/suspicion_test.go
+++ b/internal/suspicion/suspicion_test.go
@@ -142,13 +142,13 @@
 func TestNonIdempotentRequestsMayProbe(t *testing.T) {
 	s := suspicion.New()
 	s.RecordFailure(epoch, suspicion.BrokenConnectionWeight)
-	if s.MayProbeWithAny(epoch.Add(time.Second)) {
+	if s.MayProbeNonIdempotent(epoch.Add(time.Second)) {
 		t.Fatal("a non-idempotent request may probe within the first second")
 	}
 	now := epoch
 	for range 3 {
 		now = now.Add(5 * time.Second)
-		if !s.MayProbeWithAny(now) {
+		if !s.MayProbeNonIdempotent(now) {
 			t.Fatal("no request may probe")
 		}
 		s.RecordProbe(now)
