--- a/internal/attempts/attempts.go
+++ b/internal/attempts/attempts.go
@@ -1,50 +1,49 @@
-// Package attempts decides what becomes of a request that is sent to one backend server after
-// another: whether it may be tried again, which backend server gets it, when a hedge of it is sent,
-// and what its caller is told in the end.
+// Package attempts decides how a request is sent to the backend servers of a service: whether a
+// failed attempt may be retried, which backend server gets the next one, when a hedge is sent, and
+// which failure is returned to the caller.
 //
-// A History is what became of a request's attempts so far; it belongs to whoever serves the
-// request. Everything else is given: the Terms of the request and the time. The package has no
-// clock, goroutine or socket. It relies on failures for what a failure means, and on balance for
-// the backend servers of the service and what is known of their load.
+// A History records the request's attempts so far; it belongs to the goroutine that serves the
+// request. The Request and the time are passed in: the package has no clock, goroutine or socket.
+// It relies on package failures for the meaning of a failure, and on package balance for the
+// backend servers of the service and their known load.
 //
 // # Usage
 //
 //	var h attempts.History
 //	for {
-//		c := attempts.Choose(time.Now(), terms, &h)
+//		c := attempts.Choose(time.Now(), request, &h)
 //		if c.Target == nil {
-//			return h.NoneLeft(...)
+//			return h.NoTargetFailure(...)
 //		}
-//		failure := send(c) // the answer is passed on if there is none
-//		h.Record(c.Target, failure, far)
-//		if !h.MayRetry(time.Now(), terms, false) {
+//		failure := send(c) // on success, the answer is passed on instead
+//		h.Record(c.Target, failure, remote)
+//		if !h.MayRetry(time.Now(), request, false) {
 //			return h.Failure()
 //		}
 //	}
 //
 // # Rules
 //
-// May a failed attempt be tried again (retry.go)?
+// Whether a failed attempt may be retried (retry.go):
 //
-//   - A refusal by a sidecar cost the backend servers nothing, so another may be asked; a few
-//     times if queues are full, as long as there is one if the refusing one takes no work at all
-//     or a backend server needs the answer.
-//   - What reached a backend server is tried elsewhere within the route's attempts and the
-//     service's retry limit, and only if it did not run or may run twice.
-//   - What another backend server would not change is final: the customer's own limits, the
-//     deadline, a caller that went away, a malformed request.
+//   - A refusal by a sidecar costs the backend servers nothing, so another may be queried: a few
+//     more if queues are full, any number if the refusing backend server accepts no requests or
+//     another backend server needs the answer.
+//   - An attempt that reached a backend server is retried elsewhere within the route's attempts and
+//     the service's retry limit, and only if the request did not run or may run more than once.
+//   - A failure that another backend server would not change is final: the customer's own limits,
+//     the deadline, a caller that disconnected, a malformed request.
 //
-// Which backend server gets it (choose.go)? The first of these that there is:
+// Which backend server gets it (choose.go), in order of preference:
 //
-//   - for an idempotent request's first attempt, a backend server that is to show whether it is
-//     well again;
-//   - one that may have a free slot, of which a few are asked;
-//   - the one where the wait for a slot is shortest;
+//   - for an idempotent request's first attempt, a backend server whose recovery has to be verified;
+//   - one that may have a free slot, of which a few are queried;
+//   - the one with the shortest wait for a slot;
 //   - a suspected one, unless queues are full.
 //
-// When is a hedge sent, and where (hedge.go)? Once the attempt sent last is slow, if the request may
-// run more than once and has attempts left, to a backend server that keeps a slot for it. The first
-// answer ends all others; an attempt that began before the one that was answered is overdue.
+// When and where a hedge is sent (hedge.go): once the newest attempt is slow, if the request may
+// run more than once and has attempts left, to a backend server that reserves a slot for it. The
+// first answer ends all other attempts; an attempt that began before the answered one is overdue.
 package attempts
 
 import (
@@ -53,32 +52,33 @@
 	"github.com/tideliftd/tidelift/internal/balance"
 )
 
-// Service is the service that a request is for.
+// Service holds the backend servers and settings of the service that a request is for.
 type Service struct {
-	// Pool is its backend servers.
+	// Pool holds the backend servers.
 	Pool *balance.Pool
-	// RetryLeft reports whether a retry is likely to be had then.
+	// RetryLeft reports whether a retry is likely to be available at that time.
 	RetryLeft func(now time.Time) bool
-	// IgnoreHanging says that requests that must not be lost are sent to backend servers that
-	// seem to hang, too.
+	// IgnoreHanging allows requests that must not be lost to be sent to backend servers that appear
+	// to hang.
 	IgnoreHanging bool
-	// NoHedges says that no hedges are sent.
+	// NoHedges disables hedges.
 	NoHedges bool
 }
 
-// Request are what holds for one request.
+// Request describes one request.
 type Request struct {
-	// Service is the service that it is for.
+	// Service is the service that the request is for.
 	Service *Service
-	// NonIdempotent says that it must not run more than once.
+	// NonIdempotent is set if the request must not run more than once.
 	NonIdempotent bool
-	// Subrequest says that a backend server sent it for a request that it is running, so that
-	// a refusal wastes the work on that one.
+	// Subrequest is set if a backend server sent the request while running another one, so that a
+	// refusal wastes the work done for that one.
 	Subrequest bool
-	// MaxSent is how many backend servers it may reach.
+	// MaxSent is the maximum number of backend servers that the request may reach.
 	MaxSent int
-	// StartedAt is when it came.
+	// StartedAt is the time at which the request arrived.
 	StartedAt time.Time
-	// TargetAt is until when an answer is worth most, and it may wait in a crowded queue.
+	// TargetAt is the time by which the request should be answered (its latency target). Until then
+	// it may wait in a full queue.
 	TargetAt time.Time
 }
--- a/internal/attempts/choose_test.go
+++ b/internal/attempts/choose_test.go
@@ -14,7 +14,7 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// newService returns a service of so many backend servers, with as many retries as are asked for.
+// newService returns a service with that many backend servers and unlimited retries.
 func newService(t *testing.T, count int) *attempts.Service {
 	t.Helper()
 	text := "hosts: [{name: h1, data-centre: dc, peers: '127.0.0.1:1', control: '127.0.0.1:2'}]\nservices:\n- name: lookup\n  floor: 1\n  backend-servers:\n"
@@ -30,52 +30,54 @@
 	return &attempts.Service{Pool: pool, RetryLeft: func(time.Time) bool { return true }}
 }
 
-// termsOf returns the terms of an idempotent request that began at the start.
-func termsOf(s *attempts.Service) attempts.Request {
+// requestTo returns an idempotent request to the service that arrived at start.
+func requestTo(s *attempts.Service) attempts.Request {
 	return attempts.Request{Service: s, MaxSent: 2, StartedAt: start, TargetAt: start.Add(4 * time.Second)}
 }
 
-// askAll has each choice refuse for want of a slot until one is asked to keep the request waiting,
-// and returns how many were asked and the one where it waits. The wait is shorter at each.
-func askAll(terms attempts.Request, far bool) (asked int, last attempts.Choice) {
+// queryAll refuses each choice as busy until the request is to wait at a target, and returns the
+// number of queries and that target. Each wait is shorter than the one before.
+func queryAll(request attempts.Request, remote bool) (queried int, last attempts.Choice) {
 	h := &attempts.History{}
 	for wait := time.Minute; ; wait -= time.Second {
-		c := attempts.Choose(start, terms, h)
+		c := attempts.Choose(start, request, h)
 		if !c.RefuseIfBusy {
-			return asked, c
+			return queried, c
 		}
-		asked++
-		h.Record(c.Target, result.New(result.Busy).WithRetryAfter(wait), far)
+		queried++
+		h.Record(c.Target, result.New(result.Busy).WithRetryAfter(wait), remote)
 	}
 }
 
-// TestAFewAreAskedForASlot counts them, by what is known of the service and the request.
-func TestAFewAreAskedForASlot(t *testing.T) {
+// TestLimitedSlotQueries guards against a request that queries too many or too few backend servers
+// for a free slot, by how busy the service is and by the kind of request.
+func TestLimitedSlotQueries(t *testing.T) {
 	for name, test := range map[string]struct {
-		crowded, subrequest, far bool
-		want                     int
+		crowded, subrequest, remote bool
+		want                        int
 	}{
-		"usually":              {want: 4},
-		"crowded":              {crowded: true, want: 2},
-		"in another":           {far: true, want: 1},
-		"subrequest":           {subrequest: true, want: 9},
-		"subrequest, crowded":  {subrequest: true, crowded: true, want: 9},
-		"subrequest, far away": {subrequest: true, far: true, want: 9},
+		"usually":             {want: 4},
+		"crowded":             {crowded: true, want: 2},
+		"remote":              {remote: true, want: 1},
+		"subrequest":          {subrequest: true, want: 9},
+		"subrequest, crowded": {subrequest: true, crowded: true, want: 9},
+		"subrequest, remote":  {subrequest: true, remote: true, want: 9},
 	} {
 		s := newService(t, 9)
 		for range 100 {
 			s.Pool.RecordSlotCheck(!test.crowded)
 		}
-		terms := termsOf(s)
-		terms.Subrequest = test.subrequest
-		asked, last := askAll(terms, test.far)
-		if asked != test.want || last.Target == nil {
-			t.Errorf("%s: %d are asked, want %d, then %+v", name, asked, test.want, last)
+		request := requestTo(s)
+		request.Subrequest = test.subrequest
+		queried, last := queryAll(request, test.remote)
+		if queried != test.want || last.Target == nil {
+			t.Errorf("%s: %d backend servers queried, want %d, then %+v", name, queried, test.want, last)
 		}
 	}
 }
 
-// TestARequestWaitsWhereTheWaitIsShortest goes on to the next if it is refused there.
+// TestARequestWaitsWhereTheWaitIsShortest guards against a request that waits at a target with a
+// longer wait, or that gives up after the first refusal there.
 func TestARequestWaitsWhereTheWaitIsShortest(t *testing.T) {
 	s := newService(t, 3)
 	targets := s.Pool.Targets()
@@ -84,18 +86,19 @@
 		h.Record(targets[n], result.New(result.Busy).WithRetryAfter(wait*time.Second), false)
 	}
 	for _, want := range []int{1, 2, 0} {
-		if c := attempts.Choose(start, termsOf(s), h); c.Target != targets[want] || c.RefuseIfBusy {
+		if c := attempts.Choose(start, requestTo(s), h); c.Target != targets[want] || c.RefuseIfBusy {
 			t.Fatalf("got %+v, want %s", c, targets[want].Name)
 		}
 		h.Last = result.New(result.QueueTooSlow)
 	}
-	if c := attempts.Choose(start, termsOf(s), h); c.Target != nil {
-		t.Fatalf("got %+v after all were asked", c)
+	if c := attempts.Choose(start, requestTo(s), h); c.Target != nil {
+		t.Fatalf("got %+v after all targets were tried", c)
 	}
 }
 
-// TestOneThatMayHaveRecoveredIsFoundOut sends an idempotent request's first attempt there.
-func TestOneThatMayHaveRecoveredIsFoundOut(t *testing.T) {
+// TestRecoveryIsVerified guards against a recovered backend server that gets no request to verify
+// it, and against requests that must not be risked for that.
+func TestRecoveryIsVerified(t *testing.T) {
 	for name, test := range map[string]struct {
 		probation, nonIdempotent, tried, noRetry bool
 		want                                     bool
@@ -110,58 +113,59 @@
 	} {
 		s := newService(t, 2)
 		s.RetryLeft = func(time.Time) bool { return !test.noRetry }
-		sick, well := s.Pool.Targets()[0], s.Pool.Targets()[1]
+		unhealthy, healthy := s.Pool.Targets()[0], s.Pool.Targets()[1]
 		for range 50 {
-			well.Begin() // so that it is not chosen for its load
+			healthy.Begin() // so that it is not chosen for its load
 		}
-		sick.SetShare(0)
-		well.SetShare(balance.FullShare)
+		unhealthy.SetShare(0)
+		healthy.SetShare(balance.FullShare)
 		if test.probation {
-			sick.OpenProbation()
+			unhealthy.OpenProbation()
 		} else {
-			s.Pool.Suspect(sick, start.Add(time.Millisecond))
+			s.Pool.Suspect(unhealthy, start.Add(time.Millisecond))
 		}
 		now := start.Add(time.Second)
-		terms := termsOf(s)
-		terms.NonIdempotent = test.nonIdempotent
+		request := requestTo(s)
+		request.NonIdempotent = test.nonIdempotent
 		h := &attempts.History{}
 		if test.tried {
 			h.Tried = []*balance.Target{nil}
 		}
-		first := attempts.Choose(now, terms, h)
-		if test.probation && first.Probation != test.want || test.want && first.Target != sick {
+		first := attempts.Choose(now, request, h)
+		if test.probation && first.Probation != test.want || test.want && first.Target != unhealthy {
 			t.Errorf("%s: got %+v", name, first)
 		}
-		if again := attempts.Choose(now, terms, h); again.Probation {
+		if again := attempts.Choose(now, request, h); again.Probation {
 			t.Errorf("%s: two requests are on probation", name)
 		}
 	}
 }
 
-// TestWhatMustNotBeLostAvoidsWhereRequestsHang says so to whom it is sent, until two have refused.
-func TestWhatMustNotBeLostAvoidsWhereRequestsHang(t *testing.T) {
+// TestRequestsWithoutRetryAvoidHangingServers guards against a request that cannot be retried being
+// sent to a backend server that appears to hang, and against avoiding them after two refusals.
+func TestRequestsWithoutRetryAvoidHangingServers(t *testing.T) {
 	for name, test := range map[string]struct {
 		change  func(*attempts.Request, *attempts.History)
 		hanging int
 		want    bool
 	}{
 		"idempotent":     {change: func(*attempts.Request, *attempts.History) {}},
-		"not idempotent": {change: func(terms *attempts.Request, _ *attempts.History) { terms.NonIdempotent = true }, want: true},
+		"not idempotent": {change: func(request *attempts.Request, _ *attempts.History) { request.NonIdempotent = true }, want: true},
 		"sent once":      {change: func(_ *attempts.Request, h *attempts.History) { h.Sent = 1 }, want: true},
-		"no retry":       {change: func(terms *attempts.Request, _ *attempts.History) { terms.Service.RetryLeft = never }, want: true},
-		"one hangs":      {change: func(terms *attempts.Request, _ *attempts.History) { terms.NonIdempotent = true }, hanging: 1, want: true},
-		"two hang":       {change: func(terms *attempts.Request, _ *attempts.History) { terms.NonIdempotent = true }, hanging: 2},
-		"ignored": {change: func(terms *attempts.Request, _ *attempts.History) {
-			terms.NonIdempotent, terms.Service.IgnoreHanging = true, true
+		"no retry":       {change: func(request *attempts.Request, _ *attempts.History) { request.Service.RetryLeft = never }, want: true},
+		"one hangs":      {change: func(request *attempts.Request, _ *attempts.History) { request.NonIdempotent = true }, hanging: 1, want: true},
+		"two hang":       {change: func(request *attempts.Request, _ *attempts.History) { request.NonIdempotent = true }, hanging: 2},
+		"ignored": {change: func(request *attempts.Request, _ *attempts.History) {
+			request.NonIdempotent, request.Service.IgnoreHanging = true, true
 		}},
 	} {
 		s := newService(t, 3)
-		terms, h := termsOf(s), &attempts.History{}
-		test.change(&terms, h)
+		request, h := requestTo(s), &attempts.History{}
+		test.change(&request, h)
 		for n := range test.hanging {
 			h.Record(s.Pool.Targets()[n], result.New(result.Unproven), false)
 		}
-		c := attempts.Choose(start, terms, h)
+		c := attempts.Choose(start, request, h)
 		if c.Target == nil || c.RefuseIfHanging != test.want || test.want && test.hanging == 1 && c.Target == h.Hanging[0] {
 			t.Errorf("%s: got %+v", name, c)
 		}
@@ -170,45 +174,47 @@
 
 func never(time.Time) bool { return false }
 
-// TestASuspectedOneIsAskedLast has all be suspected, and says when another look is worth it.
-func TestASuspectedOneIsAskedLast(t *testing.T) {
+// TestSuspectedServersAreTheLastChoice guards against a suspected target chosen when queues are
+// full, and against another selection without time for it.
+func TestSuspectedServersAreTheLastChoice(t *testing.T) {
 	for name, test := range map[string]struct {
 		full, subrequest bool
 		after            time.Duration
-		asked, again     bool
+		chosen, reselect bool
 	}{
-		"at once":           {asked: true, again: true},
-		"while it has time": {after: 900 * time.Millisecond, asked: true, again: true},
-		"without time":      {after: 950 * time.Millisecond, asked: true},
+		"immediately":       {chosen: true, reselect: true},
+		"while it has time": {after: 900 * time.Millisecond, chosen: true, reselect: true},
+		"without time":      {after: 950 * time.Millisecond, chosen: true},
 		"full queues":       {full: true},
-		"full, subrequest":  {full: true, subrequest: true, asked: true},
+		"full, subrequest":  {full: true, subrequest: true, chosen: true},
 	} {
 		s := newService(t, 3)
 		for _, target := range s.Pool.Targets() {
 			s.Pool.Suspect(target, start.Add(time.Hour))
 		}
-		terms, h := termsOf(s), &attempts.History{}
-		terms.Subrequest = test.subrequest
+		request, h := requestTo(s), &attempts.History{}
+		request.Subrequest = test.subrequest
 		if test.full {
 			h.Record(s.Pool.Targets()[0], result.New(result.QueueFull), false)
 		}
-		c := attempts.Choose(start.Add(test.after), terms, h)
-		if (c.Target != nil) != test.asked || test.asked && !c.DespiteSuspicion || c.RetrySelection != test.again {
+		c := attempts.Choose(start.Add(test.after), request, h)
+		if (c.Target != nil) != test.chosen || test.chosen && !c.DespiteSuspicion || c.RetrySelection != test.reselect {
 			t.Errorf("%s: got %+v", name, c)
 		}
 	}
 }
 
-// TestNobodyIsKnown looks again, since somebody may soon be, but not once all were tried.
-func TestNobodyIsKnown(t *testing.T) {
+// TestNoBackendServerIsKnown guards against a request that fails while the backend servers are not
+// known yet, or that selects again after all were tried.
+func TestNoBackendServerIsKnown(t *testing.T) {
 	s := newService(t, 1)
 	h := &attempts.History{}
 	h.Record(s.Pool.Targets()[0], result.New(result.ServerUnreachable), false)
-	if c := attempts.Choose(start, termsOf(s), h); c.Target != nil || c.RetrySelection {
-		t.Fatalf("got %+v after all were tried", c)
+	if c := attempts.Choose(start, requestTo(s), h); c.Target != nil || c.RetrySelection {
+		t.Fatalf("got %+v after all targets were tried", c)
 	}
 	s.Pool = balance.NewPool(balance.Config{DataCentre: "dc", Random: rand.Uint64, Start: start})
-	if c := attempts.Choose(start, termsOf(s), &attempts.History{}); c.Target != nil || !c.RetrySelection {
-		t.Fatalf("got %+v where nobody is known", c)
+	if c := attempts.Choose(start, requestTo(s), &attempts.History{}); c.Target != nil || !c.RetrySelection {
+		t.Fatalf("got %+v where no backend server is known", c)
 	}
 }
--- a/internal/attempts/hedge.go
+++ b/internal/attempts/hedge.go
@@ -8,83 +8,83 @@
 )
 
 const (
-	// hedgeLooks is how often another backend server is looked for in the time after which a
-	// request is slow, from then on. Not measured: a slot that becomes free is to be found soon
-	// beside the time that is lost already.
-	hedgeLooks = 4
-	// shortestLook bounds that, so that looking costs little where answers take milliseconds.
-	// Source: a few round trips between data centres.
-	shortestLook = 10 * time.Millisecond
+	// hedgeChecks is the number of checks for a free hedge target per slowAfter, once the request
+	// is slow.
+	hedgeChecks = 4
+	// minCheckInterval limits the cost of the checks where answers take milliseconds.
+	minCheckInterval = 10 * time.Millisecond
 )
 
-// Hedging decides when hedges are sent beside one attempt of a request and its earlier hedges,
-// and where: a hedge is sent once the attempt sent last is slow, if the request may run more than
-// once and has attempts left, to a backend server that keeps a slot for it.
+// Hedging decides when and where hedges are sent alongside one attempt of a request and its earlier
+// hedges: once the newest attempt is slow, if the request may run more than once and has attempts
+// left, to a backend server that reserves a slot for it.
 type Hedging struct {
-	terms     Request
+	request   Request
 	slowAfter time.Duration
-	// avoid are the backend servers where no hedge is sent.
+	// avoid holds the backend servers to which no hedge is sent.
 	avoid []*balance.Target
-	// refused are those that had no slot for one. They are asked again after all others.
+	// refused holds those that had no slot for a hedge. They are queried again after all others.
 	refused []*balance.Target
-	// allRefused says that all have been asked once.
+	// allRefused is set once all have been queried.
 	allRefused bool
 }
 
-// InFlight is what runs of a request when a hedge is considered.
+// InFlight describes the attempts of a request that are in flight when a hedge is considered.
 type InFlight struct {
-	// Count is how many attempts run, one at least.
+	// Count is the number of attempts in flight, at least one.
 	Count int
-	// LastStartedAt is when the one of them that was sent last began.
+	// LastStartedAt is the time at which the newest of them started.
 	LastStartedAt time.Time
-	// Failed is how many have failed that the history does not have yet.
+	// Failed is the number of failed attempts that the history does not contain yet.
 	Failed int
-	// BodyConsumed says that the request's body cannot be sent again from its start.
+	// BodyConsumed is set if the request's body cannot be sent again from its start.
 	BodyConsumed bool
-	// Stopping says that a planned stop has begun: others may not take the request any more.
+	// Stopping is set once a planned stop has begun, after which no other daemon may take the
+	// request.
 	Stopping bool
 }
 
-// NewHedging returns what decides on hedges of an attempt of the request that is slow after that
-// time; never if it is zero.
-func NewHedging(t Request, slowAfter time.Duration, h *History) Hedging {
-	return Hedging{terms: t, slowAfter: slowAfter, avoid: h.triedNotBusy()}
+// NewHedging returns a Hedging for an attempt that is slow after slowAfter. Zero disables hedges.
+func NewHedging(r Request, slowAfter time.Duration, h *History) Hedging {
+	return Hedging{request: r, slowAfter: slowAfter, avoid: h.triedNotBusy()}
 }
 
-// FirstCheck returns when after the attempt's begin a hedge is first considered, and false if none
-// may be sent.
+// FirstCheck returns the time after the start of the attempt at which a hedge is first considered,
+// and false if none may be sent.
 func (g *Hedging) FirstCheck() (time.Duration, bool) {
-	return g.slowAfter, g.slowAfter > 0 && !g.terms.NonIdempotent && !g.terms.Service.NoHedges
+	return g.slowAfter, g.slowAfter > 0 && !g.request.NonIdempotent && !g.request.Service.NoHedges
 }
 
-// CheckInterval returns how long after a look the next one is.
-func (g *Hedging) CheckInterval() time.Duration { return max(g.slowAfter/hedgeLooks, shortestLook) }
+// CheckInterval returns the time between two checks.
+func (g *Hedging) CheckInterval() time.Duration {
+	return max(g.slowAfter/hedgeChecks, minCheckInterval)
+}
 
-// Choose returns where a hedge is sent now, and no target if none is. That of a subrequest waits for
-// a slot, since such requests go first.
-func (g *Hedging) Choose(now time.Time, h *History, running InFlight) Choice {
-	if !g.mayHedge(now, h, running) {
+// Choose returns the target to send a hedge to now; its Target is nil if none is sent. The hedge of
+// a subrequest waits for a slot, since subrequests take precedence.
+func (g *Hedging) Choose(now time.Time, h *History, inFlight InFlight) Choice {
+	if !g.mayHedge(now, h, inFlight) {
 		return Choice{}
 	}
 	target := g.pick(now)
-	return Choice{Target: target, RefuseIfBusy: !g.terms.Subrequest, RefuseIfHanging: !g.allRefused}
+	return Choice{Target: target, RefuseIfBusy: !g.request.Subrequest, RefuseIfHanging: !g.allRefused}
 }
 
-// mayHedge reports whether the request may have another hedge now.
-func (g *Hedging) mayHedge(now time.Time, h *History, running InFlight) bool {
-	if g.slowAfter == 0 || g.terms.NonIdempotent || running.Stopping || running.BodyConsumed {
+// mayHedge reports whether another hedge may be sent now.
+func (g *Hedging) mayHedge(now time.Time, h *History, inFlight InFlight) bool {
+	if g.slowAfter == 0 || g.request.NonIdempotent || inFlight.Stopping || inFlight.BodyConsumed {
 		return false
 	}
-	if h.Sent+running.Failed+running.Count >= g.terms.MaxSent {
-		return false // each that runs may reach a backend server yet
+	if h.Sent+inFlight.Failed+inFlight.Count >= g.request.MaxSent {
+		return false // each attempt in flight may still reach a backend server
 	}
-	return now.Sub(running.LastStartedAt) >= g.slowAfter
+	return now.Sub(inFlight.LastStartedAt) >= g.slowAfter
 }
 
-// pick chooses where a hedge may be sent: one that has not refused one yet, and once all have, any
-// again, also one that seems to hang.
+// pick returns a target that has not refused a hedge yet; once all have, any of them, including
+// those that appear to hang.
 func (g *Hedging) pick(now time.Time) *balance.Target {
-	pool := g.terms.Service.Pool
+	pool := g.request.Service.Pool
 	if target, ok := pool.Pick(now, slices.Concat(g.avoid, g.refused)); ok {
 		return target
 	}
@@ -94,15 +94,15 @@
 	return target
 }
 
-// RecordSent records that the request is sent to the target, as a hedge or before any.
+// RecordSent records that the request is sent to the target, as its first attempt or as a hedge.
 func (g *Hedging) RecordSent(target *balance.Target) { g.avoid = append(g.avoid, target) }
 
-// RecordRefused records that the target kept no slot for a hedge.
+// RecordRefused records that the target reserved no slot for a hedge.
 func (g *Hedging) RecordRefused(target *balance.Target) {
 	g.avoid = slices.DeleteFunc(g.avoid, func(t *balance.Target) bool { return t == target })
 	g.refused = append(g.refused, target)
 }
 
-// IsOvertaken reports whether an attempt is overdue that began then, which is evidence: one that
-// began later was answered first.
+// IsOvertaken reports whether an attempt that started at began is overdue because a later one was
+// answered first. This is evidence about its backend server.
 func IsOvertaken(began, winnerBegan time.Time) bool { return began.Before(winnerBegan) }
--- a/internal/attempts/history.go
+++ b/internal/attempts/history.go
@@ -9,22 +9,23 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// History is what became of a request's attempts so far. The zero value is that of a request
-// that was not sent yet.
+// History records the attempts of a request so far. The zero value is the history of a request that
+// has not been sent yet.
 type History struct {
-	// Tried are the backend servers that are not chosen again.
+	// Tried holds the backend servers that are not chosen again.
 	Tried []*balance.Target
-	// Busy are those of them that had no free slot; the request may still wait there.
+	// Busy holds the tried backend servers that had no free slot; the request may still wait there.
 	Busy []Busy
-	// BusyFar is how many of them are in other data centres.
-	BusyFar int
-	// Hanging are backend servers that refused since they seem to hang.
+	// BusyRemote is the number of them that are in other data centres.
+	BusyRemote int
+	// Hanging holds the backend servers that refused because they appear to hang.
 	Hanging []*balance.Target
-	// Sent is how many attempts reached a backend server, or may have.
+	// Sent is the number of attempts that reached a backend server, or may have.
 	Sent int
-	// FullQueues is how many refused for a full queue.
+	// FullQueues is the number of refusals because of a full queue.
 	FullQueues int
-	// RetryRefusals is how many refused since they have no room for what a retry calls.
+	// RetryRefusals is the number of refusals because the retry budget has no room for the calls of
+	// a retry.
 	RetryRefusals int
 	// Last is the last failure; nil if there was none.
 	Last *result.Error
@@ -34,41 +35,41 @@
 
 // Busy is a backend server that had no free slot.
 type Busy struct {
-	// Target is the backend server.
 	Target *balance.Target
-	// Wait is how long it takes to get a slot there, as it said.
+	// Wait is the wait for a slot that it reported.
 	Wait time.Duration
 }
 
-// Record enters an attempt that failed at the target, which is far if it is in another data
-// centre.
-func (h *History) Record(target *balance.Target, failure *result.Error, far bool) {
-	meaning := failures.Classify(failure.Code)
-	h.recordTarget(target, meaning.Target, failure.RetryAfter, far)
-	if meaning.Target == failures.NoRetryBudget && h.Last != nil {
-		return // the failure that asked for a retry is what the caller is told
+// Record records an attempt that failed at the target. remote is set if the target is in another
+// data centre.
+func (h *History) Record(target *balance.Target, failure *result.Error, remote bool) {
+	class := failures.Classify(failure.Code)
+	h.recordTarget(target, class.Target, failure.RetryAfter, remote)
+	if class.Target == failures.NoRetryBudget && h.Last != nil {
+		return // the failure that led to the retry is returned to the caller
 	}
 	h.Last = failure
 	if failure.Code.Ran == result.RanUnknown {
 		h.MayHaveRun = failure
 	}
-	if meaning.Reached {
+	if class.Reached {
 		h.Sent++
 	}
 }
 
-// recordTarget enters what the failure says of the target, and whether it may be chosen again.
-func (h *History) recordTarget(target *balance.Target, state failures.TargetState, wait time.Duration, far bool) {
+// recordTarget records the state of the target after the failure, and whether it may be chosen
+// again.
+func (h *History) recordTarget(target *balance.Target, state failures.TargetState, wait time.Duration, remote bool) {
 	switch state {
-	case failures.Suspected: // may be chosen again once it is trusted, or if no other is left
+	case failures.Suspected: // may be chosen again once its suspicion ends, or if no other is left
 		return
 	case failures.Hanging: // may be chosen again if others hang too
 		h.Hanging = append(h.Hanging, target)
 		return
 	case failures.NoSlot:
 		h.Busy = append(h.Busy, Busy{target, wait})
-		if far {
-			h.BusyFar++
+		if remote {
+			h.BusyRemote++
 		}
 	case failures.QueueFull:
 		h.FullQueues++
@@ -79,7 +80,7 @@
 	h.Tried = append(h.Tried, target)
 }
 
-// triedNotBusy returns those that were tried, without those that only had no free slot then.
+// triedNotBusy returns the tried targets except those that only had no free slot.
 func (h *History) triedNotBusy() []*balance.Target {
 	isBusy := func(tried *balance.Target) bool {
 		return slices.ContainsFunc(h.Busy, func(b Busy) bool { return b.Target == tried })
@@ -87,8 +88,8 @@
 	return slices.DeleteFunc(slices.Clone(h.Tried), isBusy)
 }
 
-// takeLeastBusy takes the target out where the wait is shortest.
-func (h *History) takeLeastBusy() *balance.Target {
+// removeLeastBusy removes the target with the shortest wait from h.Busy and returns it.
+func (h *History) removeLeastBusy() *balance.Target {
 	best := 0
 	for i := range h.Busy {
 		if h.Busy[i].Wait < h.Busy[best].Wait {
--- a/internal/failures/failures.go
+++ b/internal/failures/failures.go
@@ -1,18 +1,19 @@
-// Package failures knows what each result code means that an attempt can end with: for the
-// request, for the backend server that was asked, and for the caller.
+// Package failures classifies the result codes that an attempt can end with: what each one means for
+// the request, for its backend server and for the caller.
 //
-// An attempt ends with a code of this daemon, or with the one that another daemon's sidecar
-// answered with, which may be any; so each code of package result has a row in one table, and
-// a test fails if one has none. What is done about a failure is decided by whoever asks: see
-// package attempts for the request, and the ingress for the backend server.
+// An attempt ends with a code of this daemon or with any code that the sidecar of another daemon
+// answered with. Each code of package result therefore has a row in one table, and a test fails if
+// one has none. Callers decide what to do about a failure: package attempts for the request, and
+// the ingress for the backend server.
 //
-// It has no state, and relies on result for the codes and on detect for the kinds of evidence.
+// It has no state, and relies on package result for the codes and on package detect for the kinds of
+// evidence.
 //
 // # Usage
 //
-//	meaning := failures.Of(failure.Code)
-//	if meaning.Final { ... }
-//	switch meaning.Target {
+//	classification := failures.Classify(failure.Code)
+//	if classification.Final { ... }
+//	switch classification.Target {
 //	case failures.NoSlot: ...
 //	}
 package failures
@@ -22,69 +23,69 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// TargetState is what a failure says of the state of the backend server that was asked.
+// TargetState is the state of a backend server that a failure indicates.
 type TargetState string
 
 // The states of a backend server after a failure.
 const (
-	// Unchanged: the failure says nothing of it, or only what it shows as evidence.
+	// Unchanged: the failure indicates nothing, except possibly evidence.
 	Unchanged TargetState = ""
-	// NoSlot: it has no free slot now, and was asked not to keep the request waiting.
+	// NoSlot: it has no free slot now, and the request was not to wait.
 	NoSlot TargetState = "no-slot"
-	// QueueFull: it has neither a slot nor a place in its queue from which the request would
-	// come to run in time.
+	// QueueFull: it has no free slot and no place in its queue from which the request would run in
+	// time.
 	QueueFull TargetState = "queue-full"
-	// Suspected: others are to be asked first for a moment.
+	// Suspected: its sidecar suspects it, so others are preferred for a short time.
 	Suspected TargetState = "suspected"
-	// Hanging: it seems to hang, and was asked to refuse then.
+	// Hanging: it appears to hang, and the request was to be refused in that case.
 	Hanging TargetState = "hanging"
-	// NoRetryBudget: the services that it calls have no room for the calls of a retry.
+	// NoRetryBudget: the retry budgets of the services that it calls have no room for the calls of
+	// a retry.
 	NoRetryBudget TargetState = "no-retries"
-	// NotAccepting: it takes no requests now, or none of this daemon.
+	// NotAccepting: it accepts no requests now, or none of this daemon.
 	NotAccepting TargetState = "no-work"
-	// HostUnreachable: no connection to its host could be made.
+	// HostUnreachable: the connection to its host failed.
 	HostUnreachable TargetState = "host-unreachable"
-	// HostUnresponsive: its host did not answer when it was asked for a reservation.
+	// HostUnresponsive: its host did not answer a request for a reservation.
 	HostUnresponsive TargetState = "host-silent"
 	// Unreachable: its own daemon could not connect to it.
 	Unreachable TargetState = "unreachable"
 )
 
-// Meaning is what a failure means.
-type Meaning struct {
-	// Final: another backend server would not change it.
+// Classification describes what a failure means.
+type Classification struct {
+	// Final is set if another backend server would not change the result.
 	Final bool
-	// Reached: the request reached a backend server, or may have, also if that did not run it.
-	// It is so for each code that does not promise that the request was not run.
+	// Reached is set if the request reached a backend server, or may have, even if that did not run
+	// it. It is set for each code that does not promise that the request was not run.
 	Reached bool
-	// Target is what the failure says of the backend server.
+	// Target is the state of the backend server that the failure indicates.
 	Target TargetState
-	// Evidence is what it shows of the backend server's health; empty if it shows nothing, as a
-	// full queue or a caller that went away.
+	// Evidence is what the failure shows of the backend server's health; empty if nothing, as for a
+	// full queue or a caller that disconnected.
 	Evidence detect.Outcome
-	// NeedsRetryAfter: callers read the code's status as a promise that the request was not run, and
-	// it may be of use to send it again later; so the answer says when.
+	// NeedsRetryAfter is set if callers read the code's status as a promise that the request was
+	// not run, and sending it again later may help; the answer then has a Retry-After.
 	NeedsRetryAfter bool
 }
 
-// Classify returns what a failure of that code means.
-func Classify(code result.Code) Meaning { return table[code.Number] }
+// Classify returns the classification of a failure with that code.
+func Classify(code result.Code) Classification { return table[code.Number] }
 
-// Evidence returns what a failure of that code shows of the backend server's health, and
-// false if it shows nothing.
+// Evidence returns what a failure with that code shows of the backend server's health, and false if
+// it shows nothing.
 func Evidence(code result.Code) (detect.Outcome, bool) {
 	outcome := Classify(code).Evidence
 	return outcome, outcome != ""
 }
 
-// TakesNoWork reports whether the backend server refused since it gets no work now.
-func (m Meaning) TakesNoWork() bool { return m.Target == NotAccepting || m.Target == Suspected }
+// Unavailable reports whether the backend server refused because it accepts no requests now.
+func (m Classification) Unavailable() bool { return m.Target == NotAccepting || m.Target == Suspected }
 
-// PassedOver reports whether the refusal only sends the request to the next backend server:
-// nothing ran, and it says nothing of the path. Such refusals are counted on the request's next
-// log line. Source: on a day of high load there were eight for each request, and a line each
-// was three quarters of the log.
-func (m Meaning) PassedOver() bool {
+// PassedOver reports whether the refusal only sends the request to the next backend server: nothing
+// ran, and the refusal shows nothing about the path. Such refusals are counted on the request's
+// next log line instead of being logged one by one.
+func (m Classification) PassedOver() bool {
 	switch m.Target {
 	case NoSlot, QueueFull, Suspected, Hanging, NoRetryBudget:
 		return true
--- a/internal/failures/failures_test.go
+++ b/internal/failures/failures_test.go
@@ -9,7 +9,7 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// TestEachCodeHasARow fails for a code of which nobody said what it means.
+// TestEachCodeHasARow guards against a result code without a classification.
 func TestEachCodeHasARow(t *testing.T) {
 	for _, code := range result.All() {
 		if _, ok := table[code.Number]; !ok {
@@ -21,25 +21,25 @@
 	}
 }
 
-// TestRowsSayWhatTheirCodesSay holds the table to what the codes themselves promise.
-func TestRowsSayWhatTheirCodesSay(t *testing.T) {
+// TestRowsMatchTheirCodes guards against a classification that contradicts its result code.
+func TestRowsMatchTheirCodes(t *testing.T) {
 	for _, code := range result.All() {
-		meaning := Classify(code)
-		if code.Ran == result.RanUnknown && !meaning.Reached {
-			t.Errorf("%s may have run, and is said to have reached no backend server", code.Name)
+		class := Classify(code)
+		if code.Ran == result.RanUnknown && !class.Reached {
+			t.Errorf("%s may have run, but is classified as not having reached a backend server", code.Name)
 		}
 		refusal := code.Status == http.StatusServiceUnavailable || code.Status == http.StatusTooManyRequests
-		if refusal != meaning.NeedsRetryAfter && code.Number != result.Quarantined.Number {
-			t.Errorf("%s has status %d, come back: %t", code.Name, code.Status, meaning.NeedsRetryAfter)
+		if refusal != class.NeedsRetryAfter && code.Number != result.Quarantined.Number {
+			t.Errorf("%s has status %d, retry-after: %t", code.Name, code.Status, class.NeedsRetryAfter)
 		}
-		if meaning.PassedOver() && (meaning.Reached || meaning.Evidence != "") {
-			t.Errorf("%s is passed over without a log line, and is more than a refusal", code.Name)
+		if class.PassedOver() && (class.Reached || class.Evidence != "") {
+			t.Errorf("%s is passed over without a log line, but is not only a refusal", code.Name)
 		}
 	}
 }
 
-// failureMeanings is what each code means for a request and its target, where it means anything.
-const failureMeanings = `
+// failureClasses lists the expected classification of each code that has one.
+const failureClasses = `
 1001 final
 2001 refusal
 2002 no-work refusal
@@ -81,36 +81,36 @@
 4008 reached refusal
 `
 
-// TestWhatEachFailureMeans goes through every code.
-func TestWhatEachFailureMeans(t *testing.T) {
+// TestClassify compares the classification of every code with failureClasses.
+func TestClassify(t *testing.T) {
 	want := make(map[string]string)
-	for line := range strings.Lines(strings.TrimSpace(failureMeanings)) {
-		number, meaning, _ := strings.Cut(strings.TrimSpace(line), " ")
-		want[number] = meaning
+	for line := range strings.Lines(strings.TrimSpace(failureClasses)) {
+		number, class, _ := strings.Cut(strings.TrimSpace(line), " ")
+		want[number] = class
 	}
 	for _, code := range result.All() {
-		if got, want := meaningOf(code), want[fmt.Sprint(code.Number)]; got != want {
+		if got, want := describe(code), want[fmt.Sprint(code.Number)]; got != want {
 			t.Errorf("%d %s: got %q, want %q", code.Number, code.Name, got, want)
 		}
 	}
 }
 
-// meaningOf returns what the code means, in words.
-func meaningOf(code result.Code) string {
-	meaning := Classify(code)
+// describe returns the classification of the code as words.
+func describe(code result.Code) string {
+	class := Classify(code)
 	var words []string
 	add := func(is bool, word string) {
 		if is {
 			words = append(words, word)
 		}
 	}
-	add(meaning.Final, "final")
-	add(meaning.Target == QueueFull, "full")
-	add(meaning.Reached, "reached")
-	add(meaning.TakesNoWork(), "no-work")
-	add(meaning.Target == HostUnreachable || meaning.Target == HostUnresponsive, "path")
-	add(meaning.NeedsRetryAfter, "refusal")
-	add(meaning.PassedOver(), "passed-over")
+	add(class.Final, "final")
+	add(class.Target == QueueFull, "full")
+	add(class.Reached, "reached")
+	add(class.Unavailable(), "no-work")
+	add(class.Target == HostUnreachable || class.Target == HostUnresponsive, "path")
+	add(class.NeedsRetryAfter, "refusal")
+	add(class.PassedOver(), "passed-over")
 	outcome, seen := Evidence(code)
 	add(seen, "evidence:"+string(outcome))
 	return strings.Join(words, " ")
--- a/internal/failures/table.go
+++ b/internal/failures/table.go
@@ -5,9 +5,9 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// table has a row for each result code, by its number.
-var table = map[int]Meaning{
-	// The request itself is wrong.
+// table maps the number of each result code to its classification.
+var table = map[int]Classification{
+	// The request itself is invalid.
 	result.MalformedRequest.Number: {Final: true},
 	result.NoRoute.Number:          {},
 	result.AmbiguousFraming.Number: {},
@@ -19,25 +19,25 @@
 	result.KeyMissing.Number:       {},
 	result.KeyUnknown.Number:       {},
 
-	// The request is refused on its own account or its customer's, whichever backend server is asked.
+	// The request is refused because of itself or its customer, regardless of the backend server.
 	result.CustomerShare.Number:     {Final: true, NeedsRetryAfter: true},
 	result.PlaceLost.Number:         {Final: true, NeedsRetryAfter: true},
 	result.CustomerLimit.Number:     {NeedsRetryAfter: true},
-	result.Quarantined.Number:       {Final: true}, // it would be refused again
+	result.Quarantined.Number:       {Final: true}, // another backend server would refuse it as well
 	result.DeadlineBeforeRun.Number: {Final: true},
 	result.CancelledBefore.Number:   {Final: true},
 
-	// The daemon that was asked cannot serve it.
+	// The daemon cannot serve the request.
 	result.NotReady.Number: {NeedsRetryAfter: true},
 	result.NoneAble.Number: {NeedsRetryAfter: true},
 
-	// The backend server takes no work.
+	// The backend server accepts no requests.
 	result.Stopping.Number:      {Target: NotAccepting, NeedsRetryAfter: true},
 	result.Draining.Number:      {Target: NotAccepting, NeedsRetryAfter: true},
 	result.Ejected.Number:       {Target: NotAccepting, NeedsRetryAfter: true},
 	result.UnknownServer.Number: {Target: NotAccepting, NeedsRetryAfter: true},
 
-	// It does not take this request now.
+	// The backend server does not accept this request now.
 	result.Busy.Number:         {Target: NoSlot, NeedsRetryAfter: true},
 	result.QueueFull.Number:    {Target: QueueFull, NeedsRetryAfter: true},
 	result.QueueTooSlow.Number: {Target: QueueFull, NeedsRetryAfter: true},
@@ -45,7 +45,7 @@
 	result.Unproven.Number:     {Target: Hanging, NeedsRetryAfter: true},
 	result.RetryLimit.Number:   {Target: NoRetryBudget, NeedsRetryAfter: true},
 
-	// The request did not come to run there.
+	// The request was not run by the backend server.
 	result.ReservationExpired.Number: {NeedsRetryAfter: true},
 	result.MovedOn.Number:            {NeedsRetryAfter: true},
 	result.ConnectionUnused.Number:   {},
@@ -67,9 +67,9 @@
 	result.AnswerCut.Number:            {Reached: true, Evidence: detect.ConnectionLost},
 	result.SpoiltAnswer.Number:         {Reached: true, Evidence: detect.ConnectionLost},
 	result.ServerFailed.Number:         {Reached: true, Evidence: detect.Error},
-	result.ServerError.Number:          {Reached: true}, // the answer that it stands for was evidence already
+	result.ServerError.Number:          {Reached: true}, // the answer that it stands for has already been recorded as evidence
 
-	// Operators' calls, with which no sidecar answers a request.
+	// Operators' calls; no sidecar answers a request with these.
 	result.BadDeclaration.Number:  {},
 	result.RevisionChanged.Number: {},
 	result.PlatformDown.Number:    {NeedsRetryAfter: true},
