--- a/internal/lend/lend_test.go
+++ b/internal/lend/lend_test.go
@@ -15,26 +15,27 @@
 	"github.com/tideliftd/tidelift/internal/retry"
 )
 
-// TestBorrow asks hosts for a retry of which some lend, are away or are none to ask.
+// TestBorrow guards against borrowing from hosts that cannot lend, and against failing to borrow
+// from those that can.
 func TestBorrow(t *testing.T) {
 	self := fleet.Host{Name: "csepel-1", DataCentre: "csepel"}
-	near := fleet.Host{Name: "csepel-2", DataCentre: "csepel"}
-	far := fleet.Host{Name: "obuda-1", DataCentre: "obuda"}
+	local := fleet.Host{Name: "csepel-2", DataCentre: "csepel"}
+	remote := fleet.Host{Name: "obuda-1", DataCentre: "obuda"}
 	tests := map[string]struct {
-		hosts      []fleet.Host
-		undeclared bool
-		away       string
-		lends      string // the host that lends
-		want       bool
+		hosts       []fleet.Host
+		undeclared  bool
+		unreachable string
+		lends       string // name of the host that lends
+		want        bool
 	}{
-		"one of the data centre lends":    {hosts: []fleet.Host{near}, lends: near.Name, want: true},
-		"one elsewhere lends":             {hosts: []fleet.Host{far}, lends: far.Name, want: true},
-		"nobody lends":                    {hosts: []fleet.Host{near, far}},
-		"this host is not asked":          {hosts: []fleet.Host{self}, lends: self.Name},
-		"one that is away is not asked":   {hosts: []fleet.Host{near}, lends: near.Name, away: near.Name},
-		"without a declaration nobody is": {hosts: []fleet.Host{near}, lends: near.Name, undeclared: true},
-		"without an answer there is none": {hosts: []fleet.Host{near}, lends: "csepel-3"},
-		"there is no host to ask":         {},
+		"a host of the data centre lends":          {hosts: []fleet.Host{local}, lends: local.Name, want: true},
+		"a remote host lends":                      {hosts: []fleet.Host{remote}, lends: remote.Name, want: true},
+		"no host lends":                            {hosts: []fleet.Host{local, remote}},
+		"this host is not queried":                 {hosts: []fleet.Host{self}, lends: self.Name},
+		"an unreachable host is not queried":       {hosts: []fleet.Host{local}, lends: local.Name, unreachable: local.Name},
+		"no host is queried without a declaration": {hosts: []fleet.Host{local}, lends: local.Name, undeclared: true},
+		"no retry without an answer":               {hosts: []fleet.Host{local}, lends: "csepel-3"},
+		"no hosts":                                 {},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -43,7 +44,7 @@
 				DataCentre:  self.DataCentre,
 				Budgets:     retry.NewBudgets(retry.Config{StartedAt: time.Now(), Borrows: true}),
 				Hosts:       func() ([]fleet.Host, bool) { return test.hosts, !test.undeclared },
-				Unreachable: func(host string) bool { return host == test.away },
+				Unreachable: func(host string) bool { return host == test.unreachable },
 				Call: func(_ context.Context, host fleet.Host, method control.Method, _, answer any) error {
 					if method != control.MethodLend || host.Name == self.Name {
 						t.Errorf("%s is called at %s", method, host.Name)
@@ -63,26 +64,27 @@
 	}
 }
 
-// TestBorrowAsksItsDataCentreFirst has hosts of both to ask, of which all lend.
-func TestBorrowAsksItsDataCentreFirst(t *testing.T) {
-	var asked []string
+// TestBorrowQueriesItsDataCentreFirst guards against a first query to another data centre when both
+// could lend.
+func TestBorrowQueriesItsDataCentreFirst(t *testing.T) {
+	var queried []string
 	lender := lend.New(lend.Config{
 		Host:       "csepel-1",
 		DataCentre: "csepel",
 		Budgets:    retry.NewBudgets(retry.Config{StartedAt: time.Now(), Borrows: true}),
 		Hosts: func() ([]fleet.Host, bool) {
-			near := slices.Repeat([]fleet.Host{{Name: "csepel-2", DataCentre: "csepel"}}, 32)
-			return append(near, fleet.Host{Name: "obuda-1", DataCentre: "obuda"}), true
+			local := slices.Repeat([]fleet.Host{{Name: "csepel-2", DataCentre: "csepel"}}, 32)
+			return append(local, fleet.Host{Name: "obuda-1", DataCentre: "obuda"}), true
 		},
 		Unreachable: func(string) bool { return false },
 		Call: func(_ context.Context, host fleet.Host, _ control.Method, _, answer any) error {
-			asked = append(asked, host.Name)
+			queried = append(queried, host.Name)
 			answer.(*control.Lent).Granted = true
 			return nil
 		},
 		Scope: tally.NoopScope,
 	})
-	if !lender.Borrow(context.Background(), "lookup") || len(asked) != 1 || asked[0] != "csepel-2" {
-		t.Fatalf("asked %v", asked)
+	if !lender.Borrow(context.Background(), "lookup") || len(queried) != 1 || queried[0] != "csepel-2" {
+		t.Fatalf("queried %v", queried)
 	}
 }
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -6,116 +6,112 @@
 )
 
 const (
-	// carriedOver is the part of their share that requests earn for the window after the one in which they
-	// are sent; the rest they earn for that one. Source: budgets of different daemons spend at
-	// different times of a window, so each part must be counted in the same way by all; then their
-	// sum is at most the share of the better of both windows. What is carried over pays for what fails all
-	// at once after a calm; the rest is there when everything has just started: in the seconds 6 to 12
-	// of a day, with a half carried over, 20 to 23 of 26 hosts had no retry left of a service whose limit
-	// was half used. Callers got no more of a quarter in place of a half on six days by three seeds.
-	carriedOver = 0.25
-	// slackPart is the part of the slack that hosts may use without a request that earned it. Source:
-	// the rest is for hosts that have not been heard of, a third of those that have, and for calls
-	// that were not expected.
-	slackPart = 0.75
-	// oneRetry is what a retry costs.
+	// carryOverShare is the part of its share of a retry that a request earns for the window after
+	// its own. Each daemon must use the same value: only then is the sum of their retries at most
+	// the share of the better of both windows.
+	carryOverShare = 0.25
+	// usableSlackShare is the part of the slack that hosts may use. The rest is a reserve for hosts
+	// that are not known yet and for calls that were not expected.
+	usableSlackShare = 0.75
+	// oneRetry is the cost of a retry.
 	oneRetry = 1
 )
 
-// Limit is how many retries a service may have.
+// Limit limits the retries of a service.
 type Limit struct {
-	// Share is the retries as a share of the service's requests, from 0 to 1.
+	// Share is the ratio of retries to the service's requests, from 0 to 1.
 	Share float64
-	// Slack is how many retries beyond that the service may get in a window.
+	// Slack is the number of retries beyond Share that the service may get in a window.
 	Slack float64
-	// Window is the time over which both are counted, more than zero.
+	// Window is the time over which both are counted; it must be positive.
 	Window time.Duration
-	// Hosts is how many hosts share the slack; zero if they have not been counted, so that there is
-	// none.
+	// Hosts is the number of hosts that share the slack; zero if they have not been counted, so
+	// that the slack is zero.
 	Hosts int
 }
 
-// Budget bounds the retries of one service that one daemon answers for. It allows nothing until
-// Resize.
+// Budget limits the retries of one service that one daemon accounts for. It allows none until
+// SetLimit is called.
 type Budget struct {
-	size           Limit
-	hosts          int // the most that were ever known
-	began          time.Time
-	slackUnusedFor time.Duration // before the daemon began
+	limit          Limit
+	maxHosts       int // the most that were ever known
+	startedAt      time.Time
+	slackUnusedFor time.Duration // before the daemon started
 	counted        window
 	inFlight       int // retries that were taken and have not ended
 }
 
-// NewBudget returns the budget of a daemon that began then. One that starts again gets no part of the
-// slack before all that it spent of it in its last incarnation is out of the window.
-func NewBudget(began time.Time) *Budget { return &Budget{began: began} }
+// NewBudget returns the budget of a daemon that started at that time. A restarted daemon gets no
+// part of the slack until all that its previous incarnation used of it is out of the window.
+func NewBudget(startedAt time.Time) *Budget { return &Budget{startedAt: startedAt} }
 
-// Clear records that this host's part of the slack was not used for that long before the daemon began,
-// so that it need not wait as long for it.
-func (b *Budget) Clear(before time.Duration) { b.slackUnusedFor = before }
+// SetSlackUnusedFor records that this host's part of the slack was unused for that long before the
+// daemon started, which shortens the wait for it.
+func (b *Budget) SetSlackUnusedFor(before time.Duration) { b.slackUnusedFor = before }
 
-// Resize puts a new size in force. What was counted stays; if the window changes, the budget begins anew.
-func (b *Budget) Resize(now time.Time, size Limit) {
-	if b.size.Window != size.Window {
-		b.counted = window{length: size.Window}
+// SetLimit sets the limit. Counts are kept unless the window changes, in which case the budget
+// starts over.
+func (b *Budget) SetLimit(now time.Time, limit Limit) {
+	if b.limit.Window != limit.Window {
+		b.counted = window{length: limit.Window}
 	}
-	if b.size.Window != size.Window && b.size.Window != 0 {
-		b.began, b.slackUnusedFor = now, 0
+	if b.limit.Window != limit.Window && b.limit.Window != 0 {
+		b.startedAt, b.slackUnusedFor = now, 0
 	}
-	b.size = size
-	b.hosts = max(b.hosts, size.Hosts)
+	b.limit = limit
+	b.maxHosts = max(b.maxHosts, limit.Hosts)
 }
 
-// Suspend allows nothing until Resize; what was counted stays.
-func (b *Budget) Suspend() { b.size = Limit{Window: b.size.Window} }
+// Suspend allows no retries until SetLimit is called; the counts are kept.
+func (b *Budget) Suspend() { b.limit = Limit{Window: b.limit.Window} }
 
-// Empty reports whether nothing was counted for two windows, and nothing is on its way.
+// Empty reports whether nothing was counted for two windows and no retry is in flight.
 func (b *Budget) Empty(now time.Time) bool {
 	return b.inFlight == 0 && (b.counted.current(now) == nil || b.counted.empty())
 }
 
-// Earn counts a request that is sent for the first time.
-func (b *Budget) Earn(now time.Time) {
+// CountRequest counts a request that is sent for the first time.
+func (b *Budget) CountRequest(now time.Time) {
 	if c := b.counted.current(now); c != nil {
 		c.requests++
 	}
 }
 
-// Left returns how many retries may be taken.
-func (b *Budget) Left(now time.Time) int {
+// Remaining returns the number of retries that may be taken.
+func (b *Budget) Remaining(now time.Time) int {
 	if b.counted.current(now) == nil {
 		return 0
 	}
 	slack := b.slack(now)
-	least := b.counted.least(func(c counts) float64 {
-		earned := carriedOver*float64(c.before) + (1-carriedOver)*float64(c.since)
-		return b.size.Share*earned + slack - float64(c.retries)
+	minimum := b.counted.minimum(func(c counts) float64 {
+		earned := carryOverShare*float64(c.before) + (1-carryOverShare)*float64(c.since)
+		return b.limit.Share*earned + slack - float64(c.retries)
 	})
-	return max(0, int(math.Floor(least))-b.inFlight)
+	return max(0, int(math.Floor(minimum))-b.inFlight)
 }
 
-// slack is this budget's part of the slack.
+// slack returns this budget's part of the slack.
 func (b *Budget) slack(now time.Time) float64 {
-	if b.size.Hosts == 0 || now.Before(b.began.Add(b.size.Window-b.slackUnusedFor)) {
+	if b.limit.Hosts == 0 || now.Before(b.startedAt.Add(b.limit.Window-b.slackUnusedFor)) {
 		return 0
 	}
-	return slackPart * b.size.Slack / float64(b.hosts)
+	return usableSlackShare * b.limit.Slack / float64(b.maxHosts)
 }
 
-// Take takes a retry, and reports whether one was left. It must be ended.
+// Take takes a retry, and reports whether one was left. The caller must call End for it.
 func (b *Budget) Take(now time.Time) bool {
-	if b.Left(now) < oneRetry {
+	if b.Remaining(now) < oneRetry {
 		return false
 	}
 	b.inFlight++
 	return true
 }
 
-// Charge takes a retry that is made whether one is left or not. It must be ended.
+// Charge takes a retry that is made whether one is left or not. The caller must call End for it.
 func (b *Budget) Charge() { b.inFlight++ }
 
-// End ends a retry that was taken. One that was sent counts for a window from now on, since it
-// arrived at the latest now; one that was not costs nothing.
+// End ends a retry that was taken. One that was sent counts for a window from now on, the latest
+// time at which it can have arrived; one that was not sent costs nothing.
 func (b *Budget) End(now time.Time, sent bool) {
 	b.inFlight--
 	if c := b.counted.current(now); c != nil && sent {
--- a/internal/retry/budgets.go
+++ b/internal/retry/budgets.go
@@ -1,47 +1,49 @@
-// Package retry keeps the retries of a whole service within its limit. Whether a failed attempt
-// may be tried again, if the limit leaves a retry for it, is decided in package attempts.
+// Package retry keeps the retries of a whole service within its limit. Package attempts decides
+// whether a failed attempt may be retried at all.
 //
-// The limit is on what all daemons together do to a service: in any window of time its backend
-// servers get at most a share of its requests, and a slack, as retries. A retry is a request that is
-// sent to a backend server once more, and each call of a run that was a retry itself. Nobody counts
-// the sum. A Budgets is what one daemon answers for: the requests that begin on its host, and what
-// the backend servers of its host call. It takes a retry only from what those requests earned, so
-// that the sum holds whatever else happens: no daemon needs to know how many there are, one
-// that starts again has earned nothing yet, and one that is cut off earns no more than before.
+// The limit covers what all daemons together do to a service: in any window of time, its backend
+// servers get at most a share of its requests, plus a slack, as retries. A retry is a request that is
+// sent to a backend server again, and each call of a run that was itself a retry. The sum is not
+// counted anywhere. A Budgets accounts for the part of one daemon: the requests that begin on its
+// host, and the calls of the host's backend servers. It takes retries only from what those requests
+// earned, so the limit holds for the sum without coordination: no daemon needs to know how many
+// there are, a restarted daemon has earned nothing yet, and a partitioned one earns no more than
+// before.
 //
-// A host's budgets are in budgets.go, one of them in budget.go, what it counts over time in window.go,
-// what hosts lend each other in lend.go, and what runs call in calls.go.
+// The budgets of a host are in budgets.go, a single one in budget.go, its counts over time in
+// window.go, the loans between hosts in lend.go, and the calls of runs in calls.go.
 //
 // # Usage
 //
-//	budgets := retry.NewBudgets(retry.Config{Began: now})
-//	budgets.Resize(now, map[string]retry.Size{"lookup": {Share: 0.2, Slack: 56, Window: 10 * time.Second, Hosts: 21}})
-//	budgets.Request(now, "lookup") // for each request that begins here
+//	budgets := retry.NewBudgets(retry.Config{StartedAt: now})
+//	budgets.SetLimits(now, map[string]retry.Limit{"lookup": {Share: 0.2, Slack: 56, Window: 10 * time.Second, Hosts: 21}})
+//	budgets.RecordRequest(now, "lookup") // for each request that begins here
 //	if budgets.Take(now, "lookup") {
 //		// send it
 //		budgets.End(now, "lookup", reached)
 //	}
 //	...
-//	if budgets.Begin(now, run, nil) { // the backend server of the host is sent a request
-//		defer budgets.Finish(now, run)
+//	if budgets.BeginRun(now, run, nil) { // the backend server of the host is sent a request
+//		defer budgets.FinishRun(now, run)
 //	}
-//	budgets.Call(now, run, "records") // the run calls another service
+//	budgets.RecordCall(now, run, "records") // the run calls another service
 //
 // # Rules
 //
-//   - A request earns most of its share of a retry in the window in which it is sent, and a quarter in
-//     the next one. Each daemon's retries of any window are paid in this way from its requests of that
-//     window and the one before, so all daemons' together are too: at most the share of the better of
-//     both.
-//   - Three quarters of the slack are shared by the hosts that the platform's store listed. Each uses its
-//     part once nobody can have used it within a window, and while the store has its record.
+//   - A request earns three quarters of its share of a retry in the window in which it is sent, and a
+//     quarter in the next one. Each daemon's retries of a window are paid from its requests of that
+//     window and the one before, so the retries of all daemons together are at most the share of the
+//     better of both windows.
+//   - Three quarters of the slack are divided among the hosts that the platform's store listed. Each
+//     host uses its part once no previous daemon of that host can have used it within a window, and
+//     while the store has its record.
 //   - A host that has no retry left may borrow one, which counts at the lender.
-//   - A retry runs only where there is room for the calls that it may make, by what runs of its
-//     service called in the last minutes. Calls beyond that are made, and paid back.
+//   - A retry runs only if there is room for the calls that it may make, judged by the calls of the
+//     service's runs in the last minutes. Calls beyond that are made, and charged to the budget.
 //
-// The bound does not cover calls whose id does not tell of the run that made them, nor a fleet of
-// which more than a quarter has not been heard of by the rest. A retry that waits for a slot for more
-// than a thirteenth of the window may count in a later one.
+// The limit does not cover calls whose id does not identify the run that made them, or a fleet in
+// which more than a quarter of the hosts is unknown to the rest. A retry that waits for a slot for
+// more than a thirteenth of the window may count in a later one.
 package retry
 
 import (
@@ -49,51 +51,53 @@
 	"time"
 )
 
-// Config tells whose budgets it is.
+// Config configures the budgets of a host.
 type Config struct {
-	// StartedAt is when the daemon began.
+	// StartedAt is the time at which the daemon started.
 	StartedAt time.Time
-	// Borrows says that other hosts can be asked for retries.
+	// Borrows is set if retries can be borrowed from other hosts.
 	Borrows bool
 }
 
-// Budgets is the budgets of one host, by service. It answers for the requests that begin on the host,
-// and for what its backend servers call. It is safe for concurrent use.
+// Budgets holds the budgets of one host, by service. It accounts for the requests that begin on the
+// host and for the calls of its backend servers. It is safe for concurrent use.
 type Budgets struct {
 	config Config
 
-	mu      sync.Mutex
-	sizes   map[string]Limit
-	budgets map[string]*Budget
-	running map[string]*running  // by id
-	lent    []lent               // the oldest first
-	refused map[string]time.Time // when others had none, by service
-	// calls is the most that a run called of each service, by the run's service and that; those
-	// learned before are in callsBefore, which is forgotten once calls are older than learnedFor.
-	calls, callsBefore map[callPath]int
-	callsSince         time.Time
-	slackUnusedFor     time.Duration // before the daemon began; this host's part of the slack was not used then
+	mu        sync.Mutex
+	limits    map[string]Limit
+	budgets   map[string]*Budget
+	running   map[string]*running  // by request id
+	lent      []lent               // the oldest first
+	refusedAt map[string]time.Time // when no other host had a retry to lend, by service
+	// calls is the largest number of calls that one run made, by the service of the run and the
+	// service called. previousCalls holds the values learned before; it is dropped once calls is
+	// older than callRetention.
+	calls, previousCalls map[callPath]int
+	callsSince           time.Time
+	slackUnusedFor       time.Duration // how long before the daemon started this host used no slack
 }
 
-// NewBudgets returns the budgets of one host. It allows nothing until Resize.
+// NewBudgets returns the budgets of one host. They allow no retries until SetLimits is called.
 func NewBudgets(config Config) *Budgets {
 	return &Budgets{
-		config: config, budgets: make(map[string]*Budget), running: make(map[string]*running), refused: make(map[string]time.Time),
-		calls: make(map[callPath]int), callsBefore: make(map[callPath]int), callsSince: config.StartedAt,
+		config: config, budgets: make(map[string]*Budget), running: make(map[string]*running), refusedAt: make(map[string]time.Time),
+		calls: make(map[callPath]int), previousCalls: make(map[callPath]int), callsSince: config.StartedAt,
 	}
 }
 
-// SetLimits puts the limits of the services in force. One that is no longer declared has no retries; its budget
-// is kept until it is empty, so that a service that is declared again has nothing twice.
-func (b *Budgets) SetLimits(now time.Time, sizes map[string]Limit) {
+// SetLimits sets the limits of the services. A service that is no longer declared has no retries;
+// its budget is kept until it is empty, so that a service that is declared again does not get its
+// retries twice.
+func (b *Budgets) SetLimits(now time.Time, limits map[string]Limit) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.sizes = sizes
+	b.limits = limits
 	for service, budget := range b.budgets {
-		size, declared := sizes[service]
+		limit, declared := limits[service]
 		switch {
 		case declared:
-			budget.Resize(now, size)
+			budget.SetLimit(now, limit)
 		case budget.Empty(now):
 			delete(b.budgets, service)
 		default:
@@ -102,24 +106,23 @@
 	}
 }
 
-// SetSlackUnused records that no daemon of this host used its part of the slack for that long before this one
-// began.
+// SetSlackUnused records that no daemon of this host used its part of the slack for that long
+// before this one started.
 func (b *Budgets) SetSlackUnused(before time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.slackUnusedFor = before
 	for _, budget := range b.budgets {
-		budget.Clear(before)
+		budget.SetSlackUnusedFor(before)
 	}
 }
 
-// budget returns the budget of a service. The caller holds mu.
 func (b *Budgets) budget(service string) *Budget {
 	budget, ok := b.budgets[service]
 	if !ok {
 		budget = NewBudget(b.config.StartedAt)
-		budget.Clear(b.slackUnusedFor)
-		budget.Resize(b.config.StartedAt, b.sizes[service])
+		budget.SetSlackUnusedFor(b.slackUnusedFor)
+		budget.SetLimit(b.config.StartedAt, b.limits[service])
 		b.budgets[service] = budget
 	}
 	return budget
@@ -129,26 +132,27 @@
 func (b *Budgets) RecordRequest(now time.Time, service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.budget(service).Earn(now)
+	b.budget(service).CountRequest(now)
 }
 
 // Available reports whether a retry may be taken.
 func (b *Budgets) Available(now time.Time, service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.endLent(now)
-	return b.budget(service).Left(now) >= oneRetry
+	b.endExpiredLoans(now)
+	return b.budget(service).Remaining(now) >= oneRetry
 }
 
-// Take takes a retry of a request to the service, and reports whether one was left. It must be ended.
+// Take takes a retry of a request to the service, and reports whether one was left. The caller must
+// call End for it.
 func (b *Budgets) Take(now time.Time, service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.endLent(now)
+	b.endExpiredLoans(now)
 	return b.budget(service).Take(now)
 }
 
-// End ends a retry that was taken, or a call of a retried run: sent tells whether it was sent.
+// End ends a retry that was taken, or a call of a retried run. sent reports whether it was sent.
 func (b *Budgets) End(now time.Time, service string, sent bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/retry/calls.go
+++ b/internal/retry/calls.go
@@ -6,29 +6,28 @@
 	"github.com/tideliftd/tidelift/internal/runs"
 )
 
-// learnedFor is the least time for which it is remembered what runs of a service call. Source:
-// services change what they call when they are released, and a run that called more than
-// others should not count for long.
-const learnedFor = time.Minute
+// callRetention is the minimum time for which the calls of a service's runs are remembered. It is
+// short, since releases change the calls, and an unusually large run should not count for long.
+const callRetention = time.Minute
 
-// callPath is whose runs call which service.
+// callPath identifies the calls from the runs of one service to another service.
 type callPath struct{ from, to string }
 
-// running is a request that a backend server runs, or several of the same id.
+// running is a request that a backend server runs, or several with the same id.
 type running struct {
 	count    int
-	made     map[string]int // calls, by service
-	reserved map[string]int // retries that are reserved for calls, by service
-	// borrowed are retries that others lent for calls, by service, each until when it is good.
+	made     map[string]int // number of calls, by service
+	reserved map[string]int // number of retries reserved for calls, by service
+	// borrowed holds the expiry times of the retries borrowed for calls, by service.
 	borrowed map[string][]time.Time
 }
 
 // MayRun reports whether a retry may run at a backend server of the service on this host: whether
-// the retries that its calls will be are left or may be borrowed.
+// the retries for its calls are left or may be borrowed.
 func (b *Budgets) MayRun(now time.Time, service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, called := range b.missing(now, service) {
+	for _, called := range b.shortfall(now, service) {
 		if !b.mayBorrow(now, called) {
 			return false
 		}
@@ -36,32 +35,32 @@
 	return true
 }
 
-// Shortfall returns the services of which a retry has to be borrowed before one of that service runs
-// here, each as often as that.
+// Shortfall returns the services of which retries have to be borrowed before a retry of that
+// service runs on this host. A service appears once for each retry.
 func (b *Budgets) Shortfall(now time.Time, service string) []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.missing(now, service)
+	return b.shortfall(now, service)
 }
 
-// missing is Missing. The caller holds mu.
-func (b *Budgets) missing(now time.Time, service string) []string {
-	b.forgetOld(now)
-	b.endLent(now)
-	var missing []string
+// shortfall implements Shortfall. The caller holds mu.
+func (b *Budgets) shortfall(now time.Time, service string) []string {
+	b.rotateCalls(now)
+	b.endExpiredLoans(now)
+	var shortfall []string
 	for called, count := range b.expected(service) {
-		for range count - b.budget(called).Left(now) {
-			missing = append(missing, called)
+		for range count - b.budget(called).Remaining(now) {
+			shortfall = append(shortfall, called)
 		}
 	}
-	return missing
+	return shortfall
 }
 
-// expected returns how many calls a run of the service may make, by the service called. The caller
-// holds mu.
+// expected returns the number of calls that a run of the service may make, by the service
+// called. The caller holds mu.
 func (b *Budgets) expected(service string) map[string]int {
 	expected := make(map[string]int)
-	for _, calls := range []map[callPath]int{b.calls, b.callsBefore} {
+	for _, calls := range []map[callPath]int{b.calls, b.previousCalls} {
 		for path, count := range calls {
 			if path.from == service {
 				expected[path.to] = max(expected[path.to], count)
@@ -71,21 +70,21 @@
 	return expected
 }
 
-// forgetOld forgets what was learned long ago. The caller holds mu.
-func (b *Budgets) forgetOld(now time.Time) {
-	if now.Sub(b.callsSince) < learnedFor {
+// rotateCalls drops old call counts. The caller holds mu.
+func (b *Budgets) rotateCalls(now time.Time) {
+	if now.Sub(b.callsSince) < callRetention {
 		return
 	}
-	b.calls, b.callsBefore, b.callsSince = make(map[callPath]int), b.calls, now
+	b.calls, b.previousCalls, b.callsSince = make(map[callPath]int), b.calls, now
 }
 
-// BeginRun records that a backend server of the host is sent the request. For a retry it reserves the
-// retries that its calls will be, the borrowed ones among them; if they are not left it reports false,
-// and the request must not be sent. One that was begun must be ended with Finish.
+// BeginRun records that a backend server of the host is sent the request. For a retry it reserves
+// the retries for its calls, including the borrowed ones; if they are not left, it returns false,
+// and the request must not be sent. If it returns true, the caller must call FinishRun.
 func (b *Budgets) BeginRun(now time.Time, run runs.Run, borrowed []string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if run.Retry && len(b.missing(now, run.Service)) > len(borrowed) {
+	if run.Retry && len(b.shortfall(now, run.Service)) > len(borrowed) {
 		return false
 	}
 	if run.ID == "" {
@@ -103,10 +102,10 @@
 	return true
 }
 
-// reserve reserves the expected calls' retries for the run. The caller holds mu.
+// reserve reserves retries for the expected calls of the run. The caller holds mu.
 func (b *Budgets) reserve(now time.Time, r *running, expected map[string]int, borrowed []string) {
 	for _, service := range borrowed {
-		r.borrowed[service] = append(r.borrowed[service], now.Add(LentFor(b.sizes[service].Window)))
+		r.borrowed[service] = append(r.borrowed[service], now.Add(LoanTTL(b.limits[service].Window)))
 		expected[service]--
 	}
 	for service, count := range expected {
@@ -117,7 +116,8 @@
 	}
 }
 
-// FinishRun records that a run has ended, and gives back what was reserved for its calls and not used.
+// FinishRun records that a run has ended, and returns unused retries that were reserved for its
+// calls.
 func (b *Budgets) FinishRun(now time.Time, run runs.Run) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -137,18 +137,18 @@
 	}
 }
 
-// RecordCall records that a run of the host calls the service, and reports whether the call must be ended
-// with End. That of a retry draws on what was reserved for it, or on what is left, and is made also if
-// nothing is. That of a first run counts as a request.
+// RecordCall records that a run of the host calls the service, and reports whether the caller must
+// call End for it. A call of a retry uses what was reserved for it, or else what is left, and is
+// made even if nothing is left. A call of a first run counts as a request.
 func (b *Budgets) RecordCall(now time.Time, from runs.Run, service string) (mustEnd bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r, ok := b.running[from.ID]
 	if ok {
-		b.recordCall(now, callPath{from.Service, service}, r)
+		b.learnCall(now, callPath{from.Service, service}, r)
 	}
 	if !from.Retry {
-		b.budget(service).Earn(now)
+		b.budget(service).CountRequest(now)
 		return false
 	}
 	if ok && r.useBorrowed(now, service) {
@@ -162,15 +162,15 @@
 	return true
 }
 
-// recordCall records that the run makes a call. The caller holds mu.
-func (b *Budgets) recordCall(now time.Time, path callPath, r *running) {
-	b.forgetOld(now)
+// learnCall updates the call counts of the run and its service. The caller holds mu.
+func (b *Budgets) learnCall(now time.Time, path callPath, r *running) {
+	b.rotateCalls(now)
 	r.made[path.to]++
 	b.calls[path] = max(b.calls[path], r.made[path.to])
 }
 
-// useBorrowed uses a retry that was borrowed for a call of the service, if there is one that is
-// good.
+// useBorrowed removes a retry that was borrowed for a call of the service, and reports whether
+// there was one that had not expired.
 func (r *running) useBorrowed(now time.Time, service string) bool {
 	borrowed := r.borrowed[service]
 	if len(borrowed) == 0 {
--- a/internal/retry/fleet_test.go
+++ b/internal/retry/fleet_test.go
@@ -11,24 +11,21 @@
 	"github.com/tideliftd/tidelift/internal/retry"
 )
 
-// Users saw more retries at a service than its limit allows, ten seconds long, while backend
-// servers of two services broke connections and others came and went. Every daemon kept to its
-// own part. What was missing in the sum: calls of runs that were retries themselves (a third of
-// what counted, on a day that was played with a line for each sending), and hosts that did not
-// add up, since each start had one of its own and daemons knew of between three and six.
+// The simulation guards against a sum of retries beyond a service's limit while every daemon keeps to
+// its own part: calls of runs that are retries themselves, and hosts that daemons count differently.
 
 const (
 	fleetShare  = 0.2
 	fleetSlack  = 40.0
 	fleetWindow = 10 * time.Second
 	fleetHosts  = 20
-	// calledHosts are those whose backend servers the others' call.
-	calledHosts = 5
-	fleetPlay   = 40 * time.Second
-	fleetTick   = 50 * time.Millisecond
+	// calledHosts is the number of hosts whose backend servers the others call.
+	calledHosts   = 5
+	fleetDuration = 40 * time.Second
+	fleetTick     = 50 * time.Millisecond
 )
 
-// serviceName is one of two services: runs of search call names.
+// serviceName names one of two services: runs of search call names.
 type serviceName string
 
 const (
@@ -36,49 +33,50 @@
 	names  serviceName = "names"
 )
 
-// trouble says what happens to the fleet while it is played.
-type trouble struct {
-	failing   float64 // share of the arrivals that fail
-	calls     float64 // share of the runs of search that call names
-	starts    float64 // backend servers that start again under a new name, a second
-	restarts  float64 // daemons that start again with an empty memory, a second
-	hearsLate bool    // daemons hear of starts and ends seconds late, each by its own delay
-	cut       bool    // daemons hear only of those of their own half
+// faults describes the faults of the simulated fleet.
+type faults struct {
+	failing        float64 // share of the arrivals that fail
+	calls          float64 // share of the runs of search that call names
+	serverRestarts float64 // restarts of backend servers under a new name, per second
+	daemonRestarts float64 // restarts of daemons with an empty state, per second
+	lateUpdates    bool    // daemons learn of starts and ends seconds late, each with its own delay
+	partitioned    bool    // daemons learn only of the hosts in their own half
 }
 
-// simHost is a host of the simulated fleet: a daemon, with a backend server beside it.
+// simHost is a host of the simulated fleet, with a daemon and a backend server.
 type simHost struct {
 	number  int
 	service serviceName
-	away    bool // its backend server has ended and not started again
+	down    bool // its backend server has ended and not started again
 	daemon  simDaemon
 }
 
-// simRequest is a request on its way: to a service, from a host.
+// simRequest is a request from a host to a service.
 type simRequest struct {
 	service  serviceName
 	from     *simHost
-	ofRetry  bool // a run that is a retry itself has called it
+	ofRetry  bool // called by a run that is itself a retry
 	arrivals int
 }
 
-// simFleet plays the hosts of both services, and counts as users do.
+// simFleet simulates the hosts of both services, and counts requests and retries independently of
+// the budgets.
 type simFleet struct {
-	random  *rand.Rand
-	trouble trouble
-	now     time.Time
-	hosts   []*simHost
-	later   map[int64][]func() // by the number of the tick
-	tick    int64
-	// requests and retries are when they were sent and when they arrived.
+	random *rand.Rand
+	faults faults
+	now    time.Time
+	hosts  []*simHost
+	later  map[int64][]func() // by tick number
+	tick   int64
+	// requests holds the times of sending, retries those of arrival.
 	requests map[serviceName][]time.Time
 	retries  map[serviceName][]time.Time
 	refused  int // retries that the limit refused
 }
 
-func newSimFleet(seed uint64, t trouble) *simFleet {
+func newSimFleet(seed uint64, t faults) *simFleet {
 	f := &simFleet{
-		random: rand.New(rand.NewPCG(seed, 0)), trouble: t, now: epoch, later: make(map[int64][]func()),
+		random: rand.New(rand.NewPCG(seed, 0)), faults: t, now: epoch, later: make(map[int64][]func()),
 		requests: make(map[serviceName][]time.Time), retries: make(map[serviceName][]time.Time),
 	}
 	for n := range fleetHosts {
@@ -94,16 +92,16 @@
 	return f
 }
 
-// play plays the fleet with so many requests a second of each service.
-func (f *simFleet) play(perSecond map[serviceName]float64) {
-	for ; f.now.Sub(epoch) < fleetPlay; f.now = f.now.Add(fleetTick) {
+// simulate runs the simulation with that many requests per second to each service.
+func (f *simFleet) simulate(perSecond map[serviceName]float64) {
+	for ; f.now.Sub(epoch) < fleetDuration; f.now = f.now.Add(fleetTick) {
 		for _, due := range f.later[f.tick] {
 			due()
 		}
 		delete(f.later, f.tick)
-		f.change()
+		f.restart()
 		for _, service := range []serviceName{search, names} {
-			for range f.chance(perSecond[service]) {
+			for range f.eventCount(perSecond[service]) {
 				f.send(&simRequest{service: service, from: f.hosts[f.random.IntN(len(f.hosts))]})
 			}
 		}
@@ -111,8 +109,8 @@
 	}
 }
 
-// chance returns how often something happens in this tick that does so many times a second.
-func (f *simFleet) chance(perSecond float64) int {
+// eventCount returns how often an event with that rate occurs in this tick.
+func (f *simFleet) eventCount(perSecond float64) int {
 	mean := perSecond * fleetTick.Seconds()
 	count := int(mean)
 	if f.random.Float64() < mean-float64(count) {
@@ -121,33 +119,35 @@
 	return count
 }
 
-// change lets backend servers and daemons start again.
-func (f *simFleet) change() {
-	for range f.chance(f.trouble.starts) {
+// restart restarts backend servers and daemons.
+func (f *simFleet) restart() {
+	for range f.eventCount(f.faults.serverRestarts) {
 		h := f.hosts[f.random.IntN(len(f.hosts))]
-		h.away = true
+		h.down = true
 		h.daemon.serverEnded()
-		f.in(time.Second, func() {
-			h.away = false
+		f.schedule(time.Second, func() {
+			h.down = false
 			h.daemon.serverStarted()
 		})
 	}
-	for range f.chance(f.trouble.restarts) {
+	for range f.eventCount(f.faults.daemonRestarts) {
 		h := f.hosts[f.random.IntN(len(f.hosts))]
 		h.daemon = newSimDaemon(f, h)
 	}
 }
 
-// in has something done after a while.
-func (f *simFleet) in(after time.Duration, do func()) {
+// schedule runs do after the delay.
+func (f *simFleet) schedule(after time.Duration, do func()) {
 	at := f.tick + max(1, int64(after/fleetTick))
 	f.later[at] = append(f.later[at], do)
 }
 
-// soon has something done within a third of a second: the way there, and a wait for a slot.
-func (f *simFleet) soon(do func()) { f.in(time.Duration(f.random.IntN(300))*time.Millisecond, do) }
+// scheduleArrival runs do within 300 ms: the network latency and the wait for a slot.
+func (f *simFleet) scheduleArrival(do func()) {
+	f.schedule(time.Duration(f.random.IntN(300))*time.Millisecond, do)
+}
 
-// send takes a request from its caller.
+// send sends a request for the first time.
 func (f *simFleet) send(r *simRequest) {
 	if !r.ofRetry {
 		f.requests[r.service] = append(f.requests[r.service], f.now)
@@ -158,43 +158,43 @@
 
 // pick returns a host with a backend server of the service, or nil.
 func (f *simFleet) pick(service serviceName) *simHost {
-	able := slices.DeleteFunc(slices.Clone(f.hosts), func(h *simHost) bool { return h.service != service || h.away })
+	able := slices.DeleteFunc(slices.Clone(f.hosts), func(h *simHost) bool { return h.service != service || h.down })
 	if len(able) == 0 {
 		return nil
 	}
 	return able[f.random.IntN(len(able))]
 }
 
-// sendTo sends the request, for the first time or again, if the limit allows that.
+// sendTo sends the request, for the first time or again, if the limit allows it.
 func (f *simFleet) sendTo(r *simRequest, to *simHost) {
 	if to == nil {
 		return
 	}
-	again := r.arrivals > 0
-	if again && !r.from.daemon.mayRetry(r, to) {
+	retried := r.arrivals > 0
+	if retried && !r.from.daemon.mayRetry(r, to) {
 		f.refused++
 		return
 	}
-	f.soon(func() { f.arrive(r, to, again) })
+	f.scheduleArrival(func() { f.arrive(r, to, retried) })
 }
 
 // arrive counts the arrival, and lets it fail or run.
-func (f *simFleet) arrive(r *simRequest, to *simHost, again bool) {
+func (f *simFleet) arrive(r *simRequest, to *simHost, retried bool) {
 	r.arrivals++
-	if again || r.ofRetry {
+	if retried || r.ofRetry {
 		f.retries[r.service] = append(f.retries[r.service], f.now)
 	}
-	end := to.daemon.run(r, again)
-	if r.service == search && f.random.Float64() < f.trouble.calls {
-		call := &simRequest{service: names, from: to, ofRetry: again || r.ofRetry}
-		f.soon(func() {
+	end := to.daemon.run(r, retried)
+	if r.service == search && f.random.Float64() < f.faults.calls {
+		call := &simRequest{service: names, from: to, ofRetry: retried || r.ofRetry}
+		f.scheduleArrival(func() {
 			to.daemon.calls(r, call)
 			f.send(call)
 		})
 	}
-	fails := f.random.Float64() < f.trouble.failing
-	f.in(400*time.Millisecond, func() {
-		r.from.daemon.arrived(r, again)
+	fails := f.random.Float64() < f.faults.failing
+	f.schedule(400*time.Millisecond, func() {
+		r.from.daemon.finishArrival(r, retried)
 		end()
 		if fails && r.arrivals < 2 {
 			f.sendTo(r, f.pick(r.service))
@@ -202,9 +202,9 @@
 	})
 }
 
-// worst returns by how many retries the window that begins with one of them exceeds the limit
-// most, and how many it has.
-func (f *simFleet) worst(service serviceName) (over float64, retries int) {
+// maxExcess returns the largest number by which a window that begins with a retry exceeds the
+// limit, and the number of retries in that window.
+func (f *simFleet) maxExcess(service serviceName) (over float64, retries int) {
 	over = -fleetSlack
 	for _, at := range f.retries[service] {
 		count := within(f.retries[service], at)
@@ -216,7 +216,7 @@
 	return over, retries
 }
 
-// within counts the times of the window that begins then.
+// within counts the times in the window that starts at begin.
 func within(times []time.Time, begin time.Time) int {
 	n := 0
 	for _, at := range times {
@@ -227,28 +227,28 @@
 	return n
 }
 
-// TestAFleetStaysWithinTheLimit plays a fleet in trouble and counts as users do, in any window:
-// all arrivals beyond a request's first, and calls of runs that were retries.
+// TestAFleetStaysWithinTheLimit guards against more retries at a service in any window than its
+// limit allows, counting every arrival beyond a request's first and the calls of retried runs.
 func TestAFleetStaysWithinTheLimit(t *testing.T) {
-	tests := map[string]trouble{
-		"calls of repeated runs":           {failing: 0.6, calls: 0.7},
-		"backend servers that start again": {failing: 0.6, starts: 4},
-		"daemons that restart":             {failing: 0.6, restarts: 6},
-		"daemons that hear late":           {failing: 0.6, starts: 1, hearsLate: true},
-		"a cut, and daemons that restart":  {failing: 0.6, restarts: 3, cut: true},
-		"all of it":                        {failing: 0.6, calls: 0.7, starts: 2, restarts: 3, hearsLate: true, cut: true},
+	tests := map[string]faults{
+		"calls of retried runs":                 {failing: 0.6, calls: 0.7},
+		"backend servers that restart":          {failing: 0.6, serverRestarts: 4},
+		"daemons that restart":                  {failing: 0.6, daemonRestarts: 6},
+		"daemons with late updates":             {failing: 0.6, serverRestarts: 1, lateUpdates: true},
+		"a partition, and daemons that restart": {failing: 0.6, daemonRestarts: 3, partitioned: true},
+		"all faults":                            {failing: 0.6, calls: 0.7, serverRestarts: 2, daemonRestarts: 3, lateUpdates: true, partitioned: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
 				f := newSimFleet(rapid.Uint64().Draw(t, "seed"), test)
-				f.play(map[serviceName]float64{
+				f.simulate(map[serviceName]float64{
 					search: rapid.Float64Range(5, 100).Draw(t, "requests of search a second"),
 					names:  rapid.Float64Range(0, 40).Draw(t, "requests of names a second"),
 				})
 				for _, service := range []serviceName{search, names} {
-					if over, retries := f.worst(service); over > 0 {
-						t.Fatalf("%s: %d repeats in a window, %.1f beyond the limit", service, retries, over)
+					if over, retries := f.maxExcess(service); over > 0 {
+						t.Fatalf("%s: %d retries in a window, %.1f beyond the limit", service, retries, over)
 					}
 				}
 			})
@@ -256,7 +256,7 @@
 	}
 }
 
-// fleetSize is what the limit of a service is, with so many hosts.
-func fleetSize(hosts int) retry.Limit {
+// fleetLimit returns the limit of a service for that many hosts.
+func fleetLimit(hosts int) retry.Limit {
 	return retry.Limit{Share: fleetShare, Slack: fleetSlack, Window: fleetWindow, Hosts: hosts}
 }
--- a/internal/retry/window.go
+++ b/internal/retry/window.go
@@ -3,85 +3,84 @@
 import "time"
 
 const (
-	// cellCount is how many cells a window is counted in. Source: what is counted is true to one of
-	// them, a quarter of a second for a window of ten.
-	cellCount = 40
-	// lateCells is how much later than it was taken a retry may arrive, in cells, and still count
-	// in the right window: 0.75 s for a window of ten seconds. Source: the way there and the wait
-	// for a slot; retries look for one that is free. It gives away a thirteenth of what is carried over.
-	lateCells = 3
+	// bucketCount is the number of buckets in a window. Times are accurate to one bucket, a quarter
+	// of a second for a window of ten seconds.
+	bucketCount = 40
+	// lateBuckets is the delay of a retry's arrival, in buckets, up to which it counts in the right
+	// window. It covers the network latency and the wait for a slot.
+	lateBuckets = 3
 )
 
-// LentFor is how long a retry that a host lends to another is good for, in a window of that length:
-// as much later as a retry may arrive.
-func LentFor(length time.Duration) time.Duration { return length / cellCount * lateCells }
+// LoanTTL returns the time for which a borrowed retry is valid, in a window of that length: the
+// delay with which a retry may arrive.
+func LoanTTL(length time.Duration) time.Duration { return length / bucketCount * lateBuckets }
 
-// window counts requests and retries over the last two windows. One without a length counts
+// window counts requests and retries over the last two windows. A window of zero length counts
 // nothing.
 type window struct {
 	length time.Duration
-	start  time.Time // of the first cell; zero until something is counted
-	// cells count the time of two windows; the newest is at newest modulo their number.
-	cells  [2 * cellCount]cell
-	newest int64
+	start  time.Time // of the first bucket; zero until something is counted
+	// buckets cover the time of two windows; the newest one is at newest modulo their number.
+	buckets [2 * bucketCount]bucket
+	newest  int64
 }
 
-// cell is what was counted in a part of the window.
-type cell struct{ requests, retries int32 }
+// bucket holds the counts of a part of the window.
+type bucket struct{ requests, retries int32 }
 
-// current returns the cell of that moment, after clearing those that are over. It is
-// nil for a window without a length that cells can share.
-func (w *window) current(now time.Time) *cell {
-	if w.length < cellCount {
+// current returns the bucket of that time, after clearing those that have expired. It returns nil
+// if the window is too short to be divided into buckets.
+func (w *window) current(now time.Time) *bucket {
+	if w.length < bucketCount {
 		return nil
 	}
 	if w.start.IsZero() {
 		w.start = now
 	}
-	w.clearUntil(int64(now.Sub(w.start) / (w.length / cellCount)))
-	return &w.cells[w.index(w.newest)]
+	w.clearUntil(int64(now.Sub(w.start) / (w.length / bucketCount)))
+	return &w.buckets[w.index(w.newest)]
 }
 
-// clearUntil makes the cell of that number the newest, unless it is or a newer one is.
+// clearUntil makes the bucket of that number the newest, unless it or a newer one already is.
 func (w *window) clearUntil(number int64) {
-	count := int64(len(w.cells))
-	w.newest = max(w.newest, number-count) // what is older than all cells needs no clearing
+	count := int64(len(w.buckets))
+	w.newest = max(w.newest, number-count) // clearing every bucket once is enough
 	for w.newest < number {
 		w.newest++
-		w.cells[w.index(w.newest)] = cell{}
+		w.buckets[w.index(w.newest)] = bucket{}
 	}
 }
 
-// index is where the cell of that number is.
+// index returns the position of the bucket with that number.
 func (w *window) index(number int64) int64 {
-	count := int64(len(w.cells))
+	count := int64(len(w.buckets))
 	return (number%count + count) % count
 }
 
-// ago returns the cell that many before the newest.
-func (w *window) ago(cells int) cell { return w.cells[w.index(w.newest-int64(cells))] }
+// previous returns the bucket that many before the newest.
+func (w *window) previous(buckets int) bucket { return w.buckets[w.index(w.newest-int64(buckets))] }
 
 // empty reports whether nothing was counted.
-func (w *window) empty() bool { return w.cells == [2 * cellCount]cell{} }
+func (w *window) empty() bool { return w.buckets == [2 * bucketCount]bucket{} }
 
-// counts is what was counted since a moment, and in the window before it.
+// counts holds the counts since a point in time, and the requests in the window before it.
 type counts struct{ before, since, retries int }
 
-// least returns the least of what the function returns for the counts, over all moments of the last
-// window. Requests of the moment's own cell count as before it.
-func (w *window) least(room func(counts) float64) float64 {
-	const cellsBefore = cellCount - lateCells
+// minimum returns the minimum of remaining for the counts since each point in time of the last
+// window. Requests in the bucket of that point count as before it.
+func (w *window) minimum(remaining func(counts) float64) float64 {
+	const bucketsBefore = bucketCount - lateBuckets
 	var c counts
-	for i := range cellsBefore {
-		c.before += int(w.ago(i).requests)
+	for i := range bucketsBefore {
+		c.before += int(w.previous(i).requests)
 	}
-	c.retries = int(w.ago(0).retries)
-	least := room(c)
-	for i := 1; i <= cellCount; i++ {
-		c.since += int(w.ago(i - 1).requests)
-		c.before += int(w.ago(i+cellsBefore-1).requests) - int(w.ago(i-1).requests)
-		c.retries += int(w.ago(i).retries)
-		least = min(least, room(c))
+	c.retries = int(w.previous(0).retries)
+	minimum := remaining(c)
+	for i := 1; i <= bucketCount; i++ {
+		c.since += int(w.previous(i - 1).requests)
+		c.before += int(w.previous(i+bucketsBefore-1).requests) - int(w.previous(i-1).requests)
+		c.retries += int(w.previous(i).retries)
+		minimum = min(minimum, remaining(c))
 	}
-	return least
+	return minimum
 }
