--- a/internal/attempts/attempts.go
+++ b/internal/attempts/attempts.go
@@ -28,7 +28,7 @@
 //
 //   - A refusal by a sidecar costs the backend servers nothing, so another may be queried: a few
 //     more if queues are full, any number if the refusing backend server accepts no requests or
-//     another backend server needs the answer.
+//     if the request is a subrequest.
 //   - An attempt that reached a backend server is retried elsewhere within the route's attempts and
 //     the service's retry limit, and only if the request did not run or may run more than once.
 //   - A failure that another backend server would not change is final: the customer's own limits,
@@ -79,6 +79,6 @@
 	// StartedAt is the time at which the request arrived.
 	StartedAt time.Time
 	// TargetAt is the time by which the request should be answered (its latency target). Until then
-	// it may wait in a full queue.
+	// it may wait in a crowded queue.
 	TargetAt time.Time
 }
--- a/internal/attempts/choose.go
+++ b/internal/attempts/choose.go
@@ -47,9 +47,9 @@
 	RetrySelection bool
 }
 
-// Choose returns the backend server to send the next attempt to. It reserves the choice of a target
-// that is on probation or due for a recovery check, and removes a target at which the request waits
-// from h.Busy, so that no other call returns it.
+// Choose returns the backend server to send the next attempt to. A target that is on probation, due
+// for a recovery check, or at which the request waits is claimed by the call: no other call returns
+// it.
 func Choose(now time.Time, r Request, h *History) Choice {
 	c := choose(now, r, h)
 	found := c.Target != nil && !c.DespiteSuspicion
--- a/internal/lend/lend.go
+++ b/internal/lend/lend.go
@@ -49,7 +49,7 @@
 	Unreachable func(host string) bool
 	// Call makes a control call to a host's daemon.
 	Call func(ctx context.Context, host fleet.Host, method control.Method, params, answer any) error
-	// Scope holds the counter of granted and refused queries.
+	// Scope counts the retries borrowed and the failures to borrow one.
 	Scope tally.Scope
 }
 
--- a/internal/retry/calls.go
+++ b/internal/retry/calls.go
@@ -7,7 +7,7 @@
 )
 
 // callRetention is the minimum time for which the calls of a service's runs are remembered. It is
-// short, since releases change the calls, and an unusually large run should not count for long.
+// short, since releases change the calls, and a run with unusually many should not count for long.
 const callRetention = time.Minute
 
 // callPath identifies the calls from the runs of one service to another service.
@@ -79,8 +79,8 @@
 }
 
 // BeginRun records that a backend server of the host is sent the request. For a retry it reserves
-// the retries for its calls, including the borrowed ones; if they are not left, it returns false,
-// and the request must not be sent. If it returns true, the caller must call FinishRun.
+// the retries for its calls, including the borrowed ones. If they are not available, it returns
+// false, and the request must not be sent; otherwise the caller must call FinishRun.
 func (b *Budgets) BeginRun(now time.Time, run runs.Run, borrowed []string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/retry/lend.go
+++ b/internal/retry/lend.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// borrowBackoff is the time for which no other host is asked for a retry of a service after none
-// had one to lend. It bounds the cost of asking while many requests fail.
+// borrowBackoff is the time for which no other host is queried for a retry of a service after none
+// had one to lend. It bounds the cost of the queries while many requests fail.
 const borrowBackoff = 250 * time.Millisecond
 
 // lent is a retry that another host borrowed and makes before the until time.
@@ -40,7 +40,7 @@
 	b.refusedAt[service] = now
 }
 
-// MayBorrow reports whether another host may be asked for a retry of the service.
+// MayBorrow reports whether another host may be queried for a retry of the service.
 func (b *Budgets) MayBorrow(now time.Time, service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
