--- a/internal/declaration/source.go
+++ b/internal/declaration/source.go
@@ -12,25 +12,26 @@
 	"github.com/tideliftd/tidelift/internal/storehealth"
 )
 
-// Stored reads a declaration that somebody else keeps in the store.
+// Stored describes a declaration that another system keeps in the store.
 type Stored struct {
-	// Key holds it.
+	// Key is the store key of the declaration.
 	Key string
-	// Number reads its revision, Hide takes out what must not be kept, and Parse reads the rest.
+	// Number returns the revision number, Redact removes what must not be kept, and Parse
+	// parses the redacted text.
 	Number func(data []byte) (int64, error)
 	Redact func(data []byte) ([]byte, error)
 	Parse  func(data []byte, s settings.Source) (fleet.Declaration, error)
 }
 
-// Source is where declarations come from.
+// Source provides declarations.
 type Source struct {
-	// Follow calls the function with each revision above the one given, until ctx ends.
+	// Follow calls apply with each revision above the given one, until ctx is done.
 	Follow func(ctx context.Context, above int64, apply func(revision.Revision))
-	// Parse reads a revision's text.
+	// Parse parses a revision's text.
 	Parse func(text string) (fleet.Declaration, error)
 }
 
-// FromOperators is the source where operators declare.
+// FromOperators returns the source of the declarations that operators publish.
 func FromOperators(ledger *revision.Ledger) Source {
 	return Source{
 		Follow: ledger.Follow,
@@ -38,27 +39,27 @@
 	}
 }
 
-// StoreConfig says how a declaration is read that the platform keeps.
+// StoreConfig configures the source of a declaration that the platform keeps.
 type StoreConfig struct {
 	Store  store.Store
 	Stored Stored
-	// Settings returns the settings as they are now, for what the declaration leaves open.
+	// Settings returns the current settings, which supply what the declaration omits.
 	Settings func() settings.Source
-	// Health is told how the calls went, Logger receives events of declarations that cannot be read.
+	// Health records the outcome of each call. Logger receives an event for each invalid declaration.
 	Health *storehealth.Health
 	Logger *slog.Logger
 }
 
-// FromStore is the source where the platform declares.
+// FromStore returns the source of the declaration that the platform keeps.
 func FromStore(config StoreConfig) Source {
 	key := revision.KeyConfig{
-		Store:    config.Store,
-		Key:      config.Stored.Key,
-		Number:   config.Stored.Number,
-		Hide:     config.Stored.Redact,
-		OnBad:    func(err error) { event.Log(config.Logger, event.DeclarationRefused, "error", err) },
-		OnError:  config.Health.RecordFailure,
-		OnAnswer: config.Health.RecordSuccess,
+		Store:     config.Store,
+		Key:       config.Stored.Key,
+		Number:    config.Stored.Number,
+		Redact:    config.Stored.Redact,
+		OnInvalid: func(err error) { event.Log(config.Logger, event.DeclarationRefused, "error", err) },
+		OnError:   config.Health.RecordFailure,
+		OnAnswer:  config.Health.RecordSuccess,
 	}
 	return Source{
 		Follow: func(ctx context.Context, above int64, apply func(revision.Revision)) {
--- a/internal/revision/follow.go
+++ b/internal/revision/follow.go
@@ -8,9 +8,9 @@
 	"github.com/tideliftd/tidelift/internal/store"
 )
 
-// Follow calls the function with each revision above the one given, in rising
-// order, until ctx ends. It may skip revisions that were soon replaced.
-func (l *Ledger) Follow(ctx context.Context, above int64, take func(Revision)) {
+// Follow calls apply with each revision above the given one, in increasing order,
+// until ctx is done. It may skip revisions that were soon replaced.
+func (l *Ledger) Follow(ctx context.Context, above int64, apply func(Revision)) {
 	store.Follow(ctx, store.FollowConfig{
 		Store:    l.config.Store,
 		Prefix:   l.rootKey(),
@@ -23,14 +23,14 @@
 				return err
 			}
 			above = next.Number
-			take(next)
+			apply(next)
 			return nil
 		},
 	})
 }
 
-// newest reads the revision of the last root among the items. The zero Revision
-// means that it is not above the one given.
+// newest reads the revision of the last root among the items. It returns the zero
+// Revision if there is none above the given one.
 func (l *Ledger) newest(ctx context.Context, items []store.Item, above int64) (Revision, error) {
 	item, ok := lastOf(items, l.rootKey())
 	if !ok {
@@ -57,7 +57,7 @@
 	return store.Item{}, false
 }
 
-// History returns the last changes, the newest first.
+// History returns the most recent changes, newest first.
 func (l *Ledger) History(ctx context.Context) ([]Accepted, error) {
 	current, _, err := l.readRoot(ctx)
 	if err != nil {
@@ -68,7 +68,7 @@
 	return changes, nil
 }
 
-// Read returns one of the last revisions.
+// Read returns one of the most recent revisions.
 func (l *Ledger) Read(ctx context.Context, number int64) (Revision, error) {
 	changes, err := l.History(ctx)
 	if err != nil {
@@ -84,5 +84,5 @@
 		}
 		return Revision{Number: number, YAML: text, Accepted: change}, nil
 	}
-	return Revision{}, result.New(result.NotDeclared).WithDetail("revision %d is not among the last %d", number, keptChanges)
+	return Revision{}, result.New(result.NotDeclared).WithDetail("revision %d is not among the last %d", number, maxChanges)
 }
--- a/internal/revision/key.go
+++ b/internal/revision/key.go
@@ -8,25 +8,26 @@
 	"github.com/tideliftd/tidelift/internal/store"
 )
 
-// KeyConfig says where somebody else keeps a whole declaration.
+// KeyConfig describes the key under which another system keeps a whole declaration.
 type KeyConfig struct {
 	Store store.Store
-	// Key is the only key that holds it.
+	// Key is the key of the declaration.
 	Key string
-	// Number reads the revision's number from the value.
+	// Number returns the revision number in the value.
 	Number func(data []byte) (int64, error)
-	// Hide returns the value without what must not be kept or told on, such as keys.
-	Hide func(data []byte) ([]byte, error)
-	// OnBad is told of a value that has no number; OnError and OnAnswer of calls.
-	OnBad    func(error)
-	OnError  func(error)
-	OnAnswer func()
+	// Redact returns the value without what must not be kept or passed on, such as keys.
+	Redact func(data []byte) ([]byte, error)
+	// OnInvalid is called for a value that cannot be read, OnError for each failed call and
+	// OnAnswer for each answered one.
+	OnInvalid func(error)
+	OnError   func(error)
+	OnAnswer  func()
 }
 
-// FollowKey calls the function with each revision above the one given that the
-// key holds, in rising order, until ctx ends. A value that cannot be read
-// changes nothing.
-func FollowKey(ctx context.Context, config KeyConfig, above int64, take func(Revision)) {
+// FollowKey calls apply with each revision of the key's value above the given one, in
+// increasing order, until ctx is done. A value that cannot be read is reported and
+// skipped.
+func FollowKey(ctx context.Context, config KeyConfig, above int64, apply func(Revision)) {
 	store.Follow(ctx, store.FollowConfig{
 		Store:    config.Store,
 		Prefix:   config.Key,
@@ -40,17 +41,17 @@
 			}
 			number, err := config.Number(item.Data)
 			if err != nil {
-				config.OnBad(errors.Wrapf(err, "read key %s", config.Key))
+				config.OnInvalid(errors.Wrapf(err, "read key %s", config.Key))
 				return nil
 			}
 			if number > above {
-				hidden, err := config.Hide(item.Data)
+				redacted, err := config.Redact(item.Data)
 				if err != nil {
-					config.OnBad(errors.Wrapf(err, "read key %s", config.Key))
+					config.OnInvalid(errors.Wrapf(err, "read key %s", config.Key))
 					return nil
 				}
 				above = number
-				take(Revision{Number: number, YAML: string(hidden)})
+				apply(Revision{Number: number, YAML: string(redacted)})
 			}
 			return nil
 		},
--- a/internal/revision/parts.go
+++ b/internal/revision/parts.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// partSize is the largest part, in bytes, under the platform's limit.
+	// partSize is the maximum size of a part in bytes, below the platform's limit.
 	partSize = 256 << 10
-	// maxParts bounds a declaration to 16 MiB.
+	// maxParts limits a declaration to 16 MiB.
 	maxParts = 64
 )
 
 func (l *Ledger) partKey(hash string) string { return l.config.Prefix + "/parts/" + hash }
 
-// part is a piece of a declaration with the hash that names it.
+// part is a piece of a declaration and its content hash, which names its key.
 type part struct {
 	hash string
 	data []byte
 }
 
-// split cuts a declaration into parts.
+// split divides a declaration into parts.
 func split(text string) ([]part, error) {
 	if len(text) > partSize*maxParts {
 		return nil, result.New(result.ValueTooLarge).WithDetail("%d bytes; at most %d", len(text), partSize*maxParts)
@@ -38,8 +38,8 @@
 	return parts, nil
 }
 
-// writeParts writes the parts that are not there yet. Since their names say
-// what they hold, one that is there already is as good.
+// writeParts writes the parts that are not in the store yet. Parts are named by their
+// content, so an existing one needs no write.
 func (l *Ledger) writeParts(ctx context.Context, parts []part) error {
 	for _, p := range parts {
 		if err := l.writePart(ctx, p); err != nil {
@@ -49,8 +49,8 @@
 	return nil
 }
 
-// writePart writes one part. If the answer is lost, it looks whether the part
-// is there.
+// writePart writes one part. If the answer is lost, it reads the part back to see
+// whether it was written.
 func (l *Ledger) writePart(ctx context.Context, p part) error {
 	_, err := l.write(ctx, l.partKey(p.hash), p.data, 0)
 	if err == nil || errors.Is(err, store.ErrNotApplied) {
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// readParts returns the declaration that the parts make.
+// readParts returns the declaration that consists of the parts.
 func (l *Ledger) readParts(ctx context.Context, hashes []string) (string, error) {
 	var text strings.Builder
 	for _, hash := range hashes {
@@ -72,7 +72,7 @@
 			return "", err
 		}
 		if contentHash(string(value.Data)) != hash {
-			return "", errors.Errorf("part %s does not hold what its name says", hash)
+			return "", errors.Errorf("content of part %s does not match its hash", hash)
 		}
 		text.Write(value.Data)
 	}
--- a/internal/revision/publish.go
+++ b/internal/revision/publish.go
@@ -13,8 +13,8 @@
 	"github.com/tideliftd/tidelift/internal/wait"
 )
 
-// Publish makes the change the next revision, or says why not with a
-// *result.Error. The caller has checked the declaration.
+// Publish writes the change as the next revision. Errors are of type *result.Error.
+// The caller has checked the declaration.
 func (l *Ledger) Publish(ctx context.Context, change Change) (Accepted, error) {
 	parts, err := split(change.YAML)
 	if err != nil {
@@ -57,39 +57,39 @@
 		accepted.Parts = append(accepted.Parts, p.hash)
 	}
 	changes := append(slices.Clone(current.Changes), accepted)
-	if len(changes) > keptChanges {
-		changes = changes[len(changes)-keptChanges:]
+	if len(changes) > maxChanges {
+		changes = changes[len(changes)-maxChanges:]
 	}
 	return root{Revision: accepted.Revision, Changes: changes}
 }
 
-// lookUp finds out what became of a write. Without a cause the platform said
-// that the root had moved, so the change is either there or lost the race; with
-// one the answer was lost, and the write may still be on its way.
+// lookUp determines the outcome of a write of the root. A nil cause means that the
+// root had changed, so the change either was written or lost the race; otherwise the
+// answer was lost and the write may still be applied.
 func (l *Ledger) lookUp(ctx context.Context, change Change, cause error) (Accepted, error) {
 	if errors.Is(cause, store.ErrNotApplied) {
 		return Accepted{}, result.Wrap(result.PlatformDown, cause)
 	}
-	pause := store.NewBackoff()
-	for range lookups {
+	retryBackoff := store.NewBackoff()
+	for range maxLookups {
 		current, _, err := l.readRoot(ctx)
 		if err == nil {
 			if accepted, ok := current.find(change.ID); ok {
 				return sameContent(accepted, change)
 			}
 			if current.Revision != change.Base {
-				return Accepted{}, conflict(change, current) // the root has moved, so the write can no longer succeed
+				return Accepted{}, conflict(change, current) // the root has changed, so the write can no longer succeed
 			}
 		}
-		if !wait.For(ctx, pause.NextBackOff()) {
+		if !wait.For(ctx, retryBackoff.NextBackOff()) {
 			break
 		}
 	}
 	return Accepted{}, result.Wrap(result.ChangeUnknown, cause)
 }
 
-// sameContent returns the accepted change if it is the one that is asked for,
-// and not another under the same id.
+// sameContent returns the accepted change if it has the content of the requested one,
+// and an error if the id was used for other content.
 func sameContent(accepted Accepted, change Change) (Accepted, error) {
 	if accepted.Content != contentHash(change.YAML) {
 		return Accepted{}, result.New(result.ChangeIDReused).WithDetail(
--- a/internal/revision/revision.go
+++ b/internal/revision/revision.go
@@ -1,8 +1,8 @@
-// Package revision keeps the declaration's revisions in the platform.
+// Package revision stores the declaration's revisions in the platform's store.
 //
-// A revision is immutable parts, named by the hash of their content, and one
-// root key that lists them. Only the root is changed, by compare-and-swap, so
-// that a change takes effect whole or not at all and revisions only go up.
+// A revision consists of immutable parts, named by the hash of their content, and one
+// root key that lists them. Only the root is changed, by compare-and-swap, so that a
+// change takes effect atomically and revision numbers only increase.
 //
 // # Usage
 //
@@ -10,11 +10,11 @@
 //	accepted, err := ledger.Publish(ctx, revision.Change{ID: id, Base: 3, YAML: text})
 //	ledger.Follow(ctx, 0, func(r revision.Revision) { ... })
 //
-// A change carries an id. One whose answer was lost is looked up by its id and
-// never written again blindly: publishing the same id twice is one change.
+// A change carries an id. If the answer to a write is lost, the change is looked up
+// by its id before it is written again: publishing the same id twice is one change.
 //
-// A declaration that somebody else keeps whole under one key is followed by
-// FollowKey (key.go); nothing of it is written here.
+// FollowKey (key.go) follows a declaration that another system keeps whole under one
+// key. This package never writes that key.
 package revision
 
 import (
@@ -27,40 +27,38 @@
 )
 
 const (
-	// keptChanges is how many changes the root remembers by id.
-	keptChanges = 64
-	// watchWait is how long one watch waits. Source: a change has to be in force
-	// within two seconds also where the watches hear nothing of it, be it that a
-	// path was cut silently or that the store lost sight of it; the several that
-	// watch end their waits at different times, and the first tells the others.
+	// maxChanges is the number of most recent changes that the root lists.
+	maxChanges = 64
+	// watchWait is the maximum wait of one watch. It bounds how long a silently broken
+	// connection, or a watch that the store lost, keeps a change from being noticed.
 	watchWait = 3 * time.Second
-	// lookups is how often a lost answer is looked up before giving up.
-	lookups = 4
+	// maxLookups is the number of attempts to look up a change whose answer was lost.
+	maxLookups = 4
 )
 
-// Change is what an operator asks for.
+// Change is an operator's request for a new revision.
 type Change struct {
-	// ID names the change; the same id is one change.
+	// ID identifies the change and makes publishing it idempotent.
 	ID string
-	// Base is the revision that the operator saw.
+	// Base is the revision that the change is based on.
 	Base int64
 	// YAML is the whole declaration.
 	YAML string
-	// Author and Reason are recorded.
+	// Author and Reason are recorded with the change.
 	Author, Reason string
 }
 
 // Revision is a declaration with its number.
 type Revision struct {
-	// Number is 1 for the first revision, 0 for none.
+	// Number is 1 for the first revision and 0 for none.
 	Number int64
 	// YAML is the whole declaration.
 	YAML string
-	// Accepted is the change that made it.
+	// Accepted is the change that created the revision.
 	Accepted Accepted
 }
 
-// Accepted records a change.
+// Accepted is the record of a published change.
 type Accepted struct {
 	ID       string    `json:"id"`
 	Revision int64     `json:"revision"`
@@ -69,19 +67,19 @@
 	At       time.Time `json:"at"`
 	// Content is the hash of the whole declaration.
 	Content string `json:"content"`
-	// Parts are what the declaration is made of, in order.
+	// Parts are the hashes of the declaration's parts, in order.
 	Parts []string `json:"parts"`
 }
 
-// Config says where the revisions are kept.
+// Config configures a Ledger.
 type Config struct {
-	// Store is the platform's key-value service.
+	// Store is the platform's key-value store.
 	Store store.Store
-	// Prefix starts the name of every key.
+	// Prefix is the prefix of every key.
 	Prefix string
-	// Now returns the time, for the record.
+	// Now returns the time recorded with a change; the default is time.Now.
 	Now func() time.Time
-	// OnError is told of each failed call while following, OnAnswer of each
+	// OnError is called for each failed call while following, OnAnswer for each
 	// answered one. Both may be nil.
 	OnError  func(error)
 	OnAnswer func()
@@ -90,7 +88,7 @@
 // Ledger publishes and follows revisions.
 type Ledger struct{ config Config }
 
-// New returns the ledger.
+// New returns a ledger with the configuration.
 func New(config Config) *Ledger {
 	if config.Now == nil {
 		config.Now = time.Now
@@ -104,7 +102,7 @@
 	return &Ledger{config: config}
 }
 
-// write writes a key if it still has the revision, and reports whether it did.
+// write writes a key if it still has the expected revision, and reports whether it did.
 func (l *Ledger) write(ctx context.Context, key string, data []byte, expected int64) (bool, error) {
 	_, err := l.config.Store.Commit(ctx, store.Change{
 		Expect: []store.Expect{{Key: key, Revision: expected}},
--- a/internal/revision/revision_test.go
+++ b/internal/revision/revision_test.go
@@ -44,9 +44,9 @@
 		code     int
 	}{
 		{"the first", "a", 0, "one", 1, 0},
-		{"the same again", "a", 0, "one", 1, 0},
+		{"the same change again", "a", 0, "one", 1, 0},
 		{"the same id with other content", "a", 1, "two", 0, result.ChangeIDReused.Number},
-		{"based on what is no longer in force", "b", 0, "two", 0, result.RevisionChanged.Number},
+		{"based on a superseded revision", "b", 0, "two", 0, result.RevisionChanged.Number},
 		{"the second", "b", 1, "two", 2, 0},
 		{"the first again, later", "a", 0, "one", 1, 0},
 		{"too large", "c", 2, strings.Repeat("x", 17<<20), 0, result.ValueTooLarge.Number},
@@ -61,8 +61,8 @@
 	}
 }
 
-// TestPublishWithLostAnswer writes to a platform that does what it is asked and
-// never says so. The change is found by its id, once.
+// TestPublishWithLostAnswer guards against a change that is lost or published twice
+// because the store applied a write and its answer was lost.
 func TestPublishWithLostAnswer(t *testing.T) {
 	l, s := newLedger(t)
 	for i, key := range []string{"/parts/", "/root", "/"} {
@@ -77,8 +77,9 @@
 	}
 }
 
-// TestRace lets operators race on one base: one wins, the others are told.
-func TestRace(t *testing.T) {
+// TestConcurrentPublish guards against more than one change on the same base: one
+// succeeds, the others are refused.
+func TestConcurrentPublish(t *testing.T) {
 	l, _ := newLedger(t)
 	const operators = 8
 	var wg sync.WaitGroup
@@ -89,22 +90,22 @@
 		})
 	}
 	wg.Wait()
-	won := 0
+	succeeded := 0
 	for _, code := range codes {
 		switch code {
 		case 0:
-			won++
+			succeeded++
 		case result.RevisionChanged.Number:
 		default:
 			t.Errorf("code %d", code)
 		}
 	}
-	if won != 1 {
-		t.Fatalf("%d operators won: %v", won, codes)
+	if succeeded != 1 {
+		t.Fatalf("%d changes succeeded, want 1: %v", succeeded, codes)
 	}
 }
 
-// TestFollow follows a declaration of several parts through an outage.
+// TestFollow guards against revisions that are incomplete, or missed after an outage.
 func TestFollow(t *testing.T) {
 	l, s := newLedger(t)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -134,7 +135,7 @@
 	case r := <-from:
 		return r
 	case <-time.After(20 * time.Second):
-		t.Fatal("no revision came")
+		t.Fatal("timed out waiting for a revision")
 		return revision.Revision{}
 	}
 }
--- a/internal/revision/root.go
+++ b/internal/revision/root.go
@@ -12,10 +12,10 @@
 // root is the value of the root key.
 type root struct {
 	Revision int64      `json:"revision"`
-	Changes  []Accepted `json:"changes"` // the newest last; it made the revision
+	Changes  []Accepted `json:"changes"` // oldest first; the last created the revision
 }
 
-// find returns the change of that id.
+// find returns the change with the id.
 func (r root) find(id string) (Accepted, bool) {
 	for _, change := range r.Changes {
 		if change.ID == id {
@@ -25,7 +25,7 @@
 	return Accepted{}, false
 }
 
-// last returns the change that made the revision; it is zero if there is none.
+// last returns the change that created the revision, or the zero value if there is none.
 func (r root) last() Accepted {
 	if len(r.Changes) == 0 {
 		return Accepted{}
@@ -35,8 +35,7 @@
 
 func (l *Ledger) rootKey() string { return l.config.Prefix + "/root" }
 
-// readRoot returns the root and the store's revision of it, for a write that expects
-// it.
+// readRoot returns the root and its revision in the store, for a conditional write.
 func (l *Ledger) readRoot(ctx context.Context) (root, int64, error) {
 	value, err := l.config.Store.Get(ctx, l.rootKey())
 	if err != nil {
@@ -46,7 +45,7 @@
 	return current, value.Revision, err
 }
 
-// parseRoot reads the root; one that was never written is empty.
+// parseRoot decodes the root. A root that was never written is empty.
 func parseRoot(value store.Item) (root, error) {
 	var r root
 	if value.Data == nil {
@@ -58,8 +57,8 @@
 	return r, nil
 }
 
-// writeRoot writes the root if it still has the store's revision, and reports whether it
-// did.
+// writeRoot writes the root if it still has the expected revision in the store, and
+// reports whether it did.
 func (l *Ledger) writeRoot(ctx context.Context, next root, expected int64) (bool, error) {
 	data, err := json.Marshal(next)
 	if err != nil {
