--- a/internal/declaration/ask.go
+++ b/internal/declaration/ask.go
@@ -9,22 +9,21 @@
 	"github.com/tideliftd/tidelift/internal/revision"
 )
 
-// askTimeout bounds the question to another daemon which revision it has and what it
-// knows of hosts. Source: a hundred round trips between data centres; a daemon that has
-// missed a change has to have asked several others within two seconds.
-const askTimeout = 400 * time.Millisecond
+// syncTimeout bounds one exchange with another daemon. It is short enough that a daemon that
+// missed a change can query several others within two seconds.
+const syncTimeout = 400 * time.Millisecond
 
-// fetch asks the daemon at the address, and reports whether it had a higher revision than
-// the one here.
+// fetch syncs with the daemon at the address and reports whether that raised the revision in
+// force.
 func (f *Follower) fetch(ctx context.Context, address string) bool {
 	before := f.Revision()
 	return f.Sync(ctx, address) && f.Revision() > before
 }
 
-// Sync asks the daemon at the address for its revision and for what it knows of hosts,
-// applies what is new here, and reports whether it answered.
+// Sync requests the revision and the quarantines of the daemon at the address and exchanges host
+// records with it, applies what is newer here, and reports whether the daemon answered.
 func (f *Follower) Sync(ctx context.Context, address string) bool {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, syncTimeout)
 	defer cancel()
 	above := control.Above{Revision: f.Revision(), Hosts: f.config.Members.Sum(), Quarantines: f.config.Quarantines.Sum()}
 	var held control.Held
@@ -40,7 +39,8 @@
 	return true
 }
 
-// recordQuarantines records the quarantines that a daemon answers with, if there are others than here.
+// recordQuarantines merges the quarantines of another daemon's answer. The answer holds none if
+// both daemons have the same.
 func (f *Follower) recordQuarantines(held control.Held) {
 	f.peerAnswered.Store(true)
 	if len(held.Quarantines) > 0 {
@@ -48,10 +48,11 @@
 	}
 }
 
-// PeerAnswered reports whether another daemon has answered yet, and so told which quarantines there are.
+// PeerAnswered reports whether another daemon has answered yet, so that its quarantines are known
+// here.
 func (f *Follower) PeerAnswered() bool { return f.peerAnswered.Load() }
 
-// HandleRevision answers another daemon that asks which revision this one has.
+// HandleRevision handles another daemon's request for the revision of this one.
 func (f *Follower) HandleRevision(_ context.Context, params json.RawMessage) (any, error) {
 	var above control.Above
 	if err := control.Decode(params, &above); err != nil {
@@ -60,12 +61,12 @@
 	return f.answer(above), nil
 }
 
-// answer returns what a daemon that asks does not know yet.
-func (f *Follower) answer(asked control.Above) control.Held {
-	above := asked.Revision
+// answer returns what the requesting daemon does not have yet.
+func (f *Follower) answer(request control.Above) control.Held {
+	above := request.Revision
 	held := control.Held{SilentMs: time.Since(f.config.Health.LastSeen()).Milliseconds()}
-	f.config.Members.AddDigest(asked, &held)
-	if asked.Quarantines != f.config.Quarantines.Sum() {
+	f.config.Members.AddDigest(request, &held)
+	if request.Quarantines != f.config.Quarantines.Sum() {
 		held.Quarantines = f.config.Quarantines.Quarantines()
 	}
 	current := f.inForce.Load()
--- a/internal/declaration/declaration.go
+++ b/internal/declaration/declaration.go
@@ -1,22 +1,23 @@
-// Package declaration brings the declaration to this daemon, puts it in force in every part, and tells other
-// daemons.
+// Package declaration obtains the declaration, puts it in force in every part of this daemon, and
+// notifies other daemons of new revisions.
 //
-// A revision reaches a daemon in one of four ways: it watches the platform, which a few daemons of each
-// data centre do; another daemon tells that there is one, and is asked for it; it asks another one now and
-// then, in case nobody told it; or an operator publishes it here. Revisions only go up. A daemon that
-// cannot read one keeps the one before. A daemon that has none asks its seeds, and serves without
-// the platform.
+// A revision reaches a daemon in one of four ways: the daemon watches the platform, which a few
+// daemons of each data centre do; another daemon notifies it of the revision, which it then fetches;
+// it polls another daemon periodically, in case a notification was lost; or an operator publishes the
+// revision through it. Revision numbers only increase. A daemon that cannot parse a revision keeps the
+// previous one. A daemon without a declaration polls its seeds, so that it can serve while the
+// platform is unreachable.
 //
-// What is in force is the declaration completed with the hosts and backend servers that registered
-// themselves; it is put in force again whenever those change (Reapply).
+// The declaration in force is the declared one completed with the hosts and backend servers that
+// registered themselves. It is put in force again whenever those change (Reapply).
 //
-// The same question to another daemon also exchanges what is known of hosts and of quarantined
-// requests, so that whatever was not told arrives then.
+// A poll also exchanges host records and quarantined requests, so that it makes up for updates that
+// were lost.
 //
-// The package owns the declaration in force and the plan of which hosts to tell. It relies on its Source for
-// revisions, on internal/gossip for who watches and which hosts to tell, on internal/storehealth for whether the
-// platform answers, on internal/membership for the hosts, and on whoever gives the index to
-// the parts (Apply).
+// The package owns the declaration in force and the plan of which hosts to notify. It relies on its
+// Source for revisions, on internal/gossip for which daemons watch and which hosts to notify, on
+// internal/storehealth for whether the platform answers, on internal/membership for the hosts, and on
+// Config.Apply to distribute the index.
 //
 // # Usage
 //
@@ -42,36 +43,36 @@
 	"github.com/tideliftd/tidelift/internal/storehealth"
 )
 
-// Config holds where declarations come from and who acts on them.
+// Config configures a Follower.
 type Config struct {
 	// Host and DataCentre name this daemon.
 	Host, DataCentre string
-	// Seeds are control addresses of daemons that are asked until there is a declaration.
+	// Seeds are control addresses of the daemons that are polled until there is a declaration.
 	Seeds []string
-	// Registers is true if hosts register themselves, and so have to join others first.
+	// Registers reports whether hosts register themselves and therefore have to join the others first.
 	Registers bool
-	// Logger receives events of declarations.
+	// Logger receives the declaration events.
 	Logger *slog.Logger
-	// Health keeps whether the platform answers.
+	// Health tracks whether the platform answers.
 	Health *storehealth.Health
-	// Peers calls other daemons.
+	// Peers is the client for control calls to other daemons.
 	Peers *control.Client
-	// Unreachable reports whether the host of that name does not answer.
+	// Unreachable reports whether the named host does not answer.
 	Unreachable func(host string) bool
-	// Members keeps what is known of hosts, Quarantines the suspected and quarantined requests.
+	// Members holds the known hosts, Quarantines the suspected and quarantined requests.
 	Members     *membership.Membership
 	Quarantines *quarantinesync.Syncer
-	// Source is where declarations come from.
+	// Source provides the declarations.
 	Source Source
-	// Publish makes a change the next revision in the platform's store.
+	// Publish writes a change to the platform's store as the next revision.
 	Publish func(context.Context, revision.Change) (revision.Accepted, error)
-	// Apply gives what is in force to every part; it is called once at a time.
+	// Apply distributes the index in force to every part of the daemon. Calls never overlap.
 	Apply func(*fleet.Index)
-	// WhileWatching runs while this daemon watches the platform, until ctx ends; nil for nothing.
+	// WhileWatching, if not nil, runs while this daemon watches the platform, until ctx is done.
 	WhileWatching func(ctx context.Context)
 }
 
-// InForce is the declaration in force at the daemon.
+// InForce is the declaration in force at this daemon.
 type InForce struct {
 	Revision revision.Revision
 	Index    *fleet.Index
@@ -80,7 +81,7 @@
 // Follower follows the declaration and puts it in force.
 type Follower struct {
 	config       Config
-	mu           sync.Mutex // serialises what puts something in force; guards declared
+	mu           sync.Mutex // serialises changes of what is in force; guards declared
 	declared     fleet.Declaration
 	inForce      atomic.Pointer[InForce]
 	plan         atomic.Pointer[gossip.Plan]
--- a/internal/declaration/inforce.go
+++ b/internal/declaration/inforce.go
@@ -10,7 +10,8 @@
 	"github.com/tideliftd/tidelift/internal/revision"
 )
 
-// apply puts a revision in force, if it is above the one that is, and tells a few other daemons.
+// apply puts a revision in force if it is higher than the current one, and notifies a few other
+// daemons.
 func (f *Follower) apply(r revision.Revision) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -26,7 +27,7 @@
 		"author", r.Accepted.Author, "reason", r.Accepted.Reason)
 }
 
-// parse reads what the revision declares into declared; false if that is wrong. The caller holds mu.
+// parse parses the revision into declared and reports whether it is valid. The caller holds mu.
 func (f *Follower) parse(r revision.Revision) bool {
 	declaration, err := f.config.Source.Parse(r.YAML)
 	if err != nil {
@@ -38,7 +39,7 @@
 }
 
 // Reapply puts the declaration in force again with the hosts and backend servers
-// that are known now.
+// that are currently registered.
 func (f *Follower) Reapply() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -46,11 +47,11 @@
 		f.putInForce(current.Revision)
 		return
 	}
-	f.planWith(f.config.Members.Complete(fleet.Declaration{}).Hosts)
+	f.updatePlan(f.config.Members.Complete(fleet.Declaration{}).Hosts)
 }
 
-// planWith makes the plan of which hosts to tell of updates.
-func (f *Follower) planWith(hosts []fleet.Host) {
+// updatePlan replaces the plan of which hosts to notify.
+func (f *Follower) updatePlan(hosts []fleet.Host) {
 	f.plan.Store(gossip.NewPlan(gossip.Config{
 		Host:       f.config.Host,
 		DataCentre: f.config.DataCentre,
@@ -58,17 +59,17 @@
 	}, hosts))
 }
 
-// putInForce makes the index of what is declared and registered, and gives it to
-// every part. The caller holds mu.
+// putInForce builds the index of what is declared and registered, and distributes it
+// to every part of the daemon. The caller holds mu.
 func (f *Follower) putInForce(r revision.Revision) {
 	index := fleet.NewIndex(f.config.Members.Complete(f.declared))
 	f.config.Apply(index)
-	f.planWith(index.Declaration.Hosts)
+	f.updatePlan(index.Declaration.Hosts)
 	f.inForce.Store(&InForce{Revision: r, Index: index})
 }
 
-// Publish makes an operator's change the next revision, and puts it in force
-// here at once, so that the operator's next question sees it.
+// Publish publishes an operator's change as the next revision and puts it in force
+// here immediately, so that the operator's next request sees it.
 func (f *Follower) Publish(ctx context.Context, change revision.Change) (revision.Accepted, error) {
 	accepted, err := f.config.Publish(ctx, change)
 	if err != nil {
@@ -79,7 +80,7 @@
 	return accepted, nil
 }
 
-// Current returns what is in force; false if nothing is.
+// Current returns the declaration in force, or false if there is none.
 func (f *Follower) Current() (InForce, bool) {
 	current := f.inForce.Load()
 	if current == nil {
@@ -88,7 +89,7 @@
 	return *current, true
 }
 
-// Index returns the index of the declaration in force; false if none is.
+// Index returns the index of the declaration in force, or false if there is none.
 func (f *Follower) Index() (*fleet.Index, bool) {
 	current := f.inForce.Load()
 	if current == nil {
@@ -97,7 +98,7 @@
 	return current.Index, true
 }
 
-// Hosts returns the hosts of the declaration in force; false if none is.
+// Hosts returns the hosts of the declaration in force, or false if there is none.
 func (f *Follower) Hosts() ([]fleet.Host, bool) {
 	index, ok := f.Index()
 	if !ok {
@@ -106,7 +107,7 @@
 	return index.Declaration.Hosts, true
 }
 
-// Services returns its services; false if none is in force.
+// Services returns the services of the declaration in force, or false if there is none.
 func (f *Follower) Services() ([]fleet.Service, bool) {
 	index, ok := f.Index()
 	if !ok {
@@ -115,10 +116,10 @@
 	return index.Declaration.Services, true
 }
 
-// Plan returns which hosts to tell of updates; nil while no other host is known.
+// Plan returns the plan of which hosts to notify, or nil while no other host is known.
 func (f *Follower) Plan() *gossip.Plan { return f.plan.Load() }
 
-// Revision returns the number of the revision in force; 0 if none is.
+// Revision returns the number of the revision in force, or 0 if there is none.
 func (f *Follower) Revision() int64 {
 	if current := f.inForce.Load(); current != nil {
 		return current.Revision.Number
@@ -126,7 +127,7 @@
 	return 0
 }
 
-// Reparse reads the declaration in force again, with other settings.
+// Reparse parses the revision in force again, after the settings have changed.
 func (f *Follower) Reparse() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/declaration/notice.go
+++ b/internal/declaration/notice.go
@@ -9,8 +9,8 @@
 	"github.com/tideliftd/tidelift/internal/revision"
 )
 
-// receiveNotice fetches a revision that another daemon says it has. A daemon without a
-// declaration knows the hosts that registered themselves.
+// receiveNotice fetches the revision that another daemon announces, if it is higher than the
+// current one. Without a declaration, the sender is looked up among the registered hosts.
 func (f *Follower) receiveNotice(notice control.Notice) {
 	if notice.Revision <= f.Revision() {
 		return
@@ -26,13 +26,13 @@
 	}
 }
 
-// notifyPeers tells a few other daemons of the revision that was just put in force.
+// notifyPeers notifies a few other daemons of the revision that was just put in force.
 func (f *Follower) notifyPeers(r revision.Revision, plan *gossip.Plan) {
 	notice := control.Notice{Host: f.config.Host, Revision: r.Number}
 	f.config.Peers.Tell(plan.NotifyTargets(), control.MethodNotice, notice)
 }
 
-// HandleNotice answers another daemon that tells of a revision.
+// HandleNotice handles another daemon's notice of a revision.
 func (f *Follower) HandleNotice(_ context.Context, params json.RawMessage) (any, error) {
 	var notice control.Notice
 	if err := control.Decode(params, &notice); err != nil {
--- a/internal/declaration/notice_test.go
+++ b/internal/declaration/notice_test.go
@@ -17,16 +17,16 @@
 	"github.com/tideliftd/tidelift/internal/storehealth"
 )
 
-// TestANoticeReachesADaemonWithoutADeclaration tells a daemon that has just started, and only
-// knows the hosts that registered themselves, of a revision: it asks for it at once.
-func TestANoticeReachesADaemonWithoutADeclaration(t *testing.T) {
+// TestNoticeFetchesRevisionWithoutDeclaration guards against a daemon without a declaration that
+// ignores notices, because it knows only the hosts that registered themselves.
+func TestNoticeFetchesRevisionWithoutDeclaration(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	asked := make(chan control.Method, 1)
+	called := make(chan control.Method, 1)
 	cleanUp := control.Serve(control.ServerConfig{Listener: listener, Handle: func(_ context.Context, method control.Method, _ json.RawMessage) (any, error) {
-		asked <- method
+		called <- method
 		return control.Held{}, nil
 	}})
 	defer cleanUp()
@@ -40,11 +40,11 @@
 	f.config.Members.Learn("", []member.Host{{Name: "csepel-2", Control: listener.Addr().String(), Start: "a", Incarnation: 1, Version: 1}})
 	f.receiveNotice(control.Notice{Host: "csepel-2", Revision: 7})
 	select {
-	case method := <-asked:
+	case method := <-called:
 		if method != control.MethodRevision {
-			t.Fatalf("asked for %s", method)
+			t.Fatalf("unexpected call of %s", method)
 		}
 	case <-time.After(5 * time.Second):
-		t.Fatal("the notice was passed over")
+		t.Fatal("the notice was ignored")
 	}
 }
--- a/internal/declaration/poll.go
+++ b/internal/declaration/poll.go
@@ -10,16 +10,14 @@
 )
 
 const (
-	// maxDraws is how often another daemon is drawn if one cannot be reached. Not measured: with half of
-	// them away, one of five is there in 31 of 32 cases.
+	// maxDraws is the maximum number of further draws if the drawn daemon is unreachable.
 	maxDraws = 4
-	// anyOneIn is how often any host that was ever told of is asked: once in so many questions. Not measured:
-	// at two questions a second, every four seconds.
-	anyOneIn = 8
+	// anyHostPollRatio is the number of polls of which one, on average, goes to any host ever known.
+	anyHostPollRatio = 8
 )
 
-// pollPeers asks one other daemon now and then which revision it has; until there
-// is a declaration it asks the seeds.
+// pollPeers periodically queries another daemon for its revision, or the seeds until
+// another daemon is known.
 func (f *Follower) pollPeers(ctx context.Context) {
 	for ctx.Err() == nil {
 		if address, ok := f.drawPeer(); ok {
@@ -31,11 +29,10 @@
 	}
 }
 
-// drawPeer returns the control address of the daemon to ask next. Now and then
-// that is any that was ever told of, since one that is gone may be back and know
-// nobody.
+// drawPeer returns the control address of the daemon to poll next. Occasionally this is
+// any host ever known, since a host that was removed may be back and know no others.
 func (f *Follower) drawPeer() (string, bool) {
-	if f.config.Registers && rand.N(anyOneIn) == 0 {
+	if f.config.Registers && rand.N(anyHostPollRatio) == 0 {
 		known := f.config.Members.Hosts()
 		if h := known[rand.N(len(known))]; h.Name != f.config.Host {
 			return h.Control, true
@@ -55,7 +52,8 @@
 	return f.config.Peers.Address(host), ok
 }
 
-// pollSeeds asks every seed, and applies the highest revision that any of them has.
+// pollSeeds queries every seed and applies the highest revision among them. It does nothing
+// while the platform answers.
 func (f *Follower) pollSeeds(ctx context.Context) {
 	if f.config.Health.Answers() {
 		return
--- a/internal/declaration/watch.go
+++ b/internal/declaration/watch.go
@@ -8,21 +8,18 @@
 )
 
 const (
-	// watchCheckEvery is how often it is checked whether to watch the platform. Not measured: the plan changes
-	// with the hosts, and two others of the data centre watch meanwhile.
+	// watchCheckEvery is the interval between checks whether to watch the platform.
 	watchCheckEvery = time.Second
-	// joinWithin is how long a daemon that registers itself leaves the platform's declaration
-	// to others while it joins them. Source: joining takes three answers of the store and one
-	// of a daemon; where that takes longer, others may know nothing either.
-	joinWithin = time.Second
-	// undeclaredFor is how long a daemon without a declaration relies on others' watching.
-	// Source: each asks another twice a second, so that a hundred have heard of the watchers
-	// within three seconds.
-	undeclaredFor = 3 * time.Second
+	// joinTimeout is how long a daemon that registers itself waits to join the others before it
+	// may read the declaration from the platform.
+	joinTimeout = time.Second
+	// bootstrapGrace is how long after the platform was last seen a daemon without a declaration
+	// leaves the watching to others.
+	bootstrapGrace = 3 * time.Second
 )
 
-// Run brings revisions here until ctx ends: it watches the platform while
-// that is this daemon's part, and asks other daemons.
+// Run obtains revisions until ctx is done: it polls other daemons, and watches the
+// platform while this daemon is one of the watchers.
 func (f *Follower) Run(ctx context.Context) {
 	go f.pollPeers(ctx)
 	f.awaitJoin(ctx)
@@ -36,15 +33,15 @@
 }
 
 // awaitJoin waits until the daemon has joined the others, if hosts register themselves. The
-// others mostly have the declaration, or two of each data centre read it. When every daemon of
-// 93 read and watched it by itself at a start, that was 260 of 599 calls to the store.
+// others usually have the declaration already, which saves the store a read and a watch by every
+// daemon when a fleet starts.
 func (f *Follower) awaitJoin(ctx context.Context) {
 	if f.config.Registers {
-		wait.Woken(ctx, joinWithin, f.config.Members.Joined())
+		wait.Woken(ctx, joinTimeout, f.config.Members.Joined())
 	}
 }
 
-// watch watches the platform while that is this daemon's part.
+// watch watches the platform while this daemon is one of the watchers.
 func (f *Follower) watch(ctx context.Context) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -59,12 +56,12 @@
 	f.config.Health.EndWatch()
 }
 
-// Watches reports whether this daemon watches the platform: as the plan says, or if it has no
-// declaration and heard of nobody who watches.
+// Watches reports whether this daemon watches the platform: because the plan selects it, because
+// there is no plan yet, or because it has no declaration and no watcher has been heard of recently.
 func (f *Follower) Watches() bool {
 	plan := f.plan.Load()
 	seen := f.config.Health.LastSeen()
-	if plan == nil || f.inForce.Load() == nil && time.Since(seen) > undeclaredFor {
+	if plan == nil || f.inForce.Load() == nil && time.Since(seen) > bootstrapGrace {
 		return true
 	}
 	return plan.Watches(seen, time.Now())
