--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,17 +1,17 @@
-// Package route finds the service that a caller's request is for.
+// Package route maps callers' requests to services.
 //
 // # Usage
 //
 //	table := route.NewTable(declaration.Routes)
 //	match, ok := table.Find("lookup.example", "/search/books")
 //
-// A route with a host name goes before one without; among those of one host
-// name the longest path goes first. A path matches whole segments: /search
-// matches /search and /search/books, not /searching. Finding a route takes one
-// map look-up for each segment of the path, whatever the number of routes.
+// A route with a host name takes precedence over one without; among the routes of
+// a host name, the longest path takes precedence. A path matches whole segments:
+// /search matches /search and /search/books, but not /searching. Finding a route
+// takes one map lookup per segment of the path, whatever the number of routes.
 //
-// A Table is made from a checked declaration, is read-only and has no clock or random source:
-// whoever chooses among the parts of a split gives the random bits.
+// A Table is built from a checked declaration, is read-only and has no clock or
+// random source: the caller of Choose supplies the random bits.
 package route
 
 import (
@@ -22,7 +22,7 @@
 	"github.com/tideliftd/tidelift/internal/fleet"
 )
 
-// Name identifies a route: no two have the same host name and path.
+// Name identifies a route: no two routes have the same host name and path.
 type Name struct {
 	Host string `json:"host"`
 	Path string `json:"path"`
@@ -31,30 +31,30 @@
 // NameOf returns the name of a declared route.
 func NameOf(r fleet.Route) Name { return Name{Host: r.Host, Path: r.Path} }
 
-// Match is a route with the sum of its parts' weights.
+// Match is a route that matched a request.
 type Match struct {
 	fleet.Route
 	parts []fleet.Part
-	total uint64 // of the parts' weights
+	total uint64 // sum of the parts' weights
 }
 
-// Idempotent reports whether a request of that method may run more than once.
+// Idempotent reports whether a request with the method may run more than once.
 func (m *Match) Idempotent(method string) bool {
 	return slices.Contains(m.Route.Idempotent, method) || slices.Contains(m.Route.Idempotent, fleet.AnyMethod)
 }
 
-// Choose returns the service for one request: each of the route's parts as often as its weight
-// says, by 64 random bits.
+// Choose returns the service for one request: one of the route's parts, selected in proportion
+// to their weights by 64 random bits.
 func (m *Match) Choose(random uint64) string {
 	if m.total == 0 {
 		return m.Service
 	}
-	left := random % m.total
+	remaining := random % m.total
 	for _, part := range m.parts {
-		if left < weightOf(part) {
+		if remaining < weightOf(part) {
 			return part.Service
 		}
-		left -= weightOf(part)
+		remaining -= weightOf(part)
 	}
 	return m.Service
 }
@@ -67,10 +67,10 @@
 	return m
 }
 
-// weightOf returns the weight, which a checked declaration never has below zero.
+// weightOf returns the weight as unsigned. A checked declaration has no negative weights.
 func weightOf(part fleet.Part) uint64 { return uint64(max(0, part.Weight)) }
 
-// Table finds routes. It is read-only and may be shared.
+// Table finds routes. It is read-only and safe for concurrent use.
 type Table struct {
 	byKey map[key]*Match
 }
@@ -80,7 +80,7 @@
 	path string
 }
 
-// NewTable returns the table of the declared routes.
+// NewTable returns a table of the declared routes.
 func NewTable(routes []fleet.Route) *Table {
 	t := &Table{byKey: make(map[key]*Match, len(routes))}
 	for _, r := range routes {
@@ -89,18 +89,19 @@
 	return t
 }
 
-// keyOf returns the key of the route of that name.
+// keyOf returns the key of the named route: the host name in lower case and the path without a
+// trailing slash.
 func keyOf(name Name) key {
 	return key{host: strings.ToLower(name.Host), path: strings.TrimSuffix(name.Path, "/")}
 }
 
-// Has reports whether a route of that name is declared.
+// Has reports whether the named route is declared.
 func (t *Table) Has(name Name) bool {
 	_, ok := t.byKey[keyOf(name)]
 	return ok
 }
 
-// Find returns the route of the request's host name and path.
+// Find returns the route for the request's host name and path.
 func (t *Table) Find(host, path string) (*Match, bool) {
 	if match, ok := t.findPath(hostName(host), path); ok {
 		return match, true
@@ -108,7 +109,7 @@
 	return t.findPath("", path)
 }
 
-// findPath tries the path and each of its parents, the longest first.
+// findPath tries the path and each of its parents, longest first.
 func (t *Table) findPath(host, path string) (*Match, bool) {
 	path = strings.TrimSuffix(path, "/")
 	for {
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -32,6 +32,6 @@
 		}
 	}
 	if _, ok := route.NewTable([]fleet.Route{{Path: "/a", Service: "a"}}).Find("", "/b"); ok {
-		t.Error("found a route that is not there")
+		t.Error("found a route that is not declared")
 	}
 }
