--- a/internal/fleet/complete.go
+++ b/internal/fleet/complete.go
@@ -7,27 +7,26 @@
 	"github.com/go-faster/errors"
 )
 
-// Complete fills in the defaults of a declaration that was not read by Parse,
-// and returns it.
+// Complete returns the declaration with defaults for omitted fields, for a declaration
+// that was not read by Parse.
 func (d Declaration) Complete() Declaration {
 	d.setDefaults()
 	return d
 }
 
-// Registered is a backend server that registered itself, with its host.
+// Registered is a backend server that registered itself, with its service.
 type Registered struct {
 	Service       string
 	BackendServer BackendServer
 }
 
-// WithRegistered returns the declaration with hosts and backend servers that registered themselves
-// beside those that are declared. The floor of a service with a floor share is that share of
-// its backend servers, rounded up. Backend servers of services that are not declared are left
-// out.
+// WithRegistered returns the declaration with the registered hosts and backend servers added
+// to the declared ones. The floor of a service with a floor share is that share of its backend
+// servers, rounded up. Backend servers of undeclared services are omitted.
 func (d Declaration) WithRegistered(hosts []Host, servers []Registered) Declaration {
 	byService := make(map[string][]BackendServer)
 	for _, r := range servers {
-		r.BackendServer.Queue = queueForSlot * r.BackendServer.Slots
+		r.BackendServer.Queue = queuePerSlot * r.BackendServer.Slots
 		byService[r.Service] = append(byService[r.Service], r.BackendServer)
 	}
 	next := d
@@ -44,18 +43,17 @@
 	return next
 }
 
-// queueForSlot is how many requests may wait for each slot of a backend server
-// that registered itself. Source: at a quarter of a second each they wait for
-// two seconds and a half, which is as long as most routes let them.
-const queueForSlot = 10
+// queuePerSlot is the number of requests that may wait for each slot of a backend
+// server that registered itself.
+const queuePerSlot = 10
 
-// Check returns the first thing that is wrong with a declaration whose backend servers register
-// themselves, or nil.
+// Check returns the first problem of a declaration whose backend servers register themselves, or
+// nil.
 func (d Declaration) Check() error {
 	known := make(map[string]bool, len(d.Services))
 	for _, s := range d.Services {
 		if s.Name == "" || known[s.Name] {
-			return errors.Errorf("service %q: want a name of its own", s.Name)
+			return errors.Errorf("service %q: name is empty or not unique", s.Name)
 		}
 		known[s.Name] = true
 	}
@@ -73,17 +71,18 @@
 	return first
 }
 
-// check returns what is wrong with the route if services of those names are declared, or nil.
+// check returns the first problem of the route, or nil. The map holds the names of the declared
+// services.
 func (r Route) check(known map[string]bool) error {
 	if !strings.HasPrefix(r.Path, "/") {
-		return errors.New("the path does not start with /")
+		return errors.New("path does not start with /")
 	}
 	if r.Deadline < 0 || r.Target < 0 || r.Attempts < 0 || r.MaxBody < 0 {
-		return errors.New("a limit is below zero")
+		return errors.New("deadline, target, attempts or maximum body size is negative")
 	}
 	parts := r.Parts()
 	if len(parts) == 0 {
-		return errors.New("neither a service nor a split is given")
+		return errors.New("neither service nor split is declared")
 	}
 	total := 0
 	for _, part := range parts {
@@ -91,7 +90,7 @@
 			return errors.Errorf("service %q is not declared", part.Service)
 		}
 		if part.Weight < 0 {
-			return errors.Errorf("weight %d of service %q is below zero", part.Weight, part.Service)
+			return errors.Errorf("weight %d of service %q is negative", part.Weight, part.Service)
 		}
 		total += part.Weight
 	}
--- a/internal/fleet/customer.go
+++ b/internal/fleet/customer.go
@@ -7,28 +7,28 @@
 	"github.com/go-faster/errors"
 )
 
-// Customer is on whose behalf callers ask.
+// Customer is a customer on whose behalf callers send requests.
 type Customer struct {
 	Name string `yaml:"name" json:"name" jsonschema:"description=The customer's name; backend servers get it with each request."`
-	// Keys are digests of the keys: a declaration is kept in version control and sent from
-	// daemon to daemon.
+	// Keys holds digests rather than keys, since a declaration is kept in version control and
+	// sent between daemons.
 	Keys     []string `yaml:"keys" json:"keys,omitempty" jsonschema:"description=SHA-256 digests of the keys by which callers prove that they ask for the customer; tidelift key makes them."`
 	Priority *int     `yaml:"priority" json:"priority,omitempty" jsonschema:"description=The rank of the customer's requests in a queue in place of their route's; 0 is served first."`
 	Rate     float64  `yaml:"rate" json:"rate,omitempty" jsonschema:"description=Requests a second that the whole fleet takes. Default no limit."`
 	Burst    float64  `yaml:"burst" json:"burst,omitempty" jsonschema:"description=Requests that may come at once beyond the rate."`
 }
 
-// SameCustomers reports whether both are the same list in memory, not two with equal entries.
-// Nothing in a declaration changes after it has been read, so whoever keeps something for its
-// customers need not do so again when only hosts came or went.
+// SameCustomers reports whether a and b are the same slice in memory, rather than equal lists. A
+// declaration is immutable, so anything derived from its customers remains valid when only hosts
+// were added or removed.
 func SameCustomers(a, b []Customer) bool {
 	return len(a) == len(b) && len(a) > 0 && &a[0] == &b[0]
 }
 
-// KeyDigestBytes is the length of a key's digest, that of SHA-256.
+// KeyDigestBytes is the length of a key's SHA-256 digest.
 const KeyDigestBytes = 32
 
-// ParseKeyDigest reads a key's digest.
+// ParseKeyDigest parses the hexadecimal digest of a key.
 func ParseKeyDigest(text string) (digest [KeyDigestBytes]byte, err error) {
 	data, err := hex.DecodeString(text)
 	if err != nil || len(data) != KeyDigestBytes {
@@ -38,15 +38,15 @@
 	return digest, nil
 }
 
-// customerCheck holds what was seen so far while customers are checked.
+// customerCheck is the state of a check of customers.
 type customerCheck struct {
 	add    func(path, wrong, want string)
 	names  map[string]bool
-	owners map[[KeyDigestBytes]byte]string // of keys
+	owners map[[KeyDigestBytes]byte]string // the customer of each key digest
 }
 
-// checkCustomers adds what is wrong with the customers. It never names a digest, from which
-// a short key could be guessed.
+// checkCustomers adds the problems of the customers. It never prints a digest, from which a
+// short key could be guessed.
 func checkCustomers(customers []Customer, add func(path, wrong, want string)) {
 	c := customerCheck{add: add, names: make(map[string]bool, len(customers)), owners: make(map[[KeyDigestBytes]byte]string)}
 	for i, customer := range customers {
@@ -76,11 +76,11 @@
 func (c *customerCheck) key(path, owner, text string) {
 	digest, err := ParseKeyDigest(text)
 	if err != nil {
-		c.add(path, "is no SHA-256 digest", "what tidelift key prints")
+		c.add(path, "is not a SHA-256 digest", "the output of tidelift key")
 		return
 	}
 	if other, taken := c.owners[digest]; taken {
-		c.add(path, fmt.Sprintf("is a key of customer %q, too", other), "each key once")
+		c.add(path, fmt.Sprintf("is already a key of customer %q", other), "each key once")
 	}
 	c.owners[digest] = owner
 }
--- a/internal/fleet/customer_test.go
+++ b/internal/fleet/customer_test.go
@@ -13,7 +13,7 @@
 )
 
 func TestParseCustomers(t *testing.T) {
-	d, err := fleet.Parse("fleet.yaml", []byte(right+"customers:\n  - {name: county-7, keys: ["+digestOne+", "+digestTwo+"], priority: 0, rate: 50, burst: 20}\n  - {name: school-2}\n"))
+	d, err := fleet.Parse("fleet.yaml", []byte(validYAML+"customers:\n  - {name: county-7, keys: ["+digestOne+", "+digestTwo+"], priority: 0, rate: 50, burst: 20}\n  - {name: school-2}\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -26,23 +26,23 @@
 	}
 }
 
-func TestWrongCustomersSayWhatToChange(t *testing.T) {
-	tests := []struct{ name, customers, says string }{
+func TestParseInvalidCustomers(t *testing.T) {
+	tests := []struct{ name, customers, want string }{
 		{"no name", "{rate: 1}", `customers[0].name is empty; want the customer's name`},
-		{"a name twice", "{name: a}, {name: a}", `customers[1].name "a" stands twice; want each customer once`},
-		{"a plain key", "{name: a, keys: [secret]}", `customers[0].keys[0] is no SHA-256 digest; want what tidelift key prints`},
-		{"a key of two", "{name: a, keys: [" + digestOne + "]}, {name: b, keys: [" + digestOne + "]}", `customers[1].keys[0] is a key of customer "a", too; want each key once`},
-		{"a rate below zero", "{name: a, rate: -1}", `customers[0].rate is -1; want 0 or more`},
-		{"a burst below zero", "{name: a, rate: 1, burst: -3}", `customers[0].burst is -3; want 0 or more`},
+		{"a duplicate name", "{name: a}, {name: a}", `customers[1].name "a" stands twice; want each customer once`},
+		{"a plain key", "{name: a, keys: [secret]}", `customers[0].keys[0] is not a SHA-256 digest; want the output of tidelift key`},
+		{"a key of two customers", "{name: a, keys: [" + digestOne + "]}, {name: b, keys: [" + digestOne + "]}", `customers[1].keys[0] is already a key of customer "a"; want each key once`},
+		{"a negative rate", "{name: a, rate: -1}", `customers[0].rate is -1; want 0 or more`},
+		{"a negative burst", "{name: a, rate: 1, burst: -3}", `customers[0].burst is -3; want 0 or more`},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			_, err := fleet.Parse("fleet.yaml", []byte(right+"customers: ["+test.customers+"]\n"))
-			if err == nil || !strings.Contains(err.Error(), test.says) {
-				t.Fatalf("got %v, want %q", err, test.says)
+			_, err := fleet.Parse("fleet.yaml", []byte(validYAML+"customers: ["+test.customers+"]\n"))
+			if err == nil || !strings.Contains(err.Error(), test.want) {
+				t.Fatalf("got %v, want %q", err, test.want)
 			}
 			if strings.Contains(err.Error(), "secret") || strings.Contains(err.Error(), digestOne) {
-				t.Fatalf("the error shows a key: %v", err)
+				t.Fatalf("the error contains a key or digest: %v", err)
 			}
 		})
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,15 +1,14 @@
-// Package fleet holds what operators declare: hosts, services, their backend
-// servers, and the routes that lead callers' requests to them.
+// Package fleet defines what operators declare: hosts, services, their backend
+// servers, and the routes from callers' requests to services.
 //
-// A Declaration is the aggregate. It is checked as a whole, and it is put in force whole or
-// not at all. Nothing in it changes after it has been read. The package owns the form of the
-// declaration, its checks and its defaults, and relies on yamlfile for the place of each
-// problem. The field tags are the declaration's documentation: docs/CONFIGURATION.md and the
-// JSON Schema are written from them.
+// A Declaration is the aggregate. It is checked as a whole and put in force atomically, and it
+// is immutable once it has been read. The package owns the format of the declaration, its
+// checks and its defaults, and relies on yamlfile for the position of each problem.
+// docs/CONFIGURATION.md and the JSON Schema are generated from the field tags.
 //
-// The types are here, the checks of a declaration that operators write in parse.go, what is
-// added to one whose backend servers register themselves in complete.go, customers in
-// customer.go, and finding its parts by name in index.go.
+// The types are in fleet.go, the checks of a declaration that operators write in parse.go, the
+// completion of one whose backend servers register themselves in complete.go, customers in
+// customer.go, and lookups by name in index.go.
 //
 // # Usage
 //
@@ -26,20 +25,20 @@
 
 import "time"
 
-// Adoption is how far a service in a data centre is under tidelift's rule.
+// Adoption is the extent to which tidelift controls a service in a data centre.
 type Adoption string
 
-// The ways of adoption.
+// The levels of adoption.
 const (
-	// AdoptionOff passes requests on and judges nothing.
+	// AdoptionOff forwards requests and takes no decisions.
 	AdoptionOff Adoption = "off"
-	// AdoptionObserve decides and reports, and changes nothing.
+	// AdoptionObserve takes and reports decisions without acting on them.
 	AdoptionObserve Adoption = "observe"
-	// AdoptionSteer decides and acts.
+	// AdoptionSteer takes decisions and acts on them.
 	AdoptionSteer Adoption = "steer"
 )
 
-// Detection names how eager a service is to eject a backend server.
+// Detection selects how readily a service ejects a backend server.
 type Detection string
 
 // The detection settings.
@@ -50,38 +49,37 @@
 	DetectionSwift Detection = "swift"
 )
 
-// RetryAfter names how callers read when to come back.
+// RetryAfter selects the format of the Retry-After header.
 type RetryAfter string
 
-// The ways of writing Retry-After.
+// The formats of Retry-After.
 const (
-	// RetryAfterSeconds is HTTP's own: whole seconds, rounded up.
+	// RetryAfterSeconds is the standard HTTP format: whole seconds, rounded up.
 	RetryAfterSeconds RetryAfter = "seconds"
 	// RetryAfterDecimals adds decimals, for callers whose deadlines are short.
 	RetryAfterDecimals RetryAfter = "decimals"
 )
 
-// Defaults of a declaration. Not measured: a service whose requests differ declares its own.
+// Defaults of a declaration.
 const (
-	// DefaultDeadline is the longest that a request may take.
+	// DefaultDeadline is the maximum duration of a request.
 	DefaultDeadline = 2 * time.Second
-	// DefaultSlots is how many requests a backend server runs at once, DefaultQueue how many
-	// may wait for a slot: two for each.
+	// DefaultSlots is the number of requests that a backend server runs concurrently,
+	// DefaultQueue the number that may wait for a slot.
 	DefaultSlots = 10
 	DefaultQueue = 20
-	// DefaultRetryShare is the retries that a service's requests may cause, as a share of
-	// them, and DefaultRetrySlack how many more the whole fleet may make, both in any
-	// DefaultRetryWindow. Where all fail, a tenth is what retries add to the load
-	// (docs/design/0013-retry-limit.md).
+	// DefaultRetryShare limits retries to a share of the service's requests, and
+	// DefaultRetrySlack is the number of further retries by the whole fleet, both in any
+	// DefaultRetryWindow (docs/design/0013-retry-limit.md).
 	DefaultRetryShare  = 0.1
 	DefaultRetrySlack  = 40
 	DefaultRetryWindow = 10 * time.Second
-	// DefaultAttempts is the most backend servers that one request is sent to.
+	// DefaultAttempts is the maximum number of backend servers that a request is sent to.
 	DefaultAttempts = 3
 	// DefaultFloorShare is the share of a service's registered backend servers that ejection
-	// always leaves able to serve.
+	// always leaves in service.
 	DefaultFloorShare = 0.7
-	// DefaultMaxBody is in bytes.
+	// DefaultMaxBody is the maximum size of a request body in bytes.
 	DefaultMaxBody = 8 << 20
 
 	DefaultDeadlineHeader = "X-Request-Timeout-Ms"
@@ -89,11 +87,10 @@
 	DefaultDrainingHeader = "X-Leaving"
 )
 
-// targetPart divides the deadline for the latency target of a route that declares none. Not
-// measured.
-const targetPart = 3
+// targetDivisor is the ratio of a route's deadline to its default latency target.
+const targetDivisor = 3
 
-// AnyMethod among a route's idempotent methods means every method.
+// AnyMethod in a route's idempotent methods matches every method.
 const AnyMethod = "*"
 
 // Declaration is everything that operators declare.
@@ -103,7 +100,7 @@
 	Hosts    []Host    `yaml:"hosts" json:"hosts" jsonschema:"description=The hosts that run a daemon."`
 	Services []Service `yaml:"services" json:"services" jsonschema:"description=The services and their backend servers."`
 	Routes   []Route   `yaml:"routes" json:"routes" jsonschema:"description=Which requests lead to which service."`
-	// Customers are not known without any: then the customer header is taken as it comes.
+	// Customers may be empty, in which case the customer header is accepted as sent by callers.
 	Customers []Customer `yaml:"customers" json:"customers,omitempty" jsonschema:"description=Who may ask and how much. With any of them callers need a key on routes that are not public."`
 }
 
@@ -116,20 +113,20 @@
 	CustomerHeader string     `yaml:"customer-header" json:"customer-header,omitempty" jsonschema:"description=The request header that names the customer. Where customers are declared the daemon sets it whatever callers send. Default X-Customer."`
 }
 
-// Answers names the headers between a sidecar and its backend servers. An empty name means that
-// there is no such header.
+// Answers names the headers between a sidecar and its backend servers. An empty name disables
+// the header.
 type Answers struct {
-	// TargetHeader names the backend server that a request is meant for; any
-	// other answers 421 and does not run it.
+	// TargetHeader names the backend server that a request is intended for; any
+	// other answers 421 and does not run the request.
 	TargetHeader string `yaml:"target-header" json:"target-header,omitempty" jsonschema:"description=The request header that names the backend server a request is meant for; another answers 421 without running it."`
-	// NotRunHeader stands on an answer by which the backend server promises that it did not
-	// run the request.
+	// NotRunHeader marks an answer of a backend server that guarantees that the request was
+	// not run.
 	NotRunHeader string `yaml:"not-run-header" json:"not-run-header,omitempty" jsonschema:"description=The header of an answer by which a backend server says that it did not run the request."`
-	// SignatureHeader stands on every success of a backend server.
+	// SignatureHeader is set on every successful answer of a backend server.
 	SignatureHeader string `yaml:"signature-header" json:"signature-header,omitempty" jsonschema:"description=The header that every success of a backend server carries; one without it is a failure."`
 }
 
-// Part is one service's part of a route's requests.
+// Part is one service's share of a route's requests.
 type Part struct {
 	Service string `yaml:"service" json:"service" jsonschema:"description=The service."`
 	Weight  int    `yaml:"weight" json:"weight" jsonschema:"description=Its weight beside the other parts'."`
@@ -144,7 +141,7 @@
 	SeenFrom   []View `yaml:"seen-from" json:"seen-from,omitempty" jsonschema:"description=The host's addresses as other data centres see them where they differ."`
 }
 
-// View is a host's addresses as another data centre sees them, for networks
+// View holds a host's addresses as seen from another data centre, for networks
 // that translate addresses.
 type View struct {
 	DataCentre string `yaml:"data-centre" json:"data-centre" jsonschema:"description=The data centre that sees the host so."`
@@ -173,7 +170,7 @@
 	return h.Control
 }
 
-// Service is a group of backend servers that give the same answers.
+// Service is a group of interchangeable backend servers.
 type Service struct {
 	Name           string              `yaml:"name" json:"name" jsonschema:"description=The service's name."`
 	Floor          int                 `yaml:"floor" json:"floor" jsonschema:"description=How many backend servers ejecting always leaves able to serve."`
@@ -197,7 +194,7 @@
 	Queue   int    `yaml:"queue" json:"queue,omitempty" jsonschema:"description=Requests that may wait for a slot. Default 20."`
 }
 
-// Route leads requests to a service.
+// Route maps requests to a service.
 type Route struct {
 	Host       string        `yaml:"host" json:"host,omitempty" jsonschema:"description=The host name the caller asks for; empty means any."`
 	Path       string        `yaml:"path" json:"path,omitempty" jsonschema:"description=The start of the path up to a slash; / means any. Default /."`
@@ -212,7 +209,7 @@
 	MaxBody    int64         `yaml:"max-body" json:"max-body,omitempty" jsonschema:"description=The largest request body in bytes. Default 8388608."`
 }
 
-// AdoptionIn returns the service's adoption in the data centre: steer unless declared.
+// AdoptionIn returns the service's adoption in the data centre; the default is steer.
 func (s Service) AdoptionIn(dataCentre string) Adoption {
 	if adoption, ok := s.Adoption[dataCentre]; ok {
 		return adoption
@@ -220,7 +217,7 @@
 	return AdoptionSteer
 }
 
-// setDefaults fills in what the operator left out.
+// setDefaults sets the fields that the operator omitted.
 func (d *Declaration) setDefaults() {
 	if d.Callers.DeadlineHeader == "" {
 		d.Callers.DeadlineHeader = DefaultDeadlineHeader
@@ -290,6 +287,6 @@
 		r.Attempts = DefaultAttempts
 	}
 	if r.Target == 0 {
-		r.Target = r.Deadline / targetPart
+		r.Target = r.Deadline / targetDivisor
 	}
 }
--- a/internal/fleet/index.go
+++ b/internal/fleet/index.go
@@ -1,36 +1,36 @@
 package fleet
 
-// Index finds the parts of a declaration by name. It is read-only and may be
-// shared.
+// Index finds the parts of a declaration by name. It is read-only and safe for
+// concurrent use.
 type Index struct {
-	// Declaration is what the index was made from.
+	// Declaration is the indexed declaration.
 	Declaration Declaration
 
-	hosts    map[string]Host
-	services map[string]Service
-	servers  map[string]Placement
-	places   map[string]string // the data centre of each address of a host
+	hosts       map[string]Host
+	services    map[string]Service
+	servers     map[string]Placement
+	dataCentres map[string]string // by address of a host
 }
 
-// Placement is a backend server with the service and host it belongs to.
+// Placement is a backend server with its service and host.
 type Placement struct {
 	BackendServer BackendServer
 	Service       Service
 	Host          Host
 }
 
-// NewIndex returns the index of a checked declaration.
+// NewIndex returns an index of a checked declaration.
 func NewIndex(d Declaration) *Index {
 	index := &Index{
 		Declaration: d,
 		hosts:       make(map[string]Host, len(d.Hosts)),
 		services:    make(map[string]Service, len(d.Services)),
 		servers:     make(map[string]Placement),
-		places:      make(map[string]string, 2*len(d.Hosts)),
+		dataCentres: make(map[string]string, 2*len(d.Hosts)),
 	}
 	for _, h := range d.Hosts {
 		index.hosts[h.Name] = h
-		index.place(h)
+		index.addAddresses(h)
 	}
 	for _, s := range d.Services {
 		index.services[s.Name] = s
@@ -41,41 +41,41 @@
 	return index
 }
 
-// place records the data centre of the host's addresses.
-func (x *Index) place(h Host) {
-	x.places[h.Peers] = h.DataCentre
-	x.places[h.Control] = h.DataCentre
+// addAddresses records the data centre of each of the host's addresses.
+func (x *Index) addAddresses(h Host) {
+	x.dataCentres[h.Peers] = h.DataCentre
+	x.dataCentres[h.Control] = h.DataCentre
 	for _, view := range h.SeenFrom {
-		x.places[view.Peers] = h.DataCentre
-		x.places[view.Control] = h.DataCentre
+		x.dataCentres[view.Peers] = h.DataCentre
+		x.dataCentres[view.Control] = h.DataCentre
 	}
 }
 
-// DataCentreAt returns the data centre of the host that has the address.
+// DataCentreAt returns the data centre of the host with the address.
 func (x *Index) DataCentreAt(address string) (string, bool) {
-	place, ok := x.places[address]
-	return place, ok
+	dataCentre, ok := x.dataCentres[address]
+	return dataCentre, ok
 }
 
-// Host returns the host of that name.
+// Host returns the named host.
 func (x *Index) Host(name string) (Host, bool) {
 	h, ok := x.hosts[name]
 	return h, ok
 }
 
-// Service returns the service of that name.
+// Service returns the named service.
 func (x *Index) Service(name string) (Service, bool) {
 	s, ok := x.services[name]
 	return s, ok
 }
 
-// BackendServer returns where the backend server of that name belongs.
+// BackendServer returns the named backend server with its service and host.
 func (x *Index) BackendServer(name string) (Placement, bool) {
 	p, ok := x.servers[name]
 	return p, ok
 }
 
-// OnHost returns the backend servers that the host's daemon sends work to, in
+// OnHost returns the backend servers that the host's daemon sends requests to, in
 // the order of the declaration.
 func (x *Index) OnHost(host string) []Placement {
 	var found []Placement
--- a/internal/fleet/parse.go
+++ b/internal/fleet/parse.go
@@ -10,11 +10,11 @@
 	"github.com/tideliftd/tidelift/internal/yamlfile"
 )
 
-// Limits of a declaration. Not measured: they catch a figure with a digit too many.
+// Limits of a declaration, which catch mistyped values.
 const (
 	maxSlots = 10_000
 	maxQueue = 100_000
-	// maxDeadline bounds deadlines: a planned stop waits for requests that long unless the
+	// maxDeadline limits deadlines, since a planned stop waits that long for requests unless the
 	// settings say otherwise.
 	maxDeadline = 30 * time.Second
 )
@@ -24,7 +24,7 @@
 	methodPattern = regexp.MustCompile(`^[A-Z]{1,32}$`)
 )
 
-// Parse reads a declaration, fills in the defaults and checks it as a whole.
+// Parse parses a declaration, sets the defaults and checks it as a whole.
 // The error is a *yamlfile.Error with the line of each problem.
 func Parse(file string, data []byte) (Declaration, error) {
 	var d Declaration
@@ -44,7 +44,7 @@
 	return d, nil
 }
 
-// check holds the names seen so far while a declaration is checked.
+// check is the state of a check of a declaration.
 type check struct {
 	*yamlfile.Checker
 	hostNames    map[string]Host
@@ -202,5 +202,5 @@
 	c.Add(path, fmt.Sprintf("is %q", name), "1 to 128 of a-z 0-9 . _ / -, starting with a letter or digit")
 }
 
-// address checks a daemon's or a backend server's address.
+// address checks the address of a daemon or a backend server.
 func (c *check) address(path, address string) { c.CheckAddress(path, address, "127.0.0.1:7401") }
--- a/internal/fleet/parse_test.go
+++ b/internal/fleet/parse_test.go
@@ -8,7 +8,7 @@
 	"github.com/tideliftd/tidelift/internal/fleet"
 )
 
-const right = `hosts:
+const validYAML = `hosts:
   - {name: csepel-1, data-centre: csepel, peers: '127.0.0.1:7401', control: '127.0.0.1:7402'}
 services:
   - name: lookup
@@ -21,7 +21,7 @@
 `
 
 func TestParseSetsDefaults(t *testing.T) {
-	d, err := fleet.Parse("fleet.yaml", []byte(right))
+	d, err := fleet.Parse("fleet.yaml", []byte(validYAML))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,8 +37,8 @@
 	}
 }
 
-func TestIndexFindsWhatBelongsTogether(t *testing.T) {
-	d, err := fleet.Parse("fleet.yaml", []byte(right))
+func TestIndex(t *testing.T) {
+	d, err := fleet.Parse("fleet.yaml", []byte(validYAML))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,10 +52,10 @@
 	}
 }
 
-// FuzzParse reads any text: it may be refused, and must not panic or be
-// accepted with a floor that nobody can keep.
+// FuzzParse guards against input that makes Parse panic, or that it accepts with a floor
+// or deadline out of range.
 func FuzzParse(f *testing.F) {
-	f.Add(right)
+	f.Add(validYAML)
 	f.Add("hosts: [")
 	f.Add("services: [{floor: -1}]")
 	f.Add("{}")
@@ -73,9 +73,10 @@
 	})
 }
 
-// TestCallersRetryAfter names the two ways of writing it when another is declared.
+// TestCallersRetryAfter guards against an invalid format that is accepted, or refused without
+// the valid ones in the error.
 func TestCallersRetryAfter(t *testing.T) {
-	_, err := fleet.Parse("fleet.yaml", []byte("callers: {retry-after: minutes}\n"+right))
+	_, err := fleet.Parse("fleet.yaml", []byte("callers: {retry-after: minutes}\n"+validYAML))
 	if err == nil || !strings.Contains(err.Error(), "seconds or decimals") {
 		t.Fatalf("got %v", err)
 	}
