--- a/internal/store/follow.go
+++ b/internal/store/follow.go
@@ -12,38 +12,37 @@
 )
 
 const (
-	// firstPause and longestPause bound the pause between calls to a store that
-	// does not answer. Source: the store's return has to be noticed well within
-	// two seconds.
-	firstPause   = 100 * time.Millisecond
-	longestPause = 600 * time.Millisecond
+	// initialBackoff and maxBackoff bound the pauses between calls to an unavailable
+	// store. They are short because its recovery has to be noticed within two seconds.
+	initialBackoff = 100 * time.Millisecond
+	maxBackoff     = 600 * time.Millisecond
 )
 
-// FollowConfig says which keys are followed.
+// FollowConfig configures Follow.
 type FollowConfig struct {
 	Store Store
-	// Prefix is what the keys begin with.
+	// Prefix selects the keys to follow.
 	Prefix string
-	// Wait is how long one watch waits at most; half of it is left to chance, so
-	// that watchers do not keep in step. A cut is silent, so that a watch on a
-	// lost path is noticed only after it.
+	// Wait is the maximum wait of one watch. Up to half of it is jitter, so that
+	// watchers do not synchronise. A silently broken connection goes unnoticed for
+	// up to this long.
 	Wait time.Duration
-	// Apply is given the items that are there, once at the start and again when
-	// the store has forgotten its history, and then each change. An error makes
-	// it be given them again.
+	// Apply is called with all items, first at the start and again after the store has
+	// compacted its history, and with each change. If it returns an error, the
+	// items are read and passed to it again.
 	Apply func(context.Context, []Item) error
-	// MaxBackoff is how long the pauses between calls to a store that does not answer become at most;
-	// zero leaves it at what a change of the declaration needs.
+	// MaxBackoff raises the maximum pause between calls to an unavailable store; zero means the
+	// default, which a change of the declaration needs.
 	MaxBackoff time.Duration
-	// OnError is told of each failed call, OnAnswer of each answered one.
+	// OnError is called for each failed call, OnAnswer for each answered one.
 	OnError  func(error)
 	OnAnswer func()
 }
 
-// Follow follows keys until ctx ends.
+// Follow follows the keys until ctx is done.
 func Follow(ctx context.Context, config FollowConfig) {
-	pause := NewBackoff()
-	pause.MaxInterval = max(pause.MaxInterval, config.MaxBackoff)
+	retryBackoff := NewBackoff()
+	retryBackoff.MaxInterval = max(retryBackoff.MaxInterval, config.MaxBackoff)
 	after := int64(0)
 	for ctx.Err() == nil {
 		next, err := followOnce(ctx, config, after)
@@ -55,16 +54,17 @@
 		}
 		if err != nil {
 			config.OnError(err)
-			wait.For(ctx, pause.NextBackOff())
+			wait.For(ctx, retryBackoff.NextBackOff())
 			continue
 		}
 		config.OnAnswer()
-		pause.Reset()
+		retryBackoff.Reset()
 		after = next
 	}
 }
 
-// followOnce lists the keys if after is 0, and else waits for a change.
+// followOnce lists the keys if after is 0, and waits for a change otherwise. It returns the
+// revision to continue after.
 func followOnce(ctx context.Context, config FollowConfig, after int64) (int64, error) {
 	var batch Batch
 	var err error
@@ -82,11 +82,10 @@
 	return max(batch.Revision, after), nil
 }
 
-// NewBackoff returns the growing pauses between calls to a store that does not
-// answer.
+// NewBackoff returns the exponential backoff between calls to an unavailable store.
 func NewBackoff() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval = firstPause
-	b.MaxInterval = longestPause
+	b.InitialInterval = initialBackoff
+	b.MaxInterval = maxBackoff
 	return b
 }
--- a/internal/store/follow_test.go
+++ b/internal/store/follow_test.go
@@ -13,7 +13,7 @@
 	"github.com/tideliftd/tidelift/test/standin"
 )
 
-// follow follows a key and returns what is taken of it.
+// follow follows a key and returns the values that Apply accepts.
 func follow(t *testing.T, s *standin.Standin, fail func() error) <-chan string {
 	t.Helper()
 	server := httptest.NewServer(s.Handler())
@@ -22,7 +22,7 @@
 	t.Cleanup(cleanUp)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	taken := make(chan string, 100)
+	applied := make(chan string, 100)
 	go store.Follow(ctx, store.FollowConfig{
 		Store:  kv,
 		Prefix: "key",
@@ -32,53 +32,54 @@
 				return err
 			}
 			for _, item := range items {
-				taken <- string(item.Data)
+				applied <- string(item.Data)
 			}
 			return nil
 		},
 		OnError:  func(error) {},
 		OnAnswer: func() {},
 	})
-	return taken
+	return applied
 }
 
-func await(t *testing.T, taken <-chan string, want string) {
+func await(t *testing.T, applied <-chan string, want string) {
 	t.Helper()
 	timeout := time.After(10 * time.Second)
 	for {
 		select {
-		case got := <-taken:
+		case got := <-applied:
 			if got == want {
 				return
 			}
 		case <-timeout:
-			t.Fatalf("%q was never taken", want)
+			t.Fatalf("timed out waiting for %q", want)
 		}
 	}
 }
 
-func TestFollowThroughTrouble(t *testing.T) {
+// TestFollowRecovers guards against changes that are missed during an outage or a compaction.
+func TestFollowRecovers(t *testing.T) {
 	s := standin.New()
-	taken := follow(t, s, func() error { return nil })
+	applied := follow(t, s, func() error { return nil })
 	s.Write("key", []byte("one"))
-	await(t, taken, "one")
+	await(t, applied, "one")
 	s.SetOutage(true)
 	s.Write("key", []byte("two"))
 	time.Sleep(300 * time.Millisecond)
 	s.SetOutage(false)
-	await(t, taken, "two")
+	await(t, applied, "two")
 	s.SetOutage(true)
 	s.Write("key", []byte("three"))
 	s.Forget()
 	s.SetOutage(false)
-	await(t, taken, "three")
+	await(t, applied, "three")
 }
 
-// TestWhatWasNotTakenComesAgain refuses a change twice.
-func TestWhatWasNotTakenComesAgain(t *testing.T) {
+// TestFollowRetriesAfterApplyError guards against the loss of a change that Apply failed on.
+func TestFollowRetriesAfterApplyError(t *testing.T) {
 	s := standin.New()
 	refusals := 2
-	taken := follow(t, s, func() error {
+	applied := follow(t, s, func() error {
 		if refusals > 0 {
 			refusals--
 			return errors.New("not now")
@@ -86,5 +87,5 @@
 		return nil
 	})
 	s.Write("key", []byte("one"))
-	await(t, taken, "one")
+	await(t, applied, "one")
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,5 +1,5 @@
-// Package store is the seam to the key-value store that the users run, the only
-// place where anything of the fleet lasts.
+// Package store defines the interface to the key-value store that users operate, the
+// only place where the fleet's data is stored persistently.
 //
 // # Usage
 //
@@ -10,9 +10,10 @@
 //	})
 //	batch, err := s.Watch(ctx, "tidelift/", batch.Revision, 30*time.Second)
 //
-// A Store is a struct of functions; package platform fills one in. One counter
-// of revisions covers every key, so that revisions order all changes; no time of
-// day is used. Each call has a price, a waiting Watch as one call.
+// A Store is a struct of functions, implemented by package platform. A single
+// revision counter covers all keys, so that revisions order all changes; no wall
+// clock is used. Each call has a cost; a Watch counts as one call however long it
+// waits.
 package store
 
 import (
@@ -22,64 +23,65 @@
 	"github.com/go-faster/errors"
 )
 
-// MaxValue is the largest value, in bytes. Source: the size that the users'
-// store promises, halved, since it travels in base64 there.
+// MaxValue is the maximum size of a value in bytes. It is half of the store's limit,
+// since values are transferred in base64.
 const MaxValue = 512 << 10
 
-// What a call may fail with. Any other error of a write leaves its outcome
-// unknown: it may have been done, or may be done later if its condition holds.
+// Errors of calls. After any other error the outcome of a write is unknown: it may
+// have been applied, or may yet be applied if its condition holds.
 var (
-	// ErrNotApplied means that the call did nothing and will do nothing.
-	ErrNotApplied = errors.New("store did nothing")
-	// ErrConflict means that an expected revision is not the present one.
-	ErrConflict = errors.New("store holds another revision")
-	// ErrNoLease means that the lease has ended.
-	ErrNoLease = errors.New("lease has ended")
-	// ErrCompacted means that the changes after a revision are forgotten, so
-	// that the keys have to be read anew.
-	ErrCompacted = errors.New("store has forgotten the history")
+	// ErrNotApplied means that the call had no effect and will have none.
+	ErrNotApplied = errors.New("store did not apply the call")
+	// ErrConflict means that an expected revision is not the current one.
+	ErrConflict = errors.New("store holds a different revision")
+	// ErrNoLease means that the lease has expired.
+	ErrNoLease = errors.New("lease has expired")
+	// ErrCompacted means that the store no longer has the changes after a
+	// revision, so that the keys have to be listed again.
+	ErrCompacted = errors.New("store has compacted its history")
 )
 
-// Lease names a lease; NoLease is none.
+// Lease identifies a lease.
 type Lease int64
 
-// NoLease is the lease of a key that stays.
+// NoLease is the lease of a key that does not expire.
 const NoLease Lease = 0
 
-// Item is a key at one moment.
+// Item is the state of a key.
 type Item struct {
 	Key string
-	// Data is the value; it is nil if there is no such key.
+	// Data is the value, or nil if there is no such key.
 	Data []byte
-	// Revision is that of the last change of the key; 0 if there is no such key.
+	// Revision is the revision of the key's last change, or 0 if there is no such key.
 	Revision int64
-	// Lease is what the key ends with.
+	// Lease is the lease with which the key expires, or NoLease.
 	Lease Lease
-	// Deleted says, of a watched change, that the key went.
+	// Deleted reports whether a watched change deleted the key.
 	Deleted bool
 }
 
-// Batch is several items with the store's revision at that moment.
+// Batch is a list of items with the store's revision at that time.
 type Batch struct {
 	Items []Item
-	// Revision is where a Watch goes on from.
+	// Revision is the revision to continue watching from.
 	Revision int64
 }
 
-// Expect is a condition: the key's present revision; 0 means no such key.
+// Expect is a condition on the key's current revision; 0 means no such key.
 type Expect struct {
 	Key      string
 	Revision int64
 }
 
-// Put writes a key.
+// Put is a write of a key.
 type Put struct {
 	Key   string
 	Data  []byte
 	Lease Lease
 }
 
-// Change is written whole or not at all.
+// Change is a set of writes and deletions that is applied atomically if all of its expectations
+// hold.
 type Change struct {
 	Expect []Expect
 	Puts   []Put
@@ -88,17 +90,17 @@
 
 // Store is the key-value store.
 type Store struct {
-	// Get reads a key.
+	// Get returns the item of a key.
 	Get func(ctx context.Context, key string) (Item, error)
-	// List reads every key that begins with the prefix. The items are not a
-	// snapshot; a Watch from the batch's revision tells what changed meanwhile.
+	// List returns the items of all keys with the prefix. The items are not a
+	// snapshot; a Watch from the batch's revision returns what changed since.
 	List func(ctx context.Context, prefix string) (Batch, error)
 	// Watch returns the changes of keys with the prefix after a revision, as
-	// soon as there is one, or none after wait.
+	// soon as there are any, or an empty batch after wait.
 	Watch func(ctx context.Context, prefix string, after int64, wait time.Duration) (Batch, error)
-	// Commit makes a change and returns its revision.
+	// Commit applies a change and returns its revision.
 	Commit func(ctx context.Context, change Change) (int64, error)
-	// Grant makes a lease that ends unless it is renewed within ttl.
+	// Grant creates a lease that expires unless it is renewed within ttl.
 	Grant func(ctx context.Context, ttl time.Duration) (Lease, error)
 	// Renew renews a lease.
 	Renew func(ctx context.Context, lease Lease) error
