--- a/internal/storehealth/storehealth.go
+++ b/internal/storehealth/storehealth.go
@@ -1,15 +1,15 @@
-// Package storehealth keeps whether the platform's key-value store answers: this daemon, or others that
-// told it so. No request waits for the store; what it decides is who has to watch it, and what
-// operators read.
+// Package storehealth tracks whether the platform's key-value store answers the calls of this daemon
+// or of others that reported it. No request waits for the store; the state determines which daemons
+// watch it, and is shown to operators.
 //
-// The package owns that state and the events of its change. It relies on whoever calls the store to
+// The package owns the state and the events of its changes. It relies on the callers of the store to
 // report each answer and each failure.
 //
 // # Usage
 //
 //	health := storehealth.New(storehealth.Config{Logger: logger})
 //	health.UntilAnswered(ctx, func() error { return kv.Renew(ctx, lease) })
-//	health.Seen(at) // another daemon knew the store to answer then
+//	health.RecordSeen(at) // another daemon reported that the store answered then
 //	switch health.State() { ... }
 package storehealth
 
@@ -24,36 +24,36 @@
 	"github.com/tideliftd/tidelift/internal/wait"
 )
 
-// recentFor is how long what others said of the store counts. Not measured: daemons ask another one twice
-// a second, so that forty answers without a word of it are a sign of an outage.
-const recentFor = 20 * time.Second
+// seenTTL is how long the store counts as up after it was last known to answer, for a daemon that does
+// not watch it.
+const seenTTL = 20 * time.Second
 
-// State is what is known of the store.
+// State is the known state of the store.
 type State string
 
-// The states.
+// States of the store.
 const (
 	Unknown State = "unknown"
 	Up      State = "up"
 	Down    State = "down"
 )
 
-// Config says where changes are logged.
+// Config configures a Health.
 type Config struct {
 	Logger *slog.Logger
 }
 
-// Health keeps whether the store answers.
+// Health tracks whether the store answers.
 type Health struct {
 	config   Config
-	own      atomic.Pointer[State] // what this daemon's last call showed
-	watching atomic.Bool           // this daemon has a watch that waits at the store
-	// lastSeen is when the store was last known to answer. Its monotonic reading counts, since the wall clock may
-	// step.
+	local    atomic.Pointer[State] // result of this daemon's last call
+	watching atomic.Bool           // whether this daemon watches the store
+	// lastSeen is when the store was last known to answer. It keeps its monotonic reading, since the
+	// wall clock may step.
 	lastSeen atomic.Pointer[time.Time]
 }
 
-// New returns the health of a store that has not been called yet.
+// New returns the Health of a store that has not been called yet.
 func New(config Config) *Health {
 	h := &Health{config: config}
 	h.lastSeen.Store(&time.Time{})
@@ -61,16 +61,16 @@
 	return h
 }
 
-// set sets the state and returns the one before.
+// set sets the state and returns the previous one.
 func (h *Health) set(state State) State {
-	old := h.own.Swap(&state)
+	old := h.local.Swap(&state)
 	if old == nil {
 		return state
 	}
 	return *old
 }
 
-// RecordFailure records that a call was not answered.
+// RecordFailure records that a call failed.
 func (h *Health) RecordFailure(err error) {
 	h.RecordSeen(h.LastSeen())
 	if h.set(Down) != Down {
@@ -85,7 +85,7 @@
 	}
 }
 
-// RecordSeen records that the store was known to answer then, here or elsewhere.
+// RecordSeen records that the store answered this daemon or another one at that time.
 func (h *Health) RecordSeen(at time.Time) {
 	for {
 		known := h.lastSeen.Load()
@@ -95,8 +95,8 @@
 	}
 }
 
-// LastSeen returns when the store was last known to answer, here or elsewhere. A
-// watch that waits is as good as an answer.
+// LastSeen returns when the store last answered this daemon or another one. That is now
+// while a watch is pending and the last call was answered.
 func (h *Health) LastSeen() time.Time {
 	if h.watching.Load() && h.Answers() {
 		return time.Now()
@@ -104,32 +104,32 @@
 	return *h.lastSeen.Load()
 }
 
-// BeginWatch records that this daemon watches the store from now on.
+// BeginWatch records that this daemon begins to watch the store.
 func (h *Health) BeginWatch() { h.watching.Store(true) }
 
-// EndWatch records that it no longer does.
+// EndWatch records that this daemon no longer watches the store.
 func (h *Health) EndWatch() {
 	h.RecordSeen(h.LastSeen())
 	h.watching.Store(false)
 }
 
 // Answers reports whether this daemon's last call was answered.
-func (h *Health) Answers() bool { return *h.own.Load() == Up }
+func (h *Health) Answers() bool { return *h.local.Load() == Up }
 
-// State returns the store's state for operators: what this daemon sees if it watches, else
-// what it has heard of late.
+// State returns the store's state for operators: the result of this daemon's last call if it
+// watches, and otherwise Up if the store was seen recently.
 func (h *Health) State() State {
 	if h.watching.Load() {
-		return *h.own.Load()
+		return *h.local.Load()
 	}
-	if time.Since(h.LastSeen()) < recentFor {
+	if time.Since(h.LastSeen()) < seenTTL {
 		return Up
 	}
 	return Unknown
 }
 
-// UntilAnswered repeats a call to the store until it is answered; it returns false if ctx
-// ends before.
+// UntilAnswered repeats a call to the store until it succeeds and records the success. It returns
+// false if ctx is done first.
 func (h *Health) UntilAnswered(ctx context.Context, call func() error) bool {
 	if !h.Retry(ctx, call) {
 		return false
@@ -138,17 +138,17 @@
 	return true
 }
 
-// Retry is UntilAnswered for a call whose answer may yet mean that another has to follow: only
-// failures are recorded.
+// Retry is like UntilAnswered, but records only failures. It is for a call after which another one
+// may be necessary.
 func (h *Health) Retry(ctx context.Context, call func() error) bool {
-	pause := store.NewBackoff()
+	retryBackoff := store.NewBackoff()
 	for ctx.Err() == nil {
 		err := call()
 		if err == nil {
 			return true
 		}
 		h.RecordFailure(err)
-		wait.For(ctx, pause.NextBackOff())
+		wait.For(ctx, retryBackoff.NextBackOff())
 	}
 	return false
 }
--- a/internal/storehealth/storehealth_test.go
+++ b/internal/storehealth/storehealth_test.go
@@ -12,7 +12,7 @@
 	"github.com/tideliftd/tidelift/test/wallclock"
 )
 
-var errAway = errors.New("away")
+var errUnreachable = errors.New("unreachable")
 
 func newHealth() *storehealth.Health {
 	return storehealth.New(storehealth.Config{Logger: slog.New(slog.DiscardHandler)})
@@ -24,7 +24,7 @@
 	answered := health.UntilAnswered(context.Background(), func() error {
 		calls++
 		if calls < 3 {
-			return errAway
+			return errUnreachable
 		}
 		return nil
 	})
@@ -38,17 +38,18 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	answered := health.UntilAnswered(ctx, func() error {
 		cancel()
-		return errAway
+		return errUnreachable
 	})
 	if answered || health.Answers() {
 		t.Fatalf("answered: %t; the store answers: %t", answered, health.Answers())
 	}
 }
 
-// TestRetryRecordsFailuresAlone repeats a call that may have to be followed by another.
-func TestRetryRecordsFailuresAlone(t *testing.T) {
+// TestRetryRecordsOnlyFailures guards against a success that is recorded before the calls that
+// have to follow it.
+func TestRetryRecordsOnlyFailures(t *testing.T) {
 	health := newHealth()
-	health.RecordFailure(errAway)
+	health.RecordFailure(errUnreachable)
 	if !health.Retry(context.Background(), func() error { return nil }) || health.Answers() {
 		t.Fatal("the answer was recorded")
 	}
@@ -56,20 +57,20 @@
 
 func TestState(t *testing.T) {
 	tests := map[string]struct {
-		happen func(*storehealth.Health)
-		want   storehealth.State
+		setup func(*storehealth.Health)
+		want  storehealth.State
 	}{
 		"nothing is known":                    {func(*storehealth.Health) {}, storehealth.Unknown},
-		"another daemon knew it to answer":    {func(h *storehealth.Health) { h.RecordSeen(time.Now()) }, storehealth.Up},
-		"another daemon did long ago":         {func(h *storehealth.Health) { h.RecordSeen(time.Now().Add(-time.Hour)) }, storehealth.Unknown},
+		"another daemon saw an answer":        {func(h *storehealth.Health) { h.RecordSeen(time.Now()) }, storehealth.Up},
+		"another daemon saw one long ago":     {func(h *storehealth.Health) { h.RecordSeen(time.Now().Add(-time.Hour)) }, storehealth.Unknown},
 		"its watch was answered":              {func(h *storehealth.Health) { h.BeginWatch(); h.RecordSuccess() }, storehealth.Up},
-		"its watch fails, whatever others do": {func(h *storehealth.Health) { h.BeginWatch(); h.RecordFailure(errAway); h.RecordSeen(time.Now()) }, storehealth.Down},
+		"its watch fails, others see answers": {func(h *storehealth.Health) { h.BeginWatch(); h.RecordFailure(errUnreachable); h.RecordSeen(time.Now()) }, storehealth.Down},
 		"its watch has just ended":            {func(h *storehealth.Health) { h.BeginWatch(); h.RecordSuccess(); h.EndWatch() }, storehealth.Up},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			health := newHealth()
-			test.happen(health)
+			test.setup(health)
 			if got := health.State(); got != test.want {
 				t.Fatalf("state is %s, want %s", got, test.want)
 			}
@@ -77,8 +78,8 @@
 	}
 }
 
-// TestSeenOnlyRises hears of an older answer after a younger one.
-func TestSeenOnlyRises(t *testing.T) {
+// TestRecordSeenKeepsLatest guards against an older report that replaces a newer one.
+func TestRecordSeenKeepsLatest(t *testing.T) {
 	health := newHealth()
 	now := time.Now()
 	health.RecordSeen(now)
@@ -88,13 +89,13 @@
 	}
 }
 
-// TestAStepBackMakesNothingFresh guards against a store that counts as up for as long as the wall clock has
-// stepped back: what another daemon said of it long ago stays as old as it is.
-func TestAStepBackMakesNothingFresh(t *testing.T) {
+// TestRecordSeenAfterClockStepBack guards against an old report that counts as recent after the wall
+// clock has stepped back.
+func TestRecordSeenAfterClockStepBack(t *testing.T) {
 	health := newHealth()
 	health.RecordSeen(wallclock.ReadBeforeStepBack(time.Now().Add(-time.Minute), time.Hour))
 	if age := time.Since(health.LastSeen()); age < time.Minute {
-		t.Errorf("the answer of a minute ago is %s old", age)
+		t.Errorf("an answer seen a minute ago is %s old", age)
 	}
 	if got := health.State(); got != storehealth.Unknown {
 		t.Errorf("state is %s, want %s", got, storehealth.Unknown)
@@ -102,6 +103,6 @@
 	now := time.Now()
 	health.RecordSeen(now)
 	if got := health.LastSeen(); !got.Equal(now) {
-		t.Errorf("an answer after the step is not taken: last seen %s, want %s", got, now)
+		t.Errorf("an answer after the step was not recorded: last seen %s, want %s", got, now)
 	}
 }
