--- a/internal/declaration/ask.go
+++ b/internal/declaration/ask.go
@@ -25,8 +25,8 @@
 func (f *Follower) Sync(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, syncTimeout)
 	defer cancel()
-	above := control.Above{Revision: f.Revision(), Hosts: f.config.Members.Sum(), Quarantines: f.config.Quarantines.Sum()}
-	var held control.Held
+	above := control.RevisionQuery{Revision: f.Revision(), Hosts: f.config.Members.Sum(), Quarantines: f.config.Quarantines.Sum()}
+	var held control.RevisionResponse
 	if err := f.config.Peers.Call(ctx, address, control.MethodRevision, above, &held); err != nil {
 		return false
 	}
@@ -41,7 +41,7 @@
 
 // recordQuarantines merges the quarantines of another daemon's answer. The answer holds none if
 // both daemons have the same.
-func (f *Follower) recordQuarantines(held control.Held) {
+func (f *Follower) recordQuarantines(held control.RevisionResponse) {
 	f.peerAnswered.Store(true)
 	if len(held.Quarantines) > 0 {
 		f.config.Quarantines.Merge(held.Quarantines)
@@ -54,7 +54,7 @@
 
 // HandleRevision handles another daemon's request for the revision of this one.
 func (f *Follower) HandleRevision(_ context.Context, params json.RawMessage) (any, error) {
-	var above control.Above
+	var above control.RevisionQuery
 	if err := control.Decode(params, &above); err != nil {
 		return nil, err
 	}
@@ -62,9 +62,9 @@
 }
 
 // answer returns what the requesting daemon does not have yet.
-func (f *Follower) answer(request control.Above) control.Held {
+func (f *Follower) answer(request control.RevisionQuery) control.RevisionResponse {
 	above := request.Revision
-	held := control.Held{SilentMs: time.Since(f.config.Health.LastSeen()).Milliseconds()}
+	held := control.RevisionResponse{SilentMs: time.Since(f.config.Health.LastSeen()).Milliseconds()}
 	f.config.Members.AddDigest(request, &held)
 	if request.Quarantines != f.config.Quarantines.Sum() {
 		held.Quarantines = f.config.Quarantines.Quarantines()
