--- a/internal/ingress/admit.go
+++ b/internal/ingress/admit.go
@@ -17,41 +17,40 @@
 	"github.com/tideliftd/tidelift/internal/route"
 )
 
-// request is a caller's request with what the declaration says of it.
+// request is an admitted request with the declared settings that apply to it.
 type request struct {
 	*http.Request
 	service         *service
 	serviceName     string
-	latencyTarget   time.Duration // within which an answer is worth most
+	latencyTarget   time.Duration // target for the time to the answer
 	deadline        time.Time
 	customer        string
-	queueCustomer   string // as which it waits in queues
+	queueCustomer   string // under which it is queued
 	terms           attempts.Terms
 	priority        int
 	body            *body.Body
 	route           route.Name
 	latency         *latency.Estimate // of its route
-	mayBeSubrequest bool              // nothing rules out that a backend server sent it
-	sentByRetry     bool              // a run that is a retry itself has sent it
-	countsAsRetry   bool              // as such it counts here, and must be ended
-	reached         atomic.Bool       // a backend server, or may have
+	mayBeSubrequest bool              // a backend server may have sent it
+	sentByRetry     bool              // sent by a run that is itself a retry
+	countsAsRetry   bool              // counted as a retry on admission; endRetry ends it
+	reached         atomic.Bool       // a backend server, or possibly
 }
 
-// subrequestPriority is the rank of what a backend server calls while it runs a request: before
-// all new work, since a refusal wastes the work on that request.
+// subrequestPriority is the priority of subrequests. It precedes all other priorities, since
+// refusing a subrequest wastes the work already done on the request that sent it.
 const subrequestPriority = -1
 
-// slowAfter returns how long an attempt runs before it is slow; zero if none is.
+// slowAfter returns how long an attempt runs before it is slow; zero if attempts are never slow.
 func (r *request) slowAfter() time.Duration { return r.latency.SlowAfter(r.latencyTarget) }
 
-// usual returns how long an answer to the request usually takes; zero if that is not
-// known.
+// usual returns the usual latency of the request's route; zero if unknown.
 func (r *request) usual() time.Duration {
 	usual, _ := r.latency.Usual()
 	return usual
 }
 
-// admission is what was found out about a request that may be served.
+// admission is the result of the admission checks of a request.
 type admission struct {
 	state    *state
 	match    *route.Match
@@ -59,7 +58,7 @@
 	timeLeft time.Duration
 }
 
-// admit returns a request as it is served, or the refusal.
+// admit returns the admitted request, or the refusal as an error.
 func (in *Ingress) admit(w http.ResponseWriter, r *http.Request, now time.Time) (*request, error) {
 	a, e := in.admission(r)
 	if e != nil {
@@ -73,8 +72,8 @@
 	return admitted, nil
 }
 
-// admission finds the route, the customer and the time left of a request, or refuses it: first for
-// what is wrong with it, last for its customer's limit, which counts what is not refused before.
+// admission determines the route, the customer and the remaining time of a request, or refuses it.
+// The customer's limit is checked last, so that it counts only requests that pass all other checks.
 func (in *Ingress) admission(r *http.Request) (a admission, e *result.Error) {
 	if a.state, e = in.ready(); e != nil {
 		return a, e
@@ -99,13 +98,13 @@
 	return a, in.withinLimit(a.caller.name)
 }
 
-// newRequest returns the request with what the declaration says of it.
+// newRequest returns the admitted request with the declared settings that apply to it.
 func (in *Ingress) newRequest(w http.ResponseWriter, r *http.Request, now time.Time, a admission) *request {
 	name := a.match.Choose(rand.Uint64())
 	service := a.state.services[name]
 	routeName := route.NameOf(a.match.Route)
-	// The attempts change the body. net/http must keep its own request as it
-	// was, since by its body it knows whether the caller waits for 100 Continue.
+	// Attempts replace the body. The original request must stay unchanged, since
+	// net/http uses its body to decide whether to send 100 Continue.
 	own := *r
 	target := min(a.match.Target, a.timeLeft)
 	made := &request{
@@ -136,8 +135,8 @@
 	return made
 }
 
-// putSubrequestFirst gives a request that a backend server sent while it runs another the first
-// place in queues, and all of its time to wait there.
+// putSubrequestFirst gives a subrequest the highest priority in queues, and lets it wait there
+// until its deadline.
 func (in *Ingress) putSubrequestFirst(r *request) {
 	if in.disabled.subrequests || !r.mayBeSubrequest || !in.subrequest.Is(r.route) {
 		return
@@ -147,7 +146,7 @@
 	r.priority = subrequestPriority
 }
 
-// ready returns the state in force, unless the daemon is stopping or has none.
+// ready returns the current state, or a refusal if the daemon is stopping or has no declaration.
 func (in *Ingress) ready() (*state, *result.Error) {
 	current := in.state.Load()
 	if in.stopping.Load() {
@@ -159,7 +158,7 @@
 	return current, nil
 }
 
-// timeLeft returns the caller's deadline or the route's, whichever is less.
+// timeLeft returns the shorter of the caller's and the route's deadline.
 func timeLeft(r *http.Request, callers fleet.Callers, match *route.Match) (time.Duration, *result.Error) {
 	text := r.Header.Get(callers.DeadlineHeader)
 	if text == "" {
@@ -172,7 +171,7 @@
 	return min(match.Deadline, time.Duration(millis)*time.Millisecond), nil
 }
 
-// addForwarded adds the headers that say where the request came from.
+// addForwarded sets the X-Forwarded headers.
 func addForwarded(r *http.Request) {
 	caller, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
--- a/internal/ingress/attempt.go
+++ b/internal/ingress/attempt.go
@@ -15,7 +15,7 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// errOverdue ends an attempt that a hedge sent later has overtaken.
+// errOverdue cancels an attempt after a hedge that was sent later has been answered.
 var errOverdue = errors.New("a later hedge was answered first")
 
 // attempt is one sending of a request to one backend server.
@@ -23,15 +23,15 @@
 	in      *Ingress
 	request *request
 	attempts.Choice
-	grant       retryGrant  // of the retry that it is
-	reservation string      // leave of the target's sidecar to run the request; empty if there is none
-	isHedge     bool        // it is a hedge beside a slow attempt
-	overdue     atomic.Bool // it took far longer than others would
+	grant       retryGrant  // of the retry, if the attempt is one
+	reservation string      // ID of the slot reserved at the target's sidecar; empty if there is none
+	isHedge     bool        // sent in parallel with a slow attempt
+	overdue     atomic.Bool // it took far longer than at other targets
 	startedAt   time.Time
-	cancel      context.CancelCauseFunc // ends it
+	cancel      context.CancelCauseFunc // cancels the attempt
 }
 
-// finish runs the attempt. One that retries the request has taken a retry, which ends here.
+// finish runs the attempt and ends its retry, if it is one.
 func (a *attempt) finish(ctx context.Context) outcome {
 	o := a.runReserved(ctx)
 	reached := o.err == nil || failures.Of(result.From(o.err).Code).Reached
@@ -42,18 +42,18 @@
 	return o
 }
 
-// runReserved runs the attempt, a hedge only once a slot is kept for it.
+// runReserved runs the attempt. A hedge runs only after a slot has been reserved for it.
 func (a *attempt) runReserved(ctx context.Context) outcome {
 	if a.isHedge {
 		if err := a.reserveSlot(ctx); err != nil {
 			return outcome{attempt: a, err: err, hedgeRefused: true}
 		}
 	}
-	response, err := a.run(ctx) //nolint:bodyclose // whoever handles the outcome closes it
+	response, err := a.run(ctx) //nolint:bodyclose // the receiver of the outcome closes it
 	return outcome{attempt: a, response: response, err: err}
 }
 
-// reserveSlot has the target keep a slot for the hedge. A refusal is evidence.
+// reserveSlot reserves a slot at the target for the hedge. A refusal is recorded as evidence.
 func (a *attempt) reserveSlot(ctx context.Context) error {
 	reservation, err := a.reserve(ctx)
 	if err != nil {
@@ -67,12 +67,12 @@
 	return nil
 }
 
-// run sends the request and returns the head of the answer.
+// run sends the request and returns the response once its header has arrived.
 func (a *attempt) run(ctx context.Context) (*http.Response, error) {
 	started := time.Now()
 	clock := a.startClock()
 	a.Target.Begin()
-	own := *a.request.Request // a hedge beside it has a body of its own
+	own := *a.request.Request // parallel hedges have their own bodies
 	a.request.body.Rewind(&own)
 	answer, err := a.send(ctx, &own)
 	clock.stop()
@@ -91,8 +91,8 @@
 	return answer.Response, nil
 }
 
-// failure returns the attempt's failure; one that was ended for being overdue
-// has a code of its own, also if it still waited for a slot.
+// failure returns the failure of the attempt. An attempt that was cancelled as overdue has its own
+// code, even if it was still waiting for a slot.
 func (a *attempt) failure(ctx context.Context, err error) *result.Error {
 	failure := result.From(err)
 	switch {
--- a/internal/ingress/attempts.go
+++ b/internal/ingress/attempts.go
@@ -12,8 +12,8 @@
 	"github.com/tideliftd/tidelift/internal/wait"
 )
 
-// tryAll tries the request on one backend server after another until one answers or the failure
-// is final.
+// tryAll tries the request at one backend server after another until one answers or the failure is
+// final.
 func (in *Ingress) tryAll(ctx context.Context, r *request) (*http.Response, error) {
 	p := &progress{}
 	for {
@@ -37,7 +37,8 @@
 	}
 }
 
-// choose returns the backend server to ask next. It waits while a better choice may be found.
+// choose returns the next backend server to try. It waits while a better choice may become
+// available.
 func (in *Ingress) choose(ctx context.Context, r *request, p *progress) attempts.Choice {
 	choice := attempts.Choose(time.Now(), r.terms, &p.History)
 	for choice.LookAgain && wait.For(ctx, attempts.LookAgainAfter) {
@@ -46,8 +47,8 @@
 	return choice
 }
 
-// takeRetry takes a retry for the next attempt if it is one, and reports false if the service's
-// limit leaves none.
+// takeRetry takes a retry from the service's limit if the next attempt is a retry, and reports
+// whether the attempt may be made.
 func (in *Ingress) takeRetry(ctx context.Context, r *request, p *progress) bool {
 	p.grant = grantNone
 	if !p.IsRetry() {
@@ -61,7 +62,8 @@
 	return true
 }
 
-// logAttempt logs a failed attempt, unless it only sends the request on.
+// logAttempt logs a failed attempt. Refusals that only pass the request on to the next backend
+// server are counted instead, and logged with the next failure.
 func (in *Ingress) logAttempt(r *request, a *attempt, p *progress, failure *result.Error, retried bool) {
 	if retried && failures.Of(failure.Code).PassedOver() {
 		p.passedOver.add(failure.Code)
--- a/internal/ingress/avoid.go
+++ b/internal/ingress/avoid.go
@@ -11,11 +11,11 @@
 	"github.com/tideliftd/tidelift/internal/fleet"
 )
 
-// reducedShare is what a sick target gets that the floor keeps in service. Not measured: enough
-// that its recovery shows soon.
+// reducedShare is the maximum share of an unhealthy target that the floor keeps in use. It is large
+// enough for a recovery to show soon.
 const reducedShare = balance.FullShare / 8
 
-// decide looks at every target and sets its share.
+// decide evaluates every target and sets its share.
 func (j *judge) decide(now time.Time) {
 	targets := j.pool.Targets()
 	j.group.Compare()
@@ -28,7 +28,7 @@
 	}
 }
 
-// avoidSick avoids as many sick targets as the floor leaves, the worst first.
+// avoidSick avoids as many unhealthy targets as the floor allows, the most severe first.
 func (j *judge) avoidSick(now time.Time, targets []*balance.Target) {
 	var sick []sickTarget
 	for _, target := range targets {
@@ -49,15 +49,15 @@
 	}
 }
 
-// sickTarget is a target that the rules would avoid.
+// sickTarget is a target that the detection rules classify as unhealthy.
 type sickTarget struct {
 	target  *balance.Target
 	subject *detect.Subject
 	verdict detect.Verdict
 }
 
-// publish tells requests how much of the work the target gets, and what goes
-// along to its sidecar.
+// publish sets the target's share of the requests and the baseline that requests to its sidecar
+// carry.
 func (j *judge) publish(now time.Time, target *balance.Target, told detect.Told) {
 	subject, ok := j.group.Subject(target.Name)
 	if !ok {
@@ -72,7 +72,7 @@
 	j.setShare(now, target, subject)
 }
 
-// spare returns how many more targets may be avoided.
+// spare returns how many more targets may be avoided without falling below the floor.
 func (j *judge) spare(now time.Time, targets []*balance.Target) int {
 	out := 0
 	for _, target := range targets {
@@ -85,8 +85,8 @@
 	return len(targets) - j.declared.Floor - out
 }
 
-// avoid avoids a sick target if the floor leaves one to avoid, and returns how
-// many it leaves then. A paused target is counted already.
+// avoid avoids an unhealthy target if the floor allows it, and returns how many more may be
+// avoided. A paused target is already counted as out of use.
 func (j *judge) avoid(now time.Time, s sickTarget, left int) int {
 	name := s.target.Name
 	paused := j.pool.Paused(s.target, now)
@@ -106,7 +106,7 @@
 	return left - 1
 }
 
-// setShare gives the target the share that its state asks for.
+// setShare sets the target's share according to its state.
 func (j *judge) setShare(now time.Time, target *balance.Target, subject *detect.Subject) {
 	switch subject.State(now) {
 	case detect.Ejected:
--- a/internal/ingress/check.go
+++ b/internal/ingress/check.go
@@ -7,7 +7,7 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// check refuses a request that no route could make right.
+// check refuses requests that are invalid on any route.
 func (in *Ingress) check(r *http.Request) *result.Error {
 	if r.Method == http.MethodConnect || r.Header.Get("Upgrade") != "" {
 		return result.New(result.UpgradeRefused)
--- a/internal/ingress/clock.go
+++ b/internal/ingress/clock.go
@@ -7,18 +7,17 @@
 	"github.com/tideliftd/tidelift/internal/detect"
 )
 
-// overdueClock watches one attempt for being overdue, which is evidence against its
-// target.
+// overdueClock reports an attempt that is overdue, which is evidence against its target.
 type overdueClock struct {
 	attempt *attempt
 
 	mu      sync.Mutex
 	timer   *time.Timer
-	stopped bool // the head of the answer is here, or the attempt has failed
+	stopped bool // the answer's header has arrived, or the attempt has failed
 }
 
-// startClock starts the attempt's clock. Without others to compare with it
-// never expires.
+// startClock starts the attempt's clock. It never expires if there are no other targets to compare
+// with.
 func (a *attempt) startClock() *overdueClock {
 	c := &overdueClock{attempt: a}
 	limit := a.request.service.overdueLimit(a.Target)
@@ -31,7 +30,7 @@
 	return c
 }
 
-// stop ends the watch. After it the clock does not expire any more.
+// stop stops the clock. The clock does not expire after stop returns.
 func (c *overdueClock) stop() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -41,7 +40,7 @@
 	}
 }
 
-// expire reports that the attempt is overdue, which is evidence.
+// expire reports the attempt as overdue.
 func (c *overdueClock) expire() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/ingress/customer.go
+++ b/internal/ingress/customer.go
@@ -9,20 +9,20 @@
 	"github.com/tideliftd/tidelift/internal/route"
 )
 
-// identity is the customer of a request.
+// identity is the customer and the priority of a request.
 type identity struct {
-	// name is the customer's; empty if there is none.
+	// name is the customer's name; empty if there is none.
 	name string
-	// priority is the customer's, or else its route's.
+	// priority is the customer's priority, or else the route's.
 	priority int
 }
 
-// identify finds the customer of a request by its key, and leaves nothing of the key to
-// whoever runs it. Where customers are declared, only a key makes a customer, whatever the
-// caller's headers say; where none are, the customer header is taken as it comes.
+// identify finds the customer of a request by its key and removes the key from the headers, so that
+// no backend server sees it. If customers are declared, the key alone determines the customer and
+// the caller's customer header is dropped; otherwise the customer header is trusted.
 //
-// A key that is not known is refused on public routes as well: its owner should hear that it
-// is no longer good, and no backend server learns of it.
+// An unknown key is refused on public routes as well, so that its owner notices that it is no
+// longer valid.
 func (s *state) identify(r *http.Request, match *route.Match) (identity, *result.Error) {
 	header := s.index.Declaration.Callers.CustomerHeader
 	who := identity{priority: match.Priority}
@@ -51,15 +51,16 @@
 	return who, nil
 }
 
-// mayBeSubrequest reports whether a backend server may have sent the request. Backend servers hold no
-// customer's key, so that a request with one is no subrequest, however often the two fail together.
-// Source: without that, on a day of high load most hosts took all routes for called, and one such
-// request asked dozens of backend servers for a slot.
+// mayBeSubrequest reports whether a backend server may have sent the request. Backend servers hold
+// no customer keys, so a request with a key is never a subrequest, even if its failures coincide
+// with those of a backend server. Without this rule, high load makes most hosts classify all routes
+// as subrequests.
 func (s *state) mayBeSubrequest(who identity) bool { return s.customers == nil || who.name == "" }
 
-// queueCustomer returns the customer as which a request waits in queues, each of which has its turns. Where customers are known,
-// what comes without one waits as its host: together they would be one customer among
-// hundreds, and most of them are subrequests, without which a customer's request fails.
+// queueCustomer returns the customer under which a request is queued; queues serve customers in
+// turn. If customers are declared, a request without one is queued under its host: a single
+// customer for all of them would get one turn among hundreds, although most of them are
+// subrequests, whose failure fails a customer's request.
 func (in *Ingress) queueCustomer(s *state, who identity) string {
 	if who.name != "" || s.customers == nil {
 		return who.name
@@ -67,8 +68,8 @@
 	return "host " + in.config.Host
 }
 
-// customersOf returns the table of the declared customers, which is the one before while the
-// declaration is the same: hosts come and go far more often than customers do.
+// customersOf returns the table of the declared customers. It reuses the current table while the
+// customers are unchanged, since hosts change far more often.
 func (in *Ingress) customersOf(d fleet.Declaration) *customer.Table {
 	if len(d.Customers) == 0 {
 		return nil
@@ -78,13 +79,13 @@
 	}
 	table, err := customer.NewTable(d.Customers)
 	if err != nil {
-		return &customer.Table{} // not reached: a declaration in force is checked; it knows no key
+		return &customer.Table{} // unreachable, as declarations are validated; rejects every key
 	}
 	return table
 }
 
-// withinLimit refuses a request beyond its customer's limit, before it takes a slot, a hedge
-// or a retry.
+// withinLimit refuses a request beyond its customer's limit, before it uses a slot, a hedge or a
+// retry.
 func (in *Ingress) withinLimit(customer string) *result.Error {
 	if in.config.AdmitCustomer == nil || customer == "" {
 		return nil
@@ -96,7 +97,7 @@
 	return result.New(result.CustomerLimit).WithDetail("customer %q", customer).WithRetryAfter(decision.RetryAfter)
 }
 
-// giveBack gives the customer's limit back what a request took that reached no backend server.
+// giveBack refunds the customer's limit for a request that reached no backend server.
 func (in *Ingress) giveBack(r *request) {
 	if in.config.GiveBack != nil && r.customer != "" {
 		in.config.GiveBack(r.customer)
--- a/internal/ingress/disabled.go
+++ b/internal/ingress/disabled.go
@@ -2,8 +2,7 @@
 
 import "github.com/tideliftd/tidelift/internal/experiment"
 
-// disabled are the mechanisms of a request's way that the settings switch off, to measure what
-// each is worth.
+// disabled says which mechanisms the settings switch off, to measure the effect of each.
 type disabled struct {
 	hedges         bool
 	hangChecks     bool
@@ -11,7 +10,7 @@
 	latencyTargets bool
 }
 
-// disabledBy returns what is switched off.
+// disabledBy returns the mechanisms that off disables.
 func disabledBy(off experiment.Off) disabled {
 	return disabled{
 		hedges:         off.Has(experiment.Hedges),
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -1,4 +1,4 @@
-// Package ingress is the part of a daemon that takes callers' requests.
+// Package ingress accepts callers' requests and routes them to backend servers.
 //
 // # Usage
 //
@@ -10,45 +10,48 @@
 //	in.Reconfigure(index)
 //	http.Serve(listener, in)
 //
-// # The way of a request
+// # Request processing
 //
-// ServeHTTP (serve.go) takes a caller's request, in its own goroutine, through these steps:
+// ServeHTTP (serve.go) takes each caller's request through these steps, in the goroutine of the
+// caller's connection:
 //
-//  1. admission (admit.go): it is refused if the daemon has no declaration or stops, if it is
-//     malformed, ambiguous or too large (check.go), if no route leads to a service, if its key is
-//     not known (customer.go) or its deadline is no number. The last check is its customer's limit.
-//  2. newRequest (admit.go) draws the service by the route's split and sets the terms on which the
-//     request is served. What a backend server of this host sent for a request that it is running
-//     goes before other work (putSubrequestFirst, and subrequest.go for how that is learned).
-//  3. A short body is read whole, so that it can be sent again (package body).
-//  4. tryAll (attempts.go) sends it to one backend server after another. Package attempts decides:
-//     Choose, which backend server gets it; MayRetry, whether there is another attempt after a failure; Failure and
-//     NoneLeft, what the caller is told in the end. The ingress waits before another look, takes a
-//     retry from the service's limit (limit.go) and logs.
-//  5. runRace (race.go) runs one attempt and, if it is slow, hedges of it, as attempts.Hedging decides.
-//     How long answers of the route take is learned in latencies.go. The first answer wins.
-//  6. An attempt (attempt.go) is one sending to the sidecar of the backend server's host (send.go): on
-//     this host by a call, else over the hop. What must not run twice gets a reservation first, as does
-//     each hedge (reservation.go). A clock reports an attempt that is overdue (clock.go).
-//  7. What an answer or a failure shows is learned (learn.go): whether the backend server is asked less
-//     for a while, and evidence for the service's judge (judge.go), which avoids (avoid.go) those whose path looks
-//     sick. What a failure means stands in package failures. A host that cannot be reached is asked
-//     until it answers (reach.go).
-//  8. The answer is passed on (serve.go), or the failure is answered with its code and when to come back
-//     (refuse.go). In a planned stop, callers that still wait are told what is known (stop.go).
+//  1. Admission (admit.go). The request is refused if the daemon has no declaration or is stopping, if
+//     the request is malformed, ambiguous or too large (check.go), if no route matches, if its key is
+//     unknown (customer.go) or if its deadline is invalid. The customer's limit is checked last.
+//  2. newRequest (admit.go) picks the service by the route's split and sets the terms on which the
+//     request is served. Requests that a backend server of this host sent while running another
+//     request are prioritised (putSubrequestFirst; subrequest.go learns which these are).
+//  3. A short body is read in full so that it can be resent (package body).
+//  4. tryAll (attempts.go) sends the request to one backend server after another. Package attempts
+//     decides: Choose, which backend server gets it; MayRetry, whether a failure is retried; Failure
+//     and NoneLeft, which failure the caller gets. The ingress waits between choices, takes retries
+//     from the service's limit (limit.go) and logs.
+//  5. runRace (race.go) runs one attempt and, if it is slow, its hedges, as attempts.Hedging decides.
+//     latencies.go learns the usual latency of each route. The first answer wins.
+//  6. An attempt (attempt.go) sends the request once, to the sidecar of the backend server's host
+//     (send.go): by a function call on this host, over the hop otherwise. A non-idempotent request
+//     and each hedge first get a reservation (reservation.go). A timer reports an attempt that is
+//     overdue (clock.go).
+//  7. The outcome is recorded (learn.go): it may pause the backend server, and it is evidence for the
+//     service's judge (judge.go), which avoids (avoid.go) backend servers whose path looks unhealthy.
+//     Package failures defines what each failure means. An unreachable host is pinged until it
+//     answers (reach.go).
+//  8. The answer is forwarded (serve.go), or the failure is answered with its code and Retry-After
+//     (refuse.go). In a planned stop, callers that still wait get a final answer (stop.go).
 //
-// # What it owns
+// # State
 //
-// For each service of the declaration a balance.Pool with what is known of its backend servers, a
-// judge, which is a goroutine of its own, and the service's retry limit (service.go); for each route a
-// latency.Estimate; the connections to other daemons; which hosts cannot be reached; and what is known
-// of subrequests. Each declaration renews this and keeps what was learned. Other parts of the daemon
-// tell it of backend servers that drain or are trusted again, and ask for its evidence (targets.go).
+// For each service of the declaration, the ingress owns a balance.Pool with the state of its
+// backend servers, a judge, which runs in its own goroutine, and the retry limit (service.go). It
+// also owns a latency.Estimate for each route, the connections to other daemons, the set of
+// unreachable hosts and the evidence on subrequests. Reconfigure applies a new declaration and
+// keeps what was learned. Other parts of the daemon report backend servers that are draining or
+// trusted again, and query the evidence (targets.go).
 //
-// # Promises
+// # Guarantees
 //
-// A caller gets the whole answer to its own request or a failure whose code says what is known. Nothing
-// that has been given up is held back: the work of attempts that are no longer needed is cancelled.
+// A caller gets the complete answer to its own request, or a failure whose code says whether the
+// request may have run. Attempts that are no longer needed are cancelled.
 package ingress
 
 import (
@@ -74,61 +77,63 @@
 	"github.com/tideliftd/tidelift/internal/subrequest"
 )
 
-// idleTimeout is how long an idle connection to another daemon is kept.
-// It is shorter than the daemons keep theirs, so that a request seldom
-// meets a connection that is just being closed.
+// idleTimeout is how long an idle connection to another daemon is kept. It is shorter than the
+// daemons' own idle timeout, so that a request rarely uses a connection that is being closed.
 const idleTimeout = 45 * time.Second
 
-// Config says who the daemon is and how the ingress reaches sidecars.
+// Config configures an Ingress.
 type Config struct {
 	// Host is the daemon's name.
 	Host string
-	// DataCentre is where it stands.
+	// DataCentre is the data centre of the daemon's host.
 	DataCentre string
-	// Service is the service of the applications on this host, whose requests
-	// begin here; it may be empty.
+	// Service is the service of the applications on this host that send requests to this daemon; it
+	// may be empty.
 	Service string
-	// HeaderBytes bounds the headers of a request.
+	// HeaderBytes limits the size of a request's headers, in bytes.
 	HeaderBytes int
-	// TLS is what the daemon proves itself with to others; nil for none.
+	// TLS is the client configuration for connections to other daemons; nil disables TLS.
 	TLS *tls.Config
-	// Off are mechanisms that are switched off.
+	// Off lists the mechanisms that are switched off.
 	Off experiment.Off
 	// Logger receives numbered events.
 	Logger *slog.Logger
 	// Scope receives the metrics.
 	Scope tally.Scope
-	// Far reports whether bytes to another daemon's address are dear and travel compressed,
-	// which they do without TLS alone; nil if none do.
+	// Far reports whether traffic to another daemon's address is compressed because bandwidth to it
+	// is expensive; nil if none is. It is ignored with TLS.
 	Far func(address string) bool
-	// Ping asks another host's daemon for any answer; nil if hosts are not asked.
+	// Ping sends a request to another host's daemon and returns nil on any answer; nil disables
+	// pings.
 	Ping func(context.Context, fleet.Host) error
-	// Silent is told of a host that has not answered for long.
+	// Silent is called for a host that has not answered any ping within the ping period. It is
+	// required if Ping is set.
 	Silent func(fleet.Host)
-	// Subrequest is told what is seen of routes that the backend servers of this host may
-	// call; nil if it is of no use.
+	// Subrequest receives evidence on routes that the backend servers of this host may call; nil
+	// discards it.
 	Subrequest func([]subrequest.Evidence)
-	// AdmitCustomer decides whether a request of the customer is within its limit, and GiveBack
-	// takes that back for one that reached no backend server; nil if there are no limits.
+	// AdmitCustomer decides whether a request is within the customer's limit, and GiveBack reverts
+	// that for a request that reached no backend server; both are nil if there are no limits.
 	AdmitCustomer func(customer string) quota.Decision
 	GiveBack      func(customer string)
-	// Runs knows what the backend servers of this host run; nil if nothing is known of that.
+	// Runs tracks the requests that the backend servers of this host are running; nil uses an empty
+	// table.
 	Runs *runs.Table
-	// Retries is the host's budgets of retries; nil keeps one for the ingress alone.
+	// Retries holds the host's retry budgets; nil creates budgets that only this ingress uses.
 	Retries *retry.Budgets
-	// HostsCounted reports whether the declaration has the hosts that the platform's store listed, so
-	// that they can share what all of them may do together; nil if it always has.
+	// HostsCounted reports whether the declaration contains the hosts listed in the platform's
+	// store, so that limits can be divided among them; nil means always.
 	HostsCounted func() bool
-	// BorrowRetry takes a retry of a request to the service from another host, to be made at once;
-	// nil if others are not asked.
+	// BorrowRetry borrows a retry for a request to the service from another host, for immediate
+	// use; nil disables borrowing.
 	BorrowRetry func(ctx context.Context, service string) bool
 	// Local runs a request on a backend server of the daemon's own host.
 	Local func(context.Context, hop.Call, *http.Request) (sidecar.Answer, error)
-	// LocalReservation keeps a slot of a backend server of the daemon's own host.
+	// LocalReservation reserves a slot of a backend server of the daemon's own host.
 	LocalReservation func(context.Context, hop.Call) (string, error)
 }
 
-// Ingress takes callers' requests.
+// Ingress accepts callers' requests.
 type Ingress struct {
 	config    Config
 	disabled  disabled
@@ -136,8 +141,8 @@
 	start     time.Time
 	metrics   metrics
 	reach     *reach
-	ended     context.Context // ends with the ingress
-	answering context.Context // ends when all callers that still wait get their answers
+	ended     context.Context // done when the ingress is closed
+	answering context.Context // done when pending requests must be answered
 	answerAll context.CancelFunc
 	inFlight  atomic.Int64
 	settling  atomic.Bool // a planned stop has begun
@@ -154,12 +159,12 @@
 	requests tally.Counter
 	refused  metric.Reasons
 	retried  metric.Reasons
-	limited  metric.Reasons // failures that the retry limit made final
+	limited  metric.Reasons // failures not retried because of the retry limit
 	seconds  tally.Histogram
 }
 
-// New returns an ingress that refuses requests until Reconfigure, and a
-// function that closes its connections.
+// New returns an ingress that refuses requests until Reconfigure is called, and a function that
+// ends its background work and closes its idle connections.
 func New(config Config) (*Ingress, func()) {
 	if config.Runs == nil {
 		config.Runs = runs.New()
@@ -198,16 +203,16 @@
 	}
 }
 
-// dialTo returns what connects to other daemons.
+// dialTo returns the dial function for connections to other daemons.
 func dialTo(config Config) dial.Func {
 	far := config.Far
 	if config.TLS != nil {
-		far = nil // the length of what is compressed tells something of it
+		far = nil // compressed lengths leak information about encrypted content
 	}
 	return dial.Compressed(dial.New(dial.ToDaemons()), far)
 }
 
-// end ends the judges and closes the connections.
+// end stops the judges and closes idle connections.
 func (in *Ingress) end() {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -217,7 +222,7 @@
 	in.transport.CloseIdleConnections()
 }
 
-// requestID returns the id by which callers name the request; it may be empty.
+// requestID returns the caller's ID of the request; it may be empty.
 func (in *Ingress) requestID(r *http.Request) string {
 	header := in.callers().IDHeader
 	if header == "" {
@@ -226,8 +231,7 @@
 	return r.Header.Get(header)
 }
 
-// callers says what the headers of callers' requests mean; it is empty without a
-// declaration.
+// callers returns how callers' headers are interpreted; it is the zero value without a declaration.
 func (in *Ingress) callers() fleet.Callers {
 	current := in.state.Load()
 	if current == nil {
--- a/internal/ingress/judge.go
+++ b/internal/ingress/judge.go
@@ -13,23 +13,22 @@
 )
 
 const (
-	// judgeEvery is how often the verdicts are looked at. Not measured: a fraction of the time in
-	// which evidence gathers.
+	// judgeEvery is the interval between evaluations of the evidence.
 	judgeEvery = 100 * time.Millisecond
-	// idleAfter is how long after the last request a judge goes on deciding. Not measured: a
-	// service without requests is to cost nothing.
+	// idleAfter is how long after the last observation a judge keeps evaluating, so that a service
+	// without requests costs nothing.
 	idleAfter = time.Second
-	// observationsKept is how many observations may wait for the judge; more are dropped and
-	// counted, since requests do not wait for it. Not measured.
+	// observationsKept is the capacity of a judge's observation queue. Requests do not block on a
+	// full queue: further observations are dropped and counted.
 	observationsKept = 512
 )
 
-// judge owns what this daemon believes of the path to each backend server of
-// one service. Requests tell it what they saw; it sets the targets' shares.
+// judge evaluates the path from this daemon to each backend server of one service. Requests report
+// what they observe; the judge sets the targets' shares.
 //
-// It avoids a target, which is not to eject it: others may see it as fine.
-// As many targets as the floor says stay in use, counting out those that are
-// ejected or draining.
+// It avoids a target rather than ejecting it, since the path from other daemons may be healthy. At
+// least as many targets as the floor requires stay in use; ejected and draining targets do not
+// count towards it.
 type judge struct {
 	config       Config
 	pool         *balance.Pool
@@ -41,17 +40,17 @@
 
 	declared    fleet.Service
 	group       *detect.Group
-	keptByFloor map[string]bool // sick, and kept by the floor
+	keptByFloor map[string]bool // unhealthy, but kept in use by the floor
 	idle        bool
 	lastSeen    time.Time // of the last observation
 }
 
-// observation is what a request saw of a target. A probation is the request that
-// an avoided target is given to show that it has recovered.
+// observation is what a request observed of a target. A probation is a request that an avoided
+// target gets to show that it has recovered.
 type observation struct {
 	target     *balance.Target
 	probation  bool
-	isEvidence bool // false if the request says nothing of the target
+	isEvidence bool // false if the request says nothing about the target's health
 	saw        detect.Observation
 }
 
@@ -84,7 +83,7 @@
 
 func (j *judge) end() { close(j.ended) }
 
-// reconfigure puts what is declared of the service in force.
+// reconfigure applies the service's declaration.
 func (j *judge) reconfigure(declared fleet.Service) {
 	select {
 	case j.changes <- declared:
@@ -92,7 +91,7 @@
 	}
 }
 
-// record gives the judge an observation without waiting for it.
+// record queues an observation without blocking.
 func (j *judge) record(o observation) {
 	select {
 	case j.observations <- o:
@@ -101,7 +100,7 @@
 	}
 }
 
-// explain returns the evidence on a backend server.
+// explain returns the evidence on a backend server and the state of its floor.
 func (j *judge) explain(backendServer string) (detect.Explanation, string, bool) {
 	q := question{backendServer: backendServer, reply: make(chan explanation, 1)}
 	select {
@@ -113,8 +112,8 @@
 	}
 }
 
-// run decides at a steady pace while there is something to decide on. A service
-// without requests, whose backend servers all serve, costs nothing.
+// run evaluates the evidence periodically, and stops doing so while the service has no requests and
+// all its backend servers have their full share.
 func (j *judge) run() {
 	pace := time.NewTimer(judgeEvery)
 	defer pace.Stop()
@@ -142,7 +141,7 @@
 	}
 }
 
-// apply puts what is declared of the service in force.
+// apply applies the service's declaration.
 func (j *judge) apply(declared fleet.Service) {
 	j.declared = declared
 	names := make([]string, 0, len(declared.BackendServers))
@@ -152,7 +151,7 @@
 	j.group.Reconfigure(detect.RulesOf(declared.Detection), names)
 }
 
-// observe enters what a request showed of a target, and ends the probation that it was.
+// observe records an observation of a target. If the request was a probation, observe ends it.
 func (j *judge) observe(now time.Time, o observation) {
 	j.lastSeen = now
 	subject, ok := j.group.Subject(o.target.Name)
@@ -174,7 +173,7 @@
 	}
 }
 
-// settled reports whether nothing will change without a request.
+// settled reports whether no share can change before the next observation.
 func (j *judge) settled(now time.Time) bool {
 	if now.Sub(j.lastSeen) < idleAfter || len(j.keptByFloor) > 0 {
 		return false
@@ -187,7 +186,7 @@
 	return true
 }
 
-// answer returns the evidence on a backend server, and what the floor does for it.
+// answer returns the evidence on a backend server and the state of its floor.
 func (j *judge) answer(now time.Time, backendServer string) explanation {
 	subject, ok := j.group.Subject(backendServer)
 	if !ok {
--- a/internal/ingress/latencies.go
+++ b/internal/ingress/latencies.go
@@ -7,13 +7,13 @@
 	"github.com/tideliftd/tidelift/internal/route"
 )
 
-// latencies are the latencies of the routes that were asked for. They outlast the declarations
-// that have the route.
+// latencies holds the latency estimates of the requested routes. They survive a Reconfigure that
+// keeps the route.
 type latencies struct {
 	byRoute sync.Map // of *latency.Estimate, by route.Name
 }
 
-// of returns the route's latency.
+// of returns the route's latency estimate, and creates it if necessary.
 func (p *latencies) of(name route.Name) *latency.Estimate {
 	known, ok := p.byRoute.Load(name)
 	if !ok {
@@ -22,7 +22,7 @@
 	return known.(*latency.Estimate)
 }
 
-// retain forgets the routes for which the function says no.
+// retain removes the routes for which declared returns false.
 func (p *latencies) retain(declared func(route.Name) bool) {
 	p.byRoute.Range(func(name, _ any) bool {
 		if !declared(name.(route.Name)) {
--- a/internal/ingress/learn.go
+++ b/internal/ingress/learn.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	// refusedPause is how long a target that takes no work is passed over when it does not say for
-	// how long. Not measured: a daemon that starts again is back in a second.
+	// refusedPause is how long a target that takes no requests is skipped if its refusal has no
+	// Retry-After.
 	refusedPause = time.Second
-	// farStaysAway is how long ingresses of other data centres keep away from a suspected target
-	// unless they are told earlier that it is trusted again. Not measured: they have others nearer,
-	// and it bounds only the case that what they are told is lost.
+	// farStaysAway is how long ingresses of other data centres skip a suspected target unless they
+	// are notified earlier that it is trusted again. They usually have nearer targets, so the pause
+	// only matters if that notification is lost.
 	farStaysAway = 4 * time.Second
-	// unreachablePause is how long a target that cannot be reached is passed over. Not measured:
-	// long enough that not each request tries it, short beside the start of a backend server.
+	// unreachablePause is how long an unreachable target is skipped. It keeps most requests from
+	// trying the target, and is short compared to the start of a backend server.
 	unreachablePause = 500 * time.Millisecond
 )
 
-// learnFromAnswer records what the head of an answer shows.
+// learnFromAnswer records what the header of an answer shows about the target.
 func (a *attempt) learnFromAnswer(answer sidecar.Answer, took time.Duration) {
 	a.request.service.pool.Report(a.Target, answer.Load, time.Now())
 	a.request.service.pool.ReportFailing(a.Target, answer.Failing, time.Now())
@@ -40,7 +40,8 @@
 	a.report(detect.Observation{Outcome: outcome, Took: took, WasOverdue: a.overdue.Load()}, isEvidence)
 }
 
-// learnFromFailure records what a failure shows, and passes a target over for a while that refuses.
+// learnFromFailure records what a failure shows about the target, and skips a target that refuses
+// requests for a while.
 func (a *attempt) learnFromFailure(failure *result.Error, took time.Duration) {
 	meaning := failures.Of(failure.Code)
 	if meaning.Reached {
@@ -60,12 +61,13 @@
 		a.passOverHost(meaning.Target)
 	case failures.Unreachable:
 		pool.Pause(a.Target, time.Now().Add(unreachablePause))
-	case failures.Unchanged, failures.QueueFull, failures.Hanging, failures.NoRetries: // nothing that outlasts the request
+	case failures.Unchanged, failures.QueueFull, failures.Hanging, failures.NoRetries: // nothing to remember beyond the request
 	}
 }
 
-// passOverHost passes the backend servers of the target's host over, which could not be reached, until
-// it answers; without a way to ask it only this one, for a moment.
+// passOverHost skips the backend servers of the target's unreachable host until the host answers a
+// ping. If pings are disabled, it skips only this target, for a short time, and only if no
+// connection could be made.
 func (a *attempt) passOverHost(state failures.Target) {
 	if a.in.config.Ping != nil {
 		a.in.reach.recordLost(a.Target.Placement().Host)
@@ -76,20 +78,20 @@
 	}
 }
 
-// report gives the service's judge what the attempt saw.
+// report sends the attempt's observation to the service's judge.
 func (a *attempt) report(saw detect.Observation, isEvidence bool) {
 	if !isEvidence && !a.Probation {
 		return
 	}
 	if a.Probation && saw.Outcome == detect.Overdue {
-		return // the probation's end says more
+		return // the end of the probation is recorded instead
 	}
 	a.request.service.judge.record(observation{target: a.Target, probation: a.Probation, isEvidence: isEvidence, saw: saw})
 }
 
-// stayAway is how long to keep away from a suspected target. Those near it find out
-// when it is well again, each at a time of its own; whoever was turned away is
-// told then.
+// stayAway returns how long to skip a suspected target. Ingresses of its data centre try it again
+// by themselves, each after a random time to spread their requests. All ingresses that it refused
+// are notified when it is trusted again.
 func (a *attempt) stayAway(failure *result.Error) time.Duration {
 	if a.far() {
 		return farStaysAway
@@ -97,7 +99,7 @@
 	return failure.RetryAfter + rand.N(failure.RetryAfter+1)
 }
 
-// pauseFor is how long to pass over a target that takes no work.
+// pauseFor returns how long to skip a target that takes no requests.
 func pauseFor(failure *result.Error) time.Duration {
 	if failure.RetryAfter > 0 {
 		return failure.RetryAfter
--- a/internal/ingress/limit.go
+++ b/internal/ingress/limit.go
@@ -7,35 +7,35 @@
 	"github.com/tideliftd/tidelift/internal/retry"
 )
 
-// retryGrant tells who answers for a retry that was taken.
+// retryGrant says which host granted a retry.
 type retryGrant string
 
 const (
-	// grantNone means that none was taken.
+	// grantNone means that no retry was taken.
 	grantNone retryGrant = ""
-	// grantOwn means that this host does, so that it must be ended.
+	// grantOwn means a retry from this host's budget; it must be ended.
 	grantOwn retryGrant = "own"
-	// grantBorrowed means that another host does, which has lent it.
+	// grantBorrowed means a retry that another host lent and accounts for.
 	grantBorrowed retryGrant = "lent"
 )
 
-// retryLimit is a service's retry limit, as far as this host answers for it.
+// retryLimit is this host's part of a service's retry limit.
 type retryLimit struct {
 	budgets *retry.Budgets
 	service string
-	borrow  func(ctx context.Context, service string) bool // nil if no other host is asked
+	borrow  func(ctx context.Context, service string) bool // nil disables borrowing
 }
 
-// likelyLeft reports whether a retry is likely to be had now. Every request asks it, and whether others may
-// be asked is the cheaper question of the two by far.
+// likelyLeft reports whether a retry is likely to be available. It is called for every request, so
+// the far cheaper check of borrowing comes first.
 func (l *retryLimit) likelyLeft(now time.Time) bool {
 	return l.budgets.MayBorrow(now, l.service) || l.budgets.Left(now, l.service)
 }
 
-// takeOwn takes a retry of this host, and reports whether there was one.
+// takeOwn takes a retry from this host's budget, and reports whether one was left.
 func (l *retryLimit) takeOwn() bool { return l.budgets.Take(time.Now(), l.service) }
 
-// takeAny takes a retry of this host, or else of another if that has one to spare.
+// takeAny takes a retry from this host's budget, or else borrows one from another host.
 func (l *retryLimit) takeAny(ctx context.Context) retryGrant {
 	switch {
 	case l.takeOwn():
@@ -47,10 +47,11 @@
 	}
 }
 
-// giveBack gives a retry back that was taken and not used.
+// giveBack returns an unused retry.
 func (l *retryLimit) giveBack(r retryGrant) { l.end(r, false) }
 
-// end ends the retry of an attempt, which counts if that reached a backend server, or may have.
+// end ends the retry of an attempt. It counts against the budget if the attempt reached, or may
+// have reached, a backend server.
 func (l *retryLimit) end(r retryGrant, reached bool) {
 	if r == grantOwn {
 		l.budgets.End(time.Now(), l.service, reached)
--- a/internal/ingress/passedover.go
+++ b/internal/ingress/passedover.go
@@ -7,17 +7,17 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// passedOver counts by reason the backend servers that had no slot for a request or were not
-// to be asked now. It has a place for each reason that was met, in the order of meeting.
+// passedOver counts, by reason, the backend servers that were skipped for a request because they
+// had no slot or refused. Reasons are in order of first occurrence.
 type passedOver []passedOverFor
 
-// passedOverFor is how many there were for one reason.
+// passedOverFor is the count for one reason.
 type passedOverFor struct {
 	reason string
 	count  int
 }
 
-// add counts one.
+// add counts one refusal with the code.
 func (p *passedOver) add(code result.Code) {
 	for i := range *p {
 		if (*p)[i].reason == code.Name {
--- a/internal/ingress/progress.go
+++ b/internal/ingress/progress.go
@@ -7,24 +7,23 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// progress is what became of a request's attempts so far.
+// progress is the state of a request's attempts.
 type progress struct {
 	attempts.History
-	answer     *http.Response // a failure of a backend server, if nothing better comes
-	passedOver passedOver     // since the last log line
+	answer     *http.Response // error response of a backend server, used if no attempt does better
+	passedOver passedOver     // since the last logged failure
 	grant      retryGrant     // of the next attempt
 }
 
-// record enters an attempt that failed, or whose answer is kept if nothing better comes, and
-// returns its failure.
+// record records an attempt that failed or returned an error response, and returns its failure.
 func (p *progress) record(o outcome) *result.Error {
 	failure := p.failureOf(o)
 	p.Record(o.attempt.Target, failure, o.attempt.far())
 	return failure
 }
 
-// failureOf returns the attempt's failure. An answer of a backend server that says that it failed
-// is kept in place of the one before.
+// failureOf returns the attempt's failure. It keeps an error response of a backend server,
+// replacing the previous one.
 func (p *progress) failureOf(o outcome) *result.Error {
 	if o.err != nil {
 		return result.From(o.err)
@@ -34,7 +33,7 @@
 	return result.New(result.ServerError).WithDetail("status %d", o.response.StatusCode)
 }
 
-// end returns the answer of a backend server if there is one, and else the failure.
+// end returns the error response of a backend server if there is one, or else the failure.
 func (p *progress) end(failure *result.Error) (*http.Response, error) {
 	if p.answer != nil {
 		return p.answer, nil
@@ -42,9 +41,9 @@
 	return nil, failure
 }
 
-// closeAnswer closes the answer that is not needed any more.
+// closeAnswer closes the kept error response, if any.
 func (p *progress) closeAnswer() {
 	if p.answer != nil {
-		_ = p.answer.Body.Close() // it was read whole
+		_ = p.answer.Body.Close() // already read in full
 	}
 }
--- a/internal/ingress/race.go
+++ b/internal/ingress/race.go
@@ -10,35 +10,36 @@
 )
 
 // race is an attempt of a request and, once that is slow, hedges of it at other backend servers.
-// The first whole answer wins and the rest is cancelled. The slow attempt goes on meanwhile, since
-// its answer may be the first. When a hedge is sent, and where, is decided in attempts.Hedging.
+// The first complete answer wins and the other attempts are cancelled. The slow attempt continues
+// in the meantime, since it may still answer first. attempts.Hedging decides when and where a hedge
+// is sent.
 //
-// One goroutine owns the race; each attempt runs in its own and sends its outcome.
+// One goroutine owns the race; each attempt runs in its own goroutine and sends its outcome.
 type race struct {
 	in       *Ingress
 	request  *request
 	progress *progress
 	running  []*attempt
 	hedging  attempts.Hedging
-	failed   *outcome // the last that failed, which is not in the progress yet
+	failed   *outcome // the last failure, not yet recorded in progress
 	done     chan outcome
 }
 
-// outcome is what became of an attempt.
+// outcome is the result of an attempt.
 type outcome struct {
 	attempt      *attempt
 	response     *http.Response
 	err          error
-	hedgeRefused bool // it is a hedge for which no slot was found
+	hedgeRefused bool // a hedge that was not sent, as no slot was reserved for it
 }
 
-// isAnswer reports whether the attempt has an answer that is passed on.
+// isAnswer reports whether the attempt has an answer that is final for the caller.
 func (o outcome) isAnswer() bool {
 	return o.err == nil && !o.attempt.request.terms.MayImprove(o.response)
 }
 
-// runRace runs the attempt and, where it is slow, hedges of it. It returns the one that
-// has the answer, or the last that failed; the failures of the others are in the progress.
+// runRace runs the attempt and, if it is slow, hedges of it. It returns the outcome with the
+// answer, or else the last failure; the other failures are recorded in p.
 func (in *Ingress) runRace(ctx context.Context, first *attempt, p *progress) outcome {
 	r := &race{
 		in:       in,
@@ -63,7 +64,7 @@
 	}
 }
 
-// firstLook returns the timer of the looks for a hedge. It never fires if none may be sent.
+// firstLook returns the timer for the next hedge. It never fires if the request may not be hedged.
 func (r *race) firstLook() *time.Timer {
 	after, ok := r.hedging.FirstLook()
 	look := time.NewTimer(after)
@@ -73,14 +74,14 @@
 	return look
 }
 
-// handle records the outcome of an attempt, and returns the one that ends the race; nil if it
-// goes on.
+// handle records the outcome of an attempt. It returns the outcome that ends the race, or nil if
+// the race continues.
 func (r *race) handle(o outcome) *outcome {
 	r.running = slices.DeleteFunc(r.running, func(a *attempt) bool { return a == o.attempt })
 	if o.hedgeRefused {
 		r.hedging.Refused(o.attempt.Target)
 		if len(r.running) == 0 {
-			return r.failed // the attempt that it was to be a hedge of
+			return r.failed // the attempt that the hedge was for
 		}
 		return nil
 	}
@@ -96,7 +97,8 @@
 	return nil
 }
 
-// recordFailed enters the last failure in the progress, once another attempt has ended after it.
+// recordFailed records the pending failure in the progress, once another attempt has ended after
+// it.
 func (r *race) recordFailed() {
 	if r.failed == nil {
 		return
@@ -107,7 +109,7 @@
 	r.in.logAttempt(r.request, o.attempt, r.progress, failure, true)
 }
 
-// start starts an attempt, which runs beside the race's own goroutine.
+// start starts an attempt in its own goroutine.
 func (r *race) start(ctx context.Context, a *attempt) {
 	ctx, a.cancel = context.WithCancelCause(ctx)
 	a.startedAt = time.Now()
@@ -116,7 +118,7 @@
 	go func() { r.done <- a.finish(ctx) }()
 }
 
-// tryHedge sends a hedge if one may be sent now and this host has a retry for it.
+// tryHedge sends a hedge if one is due and this host has a retry left for it.
 func (r *race) tryHedge(ctx context.Context) {
 	choice := r.hedging.Choose(time.Now(), &r.progress.History, r.runs())
 	if choice.Target == nil || !r.request.service.limit.takeOwn() {
@@ -125,7 +127,7 @@
 	r.start(ctx, &attempt{in: r.in, request: r.request, Choice: choice, grant: grantOwn, isHedge: true})
 }
 
-// runs returns what runs of the request.
+// runs returns the state of the request's running attempts.
 func (r *race) runs() attempts.Running {
 	running := attempts.Running{
 		Count: len(r.running), NewestBegan: r.running[len(r.running)-1].startedAt,
@@ -137,8 +139,8 @@
 	return running
 }
 
-// cancelRest ends the attempts that the winner leaves over. Those that began before it
-// are overdue, which is evidence.
+// cancelRest cancels the attempts that are still running. Those that began before the winner are
+// overdue, which is evidence.
 func (r *race) cancelRest(winner *attempt) {
 	for _, a := range r.running {
 		if attempts.IsOvertaken(a.startedAt, winner.startedAt) {
@@ -150,12 +152,12 @@
 	go r.drain(len(r.running))
 }
 
-// drain waits for the attempts that were left over.
+// drain waits for the cancelled attempts and closes their answers.
 func (r *race) drain(count int) {
 	for range count {
 		o := <-r.done
 		if o.response != nil {
-			_ = o.response.Body.Close() // it is not needed, whether it is whole or not
+			_ = o.response.Body.Close() // the answer is discarded
 		}
 	}
 }
--- a/internal/ingress/reach.go
+++ b/internal/ingress/reach.go
@@ -11,23 +11,21 @@
 )
 
 const (
-	// reachEvery is the pause between two looks whether a host can be reached
-	// again. Source: a daemon that was killed is back in a second.
+	// reachEvery is the pause between pings of an unreachable host.
 	reachEvery = 200 * time.Millisecond
-	// reachWithin is how long the answer may take. Source: twenty round trips
-	// between data centres; a lost packet is sent again only after 200 ms, and a
-	// path that loses many is no path for requests.
+	// reachWithin is the timeout of a ping. It is shorter than a retransmission, since a path that
+	// loses many packets is unsuitable for requests.
 	reachWithin = 150 * time.Millisecond
-	// reachProofs is how many answers in a row bring the host back. Source: of a
-	// path that loses three packets in ten, three pass once in eight times.
+	// reachProofs is how many consecutive answers make a host reachable again. A single answer may
+	// get through on a path that loses many packets.
 	reachProofs = 3
-	// reachFor bounds how long one look goes on; a host that is longer away is
-	// met again by a request.
+	// reachFor limits how long a host is pinged. A host that is still unreachable then is detected
+	// again by the next request to it.
 	reachFor = 30 * time.Second
 )
 
-// reach knows which hosts cannot be reached from here, and asks their daemons
-// until they can. No request waits for a host that is known to be away.
+// reach tracks the hosts that are unreachable from this daemon, and pings their daemons until they
+// answer. No request waits for a host that is known to be unreachable.
 type reach struct {
 	in *Ingress
 
@@ -35,8 +33,8 @@
 	away map[string]bool
 }
 
-// recordLost records that a request could not reach the host. Its targets are passed
-// over until the host has answered.
+// recordLost records that a request could not reach the host, and skips its targets until the host
+// has answered.
 func (x *reach) recordLost(host fleet.Host) {
 	if host.Name == x.in.config.Host {
 		return
@@ -52,7 +50,7 @@
 	go x.awaitAnswers(host)
 }
 
-// awaitAnswers asks the host's daemon until it answers in good time.
+// awaitAnswers pings the host's daemon until it answers reliably or the ping period ends.
 func (x *reach) awaitAnswers(host fleet.Host) {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(x.in.ended, reachFor)
@@ -82,7 +80,7 @@
 	return x.in.config.Ping(ctx, host) == nil
 }
 
-// pause passes the host's targets over until then.
+// pause skips the host's targets until the given time.
 func (x *reach) pause(host string, until time.Time) {
 	current := x.in.state.Load()
 	if current == nil {
@@ -97,8 +95,7 @@
 	}
 }
 
-// Away reports whether requests could not reach the host and it has not answered
-// since.
+// Away reports whether requests could not reach the host and it has not answered since.
 func (in *Ingress) Away(host string) bool {
 	in.reach.mu.Lock()
 	defer in.reach.mu.Unlock()
--- a/internal/ingress/refuse.go
+++ b/internal/ingress/refuse.go
@@ -15,8 +15,8 @@
 	"github.com/tideliftd/tidelift/internal/retryafter"
 )
 
-// fail answers with the failure, and logs it. A refusal always says when to
-// come back, unless that is of no use.
+// fail answers the request with the failure and logs it. A refusal that may be worth repeating
+// always has a Retry-After.
 func (in *Ingress) fail(w http.ResponseWriter, r *http.Request, started time.Time, err error) {
 	e := result.From(err)
 	if failures.Of(e.Code).ComeBack && e.RetryAfter == 0 {
@@ -36,8 +36,8 @@
 	result.Write(w, e)
 }
 
-// bodyFailure is the failure of a request whose body could not be read. Nothing
-// of it was sent.
+// bodyFailure returns the failure of a request whose body could not be read. No part of the request
+// was sent.
 func bodyFailure(err error) *result.Error {
 	if errors.Is(err, body.ErrTooLong) {
 		return result.Wrap(result.BodyTooLarge, err)
--- a/internal/ingress/reservation.go
+++ b/internal/ingress/reservation.go
@@ -13,17 +13,16 @@
 )
 
 const (
-	// reservationDivisor divides the time left into what a reservation may take that does not
-	// wait for a slot: a third. Not measured: what is left then is enough to try another backend
-	// server.
+	// reservationDivisor divides the remaining time to get the timeout of a reservation that does
+	// not wait for a slot. The rest is left for trying another backend server.
 	reservationDivisor = 3
-	// reservationWithin bounds it further. Source: ten round trips between data
-	// centres, and a lost packet's first retransmission after 200 ms.
+	// reservationWithin is the maximum timeout of such a reservation. It covers the retransmission
+	// of one lost packet.
 	reservationWithin = 400 * time.Millisecond
 )
 
-// reserve asks the target's sidecar, directly if it is the daemon's own, to keep a slot for
-// the request, and returns its leave to run it.
+// reserve reserves a slot at the target's sidecar, by a function call if the target is on this
+// host, and returns the reservation's ID.
 func (a *attempt) reserve(ctx context.Context) (string, error) {
 	call := a.call()
 	if call.TimeLeft <= 0 {
@@ -35,9 +34,8 @@
 	return a.in.config.LocalReservation(ctx, call)
 }
 
-// reservationTime is how long the call's reservation may take. One that waits for a slot
-// may wait as long as there is time; the sidecar refuses it earlier if no slot
-// can come in time.
+// reservationTime returns the timeout of the call's reservation. One that waits for a slot may use
+// all the remaining time; the sidecar refuses it earlier if no slot can become free in time.
 func reservationTime(call hop.Call) time.Duration {
 	if !call.RefuseIfBusy {
 		return call.TimeLeft
@@ -45,15 +43,15 @@
 	return min(call.TimeLeft/reservationDivisor, reservationWithin)
 }
 
-// askReservation asks the daemon at the address for a reservation. Asking runs nothing, so whatever becomes of it,
-// without a reservation the request was not run and will not be.
+// askReservation requests a reservation from the daemon at the address. A reservation runs nothing,
+// so if it fails in any way, the request was not run and will not be.
 func (in *Ingress) askReservation(ctx context.Context, call hop.Call, address string) (string, error) {
 	within := reservationTime(call)
 	asking, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	call.WantReservation = true
 	call.TimeLeft = within
-	call.Baseline = "" // is of use to what runs
+	call.Baseline = "" // only the request itself needs it
 	ask := &http.Request{Method: http.MethodGet, URL: &url.URL{Path: "/"}, Host: address, Header: http.Header{}}
 	response, err := in.hop(asking, call, ask, address)
 	if err != nil {
@@ -67,11 +65,11 @@
 	return id, nil
 }
 
-// reservationFailure returns a failure that promises that the request was not run. If only the time for the
-// reservation is over, another backend server may still be asked.
+// reservationFailure returns a failure that guarantees that the request was not run. If only the
+// timeout of the reservation has expired, another backend server may still be tried.
 func reservationFailure(ctx context.Context, failure *result.Error) error {
 	if errors.Is(ctx.Err(), context.Canceled) {
-		return result.Wrap(result.CancelledBefore, failure) // it is no longer wanted, which says nothing of the host
+		return result.Wrap(result.CancelledBefore, failure) // cancelled by this daemon, so no evidence against the host
 	}
 	onlyReservation := ctx.Err() == nil && failure.Code.Number == result.DeadlineBeforeRun.Number
 	if failure.Code.Ran == result.RanNo && !onlyReservation {
--- a/internal/ingress/send.go
+++ b/internal/ingress/send.go
@@ -15,8 +15,8 @@
 	"github.com/tideliftd/tidelift/internal/sidecar"
 )
 
-// send passes the request, as out has it, to the target's sidecar, directly if it is the
-// daemon's own.
+// send sends the outgoing request to the target's sidecar, by a function call if the target is on
+// this host.
 func (a *attempt) send(ctx context.Context, out *http.Request) (sidecar.Answer, error) {
 	call := a.call()
 	if call.TimeLeft <= 0 {
@@ -28,7 +28,7 @@
 	return a.in.config.Local(ctx, call, out)
 }
 
-// call returns what is asked of the target's sidecar.
+// call returns the parameters of the call to the target's sidecar.
 func (a *attempt) call() hop.Call {
 	r := a.request
 	return hop.Call{
@@ -53,14 +53,14 @@
 	}
 }
 
-// remote returns the address of the target's daemon, and false if that is this one.
+// remote returns the address of the target's daemon, and reports whether that is another daemon.
 func (in *Ingress) remote(target *balance.Target) (string, bool) {
 	host := target.Placement().Host
 	return host.PeersFrom(in.config.DataCentre), host.Name != in.config.Host
 }
 
-// sendRemote passes the request to another daemon. One that must not run twice
-// first gets a reservation there, unless it has one.
+// sendRemote sends the request to another daemon. A non-idempotent request without a reservation
+// gets one there first.
 func (in *Ingress) sendRemote(ctx context.Context, call hop.Call, r *http.Request, address string) (sidecar.Answer, error) {
 	if call.NonIdempotent && call.Reservation == "" {
 		reservation, err := in.askReservation(ctx, call, address)
@@ -69,7 +69,7 @@
 		}
 		call.Reservation = reservation
 	}
-	response, err := in.hop(ctx, call, r, address) //nolint:bodyclose // the answer carries the body to who closes it
+	response, err := in.hop(ctx, call, r, address) //nolint:bodyclose // the receiver of the answer closes it
 	if err != nil {
 		return sidecar.Answer{}, err
 	}
@@ -80,7 +80,7 @@
 	return sidecar.Answer{Response: response, Load: load, Failing: hop.DecodeFailing(response.Header), Waited: waited}, nil
 }
 
-// hop sends one request to another daemon. A refusal is an error.
+// hop sends one request to another daemon. A refusal is returned as an error.
 func (in *Ingress) hop(ctx context.Context, call hop.Call, r *http.Request, address string) (*http.Response, error) {
 	trip := hop.Trip{
 		Transport:   in.transport,
@@ -99,9 +99,9 @@
 	return response, nil
 }
 
-// readRefusal turns a sidecar's refusal back into its code.
+// readRefusal converts a sidecar's refusal back into its result code.
 func readRefusal(response *http.Response, text string) error {
-	_ = response.Body.Close() // it is empty
+	_ = response.Body.Close() // refusals have no body
 	number, _, _ := strings.Cut(text, " ")
 	parsed, err := strconv.Atoi(number)
 	if err != nil {
--- a/internal/ingress/serve.go
+++ b/internal/ingress/serve.go
@@ -8,7 +8,7 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// ServeHTTP serves one caller's request.
+// ServeHTTP serves a caller's request.
 func (in *Ingress) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	in.inFlight.Add(1)
 	defer in.inFlight.Add(-1)
@@ -44,6 +44,6 @@
 	defer func() { _ = response.Body.Close() }()
 	if err := hop.WriteAnswer(w, response); err != nil {
 		in.metrics.refused.Inc(result.AnswerCut)
-		panic(http.ErrAbortHandler) // closes the connection, so that the answer does not look whole
+		panic(http.ErrAbortHandler) // closes the connection, so that the caller detects the truncated answer
 	}
 }
--- a/internal/ingress/service.go
+++ b/internal/ingress/service.go
@@ -13,7 +13,7 @@
 	"github.com/tideliftd/tidelift/internal/route"
 )
 
-// state is what requests read; it does not change once stored.
+// state is the configuration that requests read. It is immutable once stored.
 type state struct {
 	index    *fleet.Index
 	routes   *route.Table
@@ -22,19 +22,18 @@
 	customers *customer.Table
 }
 
-// service is what the ingress keeps of one service.
+// service is the state of one service.
 type service struct {
 	pool  *balance.Pool
 	limit *retryLimit
 	judge *judge
 	rules detect.Rules
 	calls callCounters
-	// attempts is what the decisions on requests know of it.
+	// attempts is the part of the service that package attempts reads.
 	attempts attempts.Service
 }
 
-// Reconfigure puts a declaration in force. Requests that have begun go on
-// under the one before.
+// Reconfigure applies a declaration. Requests in flight continue under the previous one.
 func (in *Ingress) Reconfigure(index *fleet.Index) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -56,8 +55,8 @@
 	}
 }
 
-// retrySizes returns the limits of the services' retries, whose slack all hosts share once they have
-// been counted.
+// retrySizes returns the retry limits of the services. Their slack is divided among all hosts once
+// these have been counted.
 func (in *Ingress) retrySizes(d fleet.Declaration) map[string]retry.Size {
 	hosts := len(d.Hosts)
 	if in.config.HostsCounted != nil && !in.config.HostsCounted() {
@@ -70,7 +69,7 @@
 	return sizes
 }
 
-// endRemoved ends the judges of services that are no longer declared.
+// endRemoved stops the judges of services that are no longer declared.
 func endRemoved(old, next *state) {
 	for name, s := range old.services {
 		if _, ok := next.services[name]; !ok {
@@ -79,8 +78,8 @@
 	}
 }
 
-// reconfigureService returns the service as it is declared now, with what was
-// learned of it before.
+// reconfigureService returns the service as declared, with the state that was learned under the
+// previous declaration.
 func (in *Ingress) reconfigureService(declared fleet.Service, index *fleet.Index) *service {
 	s := &service{
 		pool:  balance.NewPool(balance.Config{DataCentre: in.config.DataCentre, Random: rand.Uint64, Start: in.start}),
@@ -105,8 +104,8 @@
 	return s
 }
 
-// overdueLimit is how long an attempt at the target may take before it counts
-// as overdue; zero without others to compare with.
+// overdueLimit returns how long an attempt at the target may take before it is overdue; zero if
+// there are no other targets to compare it with.
 func (s *service) overdueLimit(target *balance.Target) time.Duration {
 	return s.rules.OverdueLimit(target.Typical())
 }
--- a/internal/ingress/stop.go
+++ b/internal/ingress/stop.go
@@ -10,28 +10,28 @@
 	"github.com/tideliftd/tidelift/internal/retryafter"
 )
 
-// InFlight returns how many callers' requests are being served.
+// InFlight returns the number of callers' requests being served.
 func (in *Ingress) InFlight() int64 { return in.inFlight.Load() }
 
-// Settle records that a planned stop has begun: what is in flight stays where it is, without
-// hedges, since another backend server may not take it any more.
+// Settle records that a planned stop has begun. Requests in flight are no longer hedged, since
+// other backend servers may refuse them by now.
 func (in *Ingress) Settle() { in.settling.Store(true) }
 
-// Stop refuses new requests from now on.
+// Stop refuses new requests.
 func (in *Ingress) Stop() { in.stopping.Store(true) }
 
-// AnswerAll answers at once what callers still wait for: that it was not run, where that
-// is so, and else that nothing more is known of it.
+// AnswerAll stops the ingress and immediately answers all pending requests: with a failure that
+// says that the request was not run, if that is certain, or else that its outcome is unknown.
 func (in *Ingress) AnswerAll() {
 	in.Stop()
 	in.answerAll()
 }
 
-// errStopped ends what callers still wait for at the end of a planned stop.
-var errStopped = errors.New("the daemon stops")
+// errStopped cancels the requests that are pending at the end of a planned stop.
+var errStopped = errors.New("daemon is stopping")
 
-// untilAnswered returns the context in which a request is served, which ends at its
-// deadline, or, until answered is called, when the daemon has to answer all.
+// untilAnswered returns the context in which a request is served. It ends at the deadline or,
+// unless answered has been called, when AnswerAll is called.
 func (in *Ingress) untilAnswered(ctx context.Context, deadline time.Time) (_ context.Context, answered, end func()) {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	ctx, stop := context.WithCancelCause(ctx)
@@ -43,8 +43,8 @@
 	}
 }
 
-// lastAnswer returns the failure of a request, or what is told in its place if a planned
-// stop has ended it.
+// lastAnswer returns the failure that answers a request, which says what is known if a planned stop
+// has cancelled the request.
 func lastAnswer(ctx context.Context, err error) *result.Error {
 	failure := result.From(err)
 	if !errors.Is(context.Cause(ctx), errStopped) {
--- a/internal/ingress/subrequest.go
+++ b/internal/ingress/subrequest.go
@@ -11,8 +11,8 @@
 	"github.com/tideliftd/tidelift/internal/subrequest"
 )
 
-// callCounters count the subrequests of backend servers of this host to a service, by whether the run
-// that sent them was a retry.
+// callCounters count the subrequests of this host's backend servers to a service, by whether the
+// run that sent them was a retry.
 type callCounters struct{ ofFirst, ofRetry tally.Counter }
 
 func newCallCounters(scope tally.Scope, service string) callCounters {
@@ -22,8 +22,8 @@
 	return callCounters{ofFirst: counter("first"), ofRetry: counter("repeat")}
 }
 
-// countForLimit counts the request for its service's retry limit. A call of a run that was a retry counts
-// as one itself; any other request earns a part of one.
+// countForLimit counts the request for its service's retry limit. A subrequest of a run that was a
+// retry counts as a retry; any other request adds to the budget.
 func (in *Ingress) countForLimit(r *request, now time.Time) {
 	run, ok := in.config.Runs.Caller(now, in.requestID(r.Request))
 	if !ok {
@@ -39,15 +39,15 @@
 	r.service.calls.ofFirst.Inc(1)
 }
 
-// endRetry ends what a request counted as a retry from its begin on.
+// endRetry ends a request that was counted as a retry on admission.
 func (in *Ingress) endRetry(r *request) {
 	if r.countsAsRetry {
 		in.config.Retries.End(time.Now(), r.serviceName, r.reached.Load())
 	}
 }
 
-// reportFailed records that a request got no answer, which may fail a backend server of this
-// host that sent it. One whose caller has gone away failed before.
+// reportFailed records that a request failed, since that may fail the backend server of this host
+// that sent it. A request whose caller has gone away is ignored, as the caller failed first.
 func (in *Ingress) reportFailed(r *request, err error) {
 	if !r.mayBeSubrequest {
 		return
@@ -57,8 +57,7 @@
 	}
 }
 
-// ServerAnswered records an answer of a backend server of this host: a good one, or one that
-// says that it failed.
+// ServerAnswered records whether an answer of a backend server of this host was good or an error.
 func (in *Ingress) ServerAnswered(good bool) {
 	updates := in.subrequest.Answered(time.Now(), good)
 	if len(updates) > 0 && in.config.Subrequest != nil {
@@ -66,8 +65,8 @@
 	}
 }
 
-// HearSubrequest records what another host of the same service saw of routes that its backend
-// servers may call, and returns those that are known to be called.
+// HearSubrequest merges the evidence of another host of the same service on routes that its backend
+// servers may call, and returns the routes that are known to be called.
 func (in *Ingress) HearSubrequest(told []subrequest.Evidence) []route.Name {
 	var known []route.Name
 	for _, e := range told {
@@ -78,15 +77,15 @@
 	return known
 }
 
-// LearnSubrequest records what another host of the same service knows: its backend servers call
-// the routes.
+// LearnSubrequest marks routes that, according to another host of the same service, its backend
+// servers call.
 func (in *Ingress) LearnSubrequest(routes []route.Name) {
 	for _, name := range routes {
 		in.subrequest.Learn(name)
 	}
 }
 
-// logSubrequest logs that a route is taken for called from now on, or no longer.
+// logSubrequest logs that a route is classified as called by backend servers, or no longer is.
 func (in *Ingress) logSubrequest(name route.Name, called bool) {
 	event.Log(in.config.Logger, event.RouteSubrequest, "service", in.config.Service, "host", name.Host, "path", name.Path, "called", called)
 }
--- a/internal/ingress/targets.go
+++ b/internal/ingress/targets.go
@@ -7,11 +7,11 @@
 	"github.com/tideliftd/tidelift/internal/detect"
 )
 
-// drainingPause is how long a target is passed over whose daemon stops. Not measured: a planned stop
-// takes about a second; a daemon that is back sooner gets work again only after it.
+// drainingPause is how long a target of a stopping daemon gets no requests. It exceeds the usual
+// duration of a planned stop.
 const drainingPause = 3 * time.Second
 
-// service returns what is kept of the service.
+// service returns the state of the service.
 func (in *Ingress) service(name string) (*service, bool) {
 	current := in.state.Load()
 	if current == nil {
@@ -21,7 +21,7 @@
 	return s, ok
 }
 
-// Explain returns the evidence that this daemon has on a backend server.
+// Explain returns the evidence that this daemon has on a backend server and the state of its floor.
 func (in *Ingress) Explain(service, backendServer string) (detect.Explanation, string, bool) {
 	s, ok := in.service(service)
 	if !ok {
@@ -30,7 +30,7 @@
 	return s.judge.explain(backendServer)
 }
 
-// Pool returns the backend servers of the service as this daemon sees them.
+// Pool returns the pool of the service's backend servers.
 func (in *Ingress) Pool(service string) (*balance.Pool, bool) {
 	s, ok := in.service(service)
 	if !ok {
@@ -39,19 +39,18 @@
 	return s.pool, true
 }
 
-// Draining keeps away for a while from backend servers that another daemon says
-// take no more work.
+// Draining pauses backend servers that another daemon reports as draining.
 func (in *Ingress) Draining(names []string) {
 	until := time.Now().Add(drainingPause)
 	in.eachTarget(names, func(pool *balance.Pool, target *balance.Target) { pool.Pause(target, until) })
 }
 
-// Trusted records that backend servers are no longer suspected.
+// Trusted clears the suspicion of backend servers.
 func (in *Ingress) Trusted(names []string) {
 	in.eachTarget(names, func(pool *balance.Pool, target *balance.Target) { pool.Trust(target) })
 }
 
-// eachTarget calls the function for the targets of those names.
+// eachTarget calls f for each target with one of the names.
 func (in *Ingress) eachTarget(names []string, f func(*balance.Pool, *balance.Target)) {
 	current := in.state.Load()
 	if current == nil {
