--- a/internal/ingress/attempt_test.go
+++ b/internal/ingress/attempt_test.go
@@ -13,7 +13,7 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// newTestRace returns a round with so many attempts that run.
+// newTestRace returns a race with the given number of running attempts.
 func newTestRace(t *testing.T, running int) *race {
 	t.Helper()
 	declaration, err := fleet.Parse("fleet.yaml", []byte(twoServers))
@@ -34,35 +34,36 @@
 	return r
 }
 
-// TestAHedgeWithoutASlotEndsTheRoundOfAFailedAttempt lets an attempt fail while a hedge of
-// it still looks for a slot.
+// TestAHedgeWithoutASlotEndsTheRoundOfAFailedAttempt guards against a race that never ends, or ends
+// early, when an attempt fails while its hedge is still reserving a slot.
 func TestAHedgeWithoutASlotEndsTheRoundOfAFailedAttempt(t *testing.T) {
 	r := newTestRace(t, 2)
 	first, looking := r.running[0], r.running[1]
 	if end := r.handle(outcome{attempt: first, err: result.New(result.ConnectionLost)}); end != nil {
-		t.Fatal("the round ended while a hedge may still be sent")
+		t.Fatal("the race ended while a hedge was reserving a slot")
 	}
 	end := r.handle(outcome{attempt: looking, err: result.New(result.Busy), hedgeRefused: true})
 	if end == nil || end.attempt != first {
 		t.Fatalf("ended with %+v, want the attempt that failed", end)
 	}
 	if r.progress.Sent != 0 {
-		t.Fatal("the failure that ends the round is in the trace already")
+		t.Fatal("the failure that ends the race is already recorded in progress")
 	}
 }
 
-// TestTheLastFailureEndsTheRound keeps the one before it in the trace.
+// TestTheLastFailureEndsTheRound guards against losing an earlier failure when the last attempt
+// fails.
 func TestTheLastFailureEndsTheRound(t *testing.T) {
 	r := newTestRace(t, 2)
 	first, second := r.running[0], r.running[1]
 	r.handle(outcome{attempt: first, err: result.New(result.ConnectionLost)})
 	end := r.handle(outcome{attempt: second, err: result.New(result.DeadlineWhileRunning)})
 	if end == nil || end.attempt != second || r.progress.Sent != 1 {
-		t.Fatalf("ended with %+v, %d in the trace", end, r.progress.Sent)
+		t.Fatalf("ended with %+v, %d attempts recorded in progress", end, r.progress.Sent)
 	}
 }
 
-// newTestPool returns a pool of so many backend servers of one host.
+// newTestPool returns a pool with the given number of backend servers on one host.
 func newTestPool(t *testing.T, count int) *balance.Pool {
 	t.Helper()
 	text := "hosts: [{name: h1, data-centre: dc, peers: '127.0.0.1:1', control: '127.0.0.1:2'}]\nservices:\n- name: lookup\n  floor: 1\n  backend-servers:\n"
--- a/internal/ingress/customer_test.go
+++ b/internal/ingress/customer_test.go
@@ -15,7 +15,8 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// customersIngress knows a customer with rank 0, one without a rank, and a public route.
+// customersIngress returns an ingress with a customer with priority 0, a customer without a
+// priority, and a public route.
 func customersIngress(t *testing.T, config Config) *Ingress {
 	t.Helper()
 	config.Logger, config.Scope, config.HeaderBytes = slog.New(slog.DiscardHandler), tally.NoopScope, 1<<14
@@ -36,7 +37,7 @@
 	return in
 }
 
-// ask returns a request to the path with the key, if there is one, and a forged customer.
+// ask returns a request to the path with the key, if not empty, and a forged customer header.
 func ask(path, key string) *http.Request {
 	r := httptest.NewRequest(http.MethodGet, path, nil)
 	r.Header.Set(fleet.DefaultCustomerHeader, "forged")
@@ -78,20 +79,20 @@
 				t.Fatal(err)
 			}
 			if admitted.customer != test.customer || admitted.queueCustomer != test.queueCustomer || admitted.priority != test.priority || admitted.mayBeSubrequest != test.mayBeSubrequest {
-				t.Errorf("customer %q, queues as %q, priority %d, may be a call: %v", admitted.customer, admitted.queueCustomer, admitted.priority, admitted.mayBeSubrequest)
+				t.Errorf("customer %q, queues as %q, priority %d, may be a subrequest: %v", admitted.customer, admitted.queueCustomer, admitted.priority, admitted.mayBeSubrequest)
 			}
 			if got := admitted.Header.Get(fleet.DefaultCustomerHeader); got != test.customer {
-				t.Errorf("the backend server is told %q", got)
+				t.Errorf("the backend server receives customer %q", got)
 			}
 			if got := admitted.Header.Get("Authorization"); got != "" {
-				t.Errorf("the key is passed on: %q", got)
+				t.Errorf("the key is forwarded: %q", got)
 			}
 		})
 	}
 }
 
-// TestACustomersRequestIsNoCall fails a customer's requests together with the host's backend
-// server, until a route without customers would be taken for called.
+// TestACustomersRequestIsNoCall guards against classifying a customer's request as a subrequest
+// because its failures coincide with those of the host's backend server.
 func TestACustomersRequestIsNoCall(t *testing.T) {
 	in := customersIngress(t, Config{Host: "csepel-1"})
 	fail := func(path, key string) *request {
@@ -102,7 +103,7 @@
 			}
 			in.reportFailed(r, result.New(result.NoneAble))
 			in.ServerAnswered(false)
-			time.Sleep(120 * time.Millisecond) // until the next failure counts on its own
+			time.Sleep(120 * time.Millisecond) // so that the next failure counts separately
 		}
 		r, err := in.admit(httptest.NewRecorder(), ask(path, key), time.Now())
 		if err != nil {
@@ -111,14 +112,15 @@
 		return r
 	}
 	if fail("/closed/x", "school-key").terms.Subrequest {
-		t.Error("a request with a key is taken for a call")
+		t.Error("a request with a key is classified as a subrequest")
 	}
 	if !fail("/open/x", "").terms.Subrequest {
-		t.Error("the test shows nothing: a request without a key is not taken for a call either")
+		t.Error("invalid test: a request without a key is not classified as a subrequest either")
 	}
 }
 
-// TestBeyondTheLimitNothingIsAsked refuses one request and gives another back.
+// TestBeyondTheLimitNothingIsAsked guards against counting requests that reached no backend server,
+// and against applying a limit to requests without a customer.
 func TestBeyondTheLimitNothingIsAsked(t *testing.T) {
 	within, givenBack := true, 0
 	in := customersIngress(t, Config{
@@ -129,19 +131,19 @@
 		GiveBack: func(string) { givenBack++ },
 	})
 	w := httptest.NewRecorder()
-	in.ServeHTTP(w, ask("/closed/x", "school-key")) // nobody serves it
+	in.ServeHTTP(w, ask("/closed/x", "school-key")) // the service has no backend servers
 	if w.Code != http.StatusServiceUnavailable || givenBack != 1 {
-		t.Fatalf("status %d, %d given back", w.Code, givenBack)
+		t.Fatalf("status %d, %d refunded", w.Code, givenBack)
 	}
 	within = false
 	w = httptest.NewRecorder()
 	in.ServeHTTP(w, ask("/closed/x", "school-key"))
 	if w.Code != http.StatusTooManyRequests || w.Header().Get("Retry-After") != "2" || givenBack != 1 {
-		t.Fatalf("status %d, Retry-After %q, %d given back", w.Code, w.Header().Get("Retry-After"), givenBack)
+		t.Fatalf("status %d, Retry-After %q, %d refunded", w.Code, w.Header().Get("Retry-After"), givenBack)
 	}
 	w = httptest.NewRecorder()
 	in.ServeHTTP(w, ask("/open/x", ""))
 	if w.Code == http.StatusTooManyRequests {
-		t.Fatal("a request without a customer was held to a limit")
+		t.Fatal("a request without a customer was limited")
 	}
 }
--- a/internal/ingress/disabled_test.go
+++ b/internal/ingress/disabled_test.go
@@ -13,7 +13,8 @@
 	"github.com/tideliftd/tidelift/internal/route"
 )
 
-// TestWhatIsSwitchedOff goes through the mechanisms, and looks what a subrequest is admitted with.
+// TestWhatIsSwitchedOff guards against a setting that fails to disable its mechanism or disables
+// another one.
 func TestWhatIsSwitchedOff(t *testing.T) {
 	for _, mechanism := range append(experiment.All(), "") {
 		in, cleanUp := New(Config{
@@ -28,20 +29,20 @@
 		in.Reconfigure(fleet.NewIndex(declaration))
 		s, _ := in.service("lookup")
 		if s.attempts.NoHedges != (mechanism == experiment.Hedges) || s.attempts.IgnoreHanging != (mechanism == experiment.HangChecks) {
-			t.Errorf("%q is off: no hedges: %t, hanging ignored: %t", mechanism, s.attempts.NoHedges, s.attempts.IgnoreHanging)
+			t.Errorf("%q disabled: no hedges: %t, hanging ignored: %t", mechanism, s.attempts.NoHedges, s.attempts.IgnoreHanging)
 		}
 		first := admitted(t, in)
 		if waitsForDeadline := first.terms.TargetAt.Equal(first.deadline); waitsForDeadline != (mechanism == experiment.Aims) {
-			t.Errorf("%q is off: a request waits until its deadline: %t", mechanism, waitsForDeadline)
+			t.Errorf("%q disabled: a request waits until its deadline: %t", mechanism, waitsForDeadline)
 		}
 		in.LearnSubrequest([]route.Name{first.route})
 		if got := admitted(t, in).terms.Subrequest; got != (mechanism != experiment.Subrequests) {
-			t.Errorf("%q is off: a subrequest is one: %t", mechanism, got)
+			t.Errorf("%q disabled: a subrequest is classified as one: %t", mechanism, got)
 		}
 	}
 }
 
-// admitted returns a request as it is admitted.
+// admitted returns an admitted request.
 func admitted(t *testing.T, in *Ingress) *request {
 	t.Helper()
 	r, err := in.admit(httptest.NewRecorder(), httptest.NewRequest("GET", "http://a.example/x", nil), time.Now())
--- a/internal/ingress/failures_test.go
+++ b/internal/ingress/failures_test.go
@@ -10,8 +10,8 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// targetAfter is what the target of an attempt is after a failure: in the request's history, and in
-// the pool if the daemon asks no hosts whether they can be reached. All others are only tried.
+// targetAfter lists, for each result code, the state of an attempt's target after a failure: in the
+// request's history, and in the pool if pings are disabled. The default is "tried".
 const targetAfter = `
 2002 tried paused
 2004 tried full
@@ -41,7 +41,8 @@
 4008 tried sent may-have-run
 `
 
-// TestWhatATargetIsAfterAFailure goes through every code.
+// TestWhatATargetIsAfterAFailure guards against a result code that leaves its target in a wrong
+// state.
 func TestWhatATargetIsAfterAFailure(t *testing.T) {
 	want := make(map[string]string)
 	for line := range strings.Lines(strings.TrimSpace(targetAfter)) {
@@ -59,7 +60,7 @@
 	}
 }
 
-// stateAfter returns what a target is after a failure of that code, in words.
+// stateAfter returns the state of a target after a failure with the code.
 func stateAfter(t *testing.T, code result.Code) string {
 	t.Helper()
 	pool := newTestPool(t, 1)
--- a/internal/ingress/limit_test.go
+++ b/internal/ingress/limit_test.go
@@ -33,17 +33,17 @@
 routes: [{host: a.example, service: names}]
 `
 
-// limited is an ingress before backend servers that answer as told.
+// limited is an ingress whose backend servers lose every connection.
 type limited struct {
 	in      *Ingress
 	runs    *runs.Table
 	budgets *retry.Budgets
-	sent    atomic.Int64 // that reached a backend server
-	retries atomic.Int64 // of them, those that say that they are retries
-	reject  *result.Code // what a retry meets in place of a backend server, if that is not nil
+	sent    atomic.Int64 // requests that reached a backend server
+	retries atomic.Int64 // of these, requests marked as retries
+	reject  *result.Code // refusal of each retry; nil if retries reach a backend server
 }
 
-// do breaks each connection.
+// do refuses retries with l.reject if it is set, and loses the connection of all other requests.
 func (l *limited) do(_ context.Context, call hop.Call, _ *http.Request) (sidecar.Answer, error) {
 	if call.Retry && l.reject != nil {
 		return sidecar.Answer{}, result.New(*l.reject)
@@ -72,7 +72,7 @@
 	return l
 }
 
-// ask sends so many requests with that id, one after the other.
+// ask sends count requests with the ID, one after the other.
 func (l *limited) ask(count int, id string) {
 	for range count {
 		r := httptest.NewRequest(http.MethodGet, "http://a.example/x", nil)
@@ -81,20 +81,21 @@
 	}
 }
 
-// TestRepeatsAreWhatRequestsEarned breaks all connections: of a hundred requests that come at once, a
-// quarter of the share are sent again, and no more.
+// TestRepeatsAreWhatRequestsEarned guards against more retries than the limit allows. Requests sent
+// in a burst earn a quarter of the retry share.
 func TestRepeatsAreWhatRequestsEarned(t *testing.T) {
 	l := newLimited(t, nil)
 	l.ask(100, "a")
 	if sent, retries := l.sent.Load(), l.retries.Load(); sent != 105 || retries != 5 {
-		t.Fatalf("%d sendings of 100 requests, %d of them repeats", sent, retries)
+		t.Fatalf("100 requests were sent %d times, %d of them as retries", sent, retries)
 	}
 	if l.budgets.Left(time.Now(), "names") {
-		t.Fatal("repeats are left")
+		t.Fatal("retries are left")
 	}
 }
 
-// TestARepeatThatReachesNobodyCostsNothing lets retries find no slot or no connection.
+// TestARepeatThatReachesNobodyCostsNothing guards against counting retries that found no slot or no
+// connection.
 func TestARepeatThatReachesNobodyCostsNothing(t *testing.T) {
 	for _, code := range []result.Code{result.Busy, result.QueueFull, result.ServerUnreachable, result.RetryLimit} {
 		t.Run(code.Name, func(t *testing.T) {
@@ -104,35 +105,36 @@
 			}
 			l.ask(1, "a")
 			if l.sent.Load() != 1 {
-				t.Fatalf("%d sendings", l.sent.Load())
+				t.Fatalf("%d requests sent", l.sent.Load())
 			}
 			for n := range 2 {
 				if !l.budgets.Take(time.Now(), "names") {
-					t.Fatalf("%d of two repeats are left", n)
+					t.Fatalf("%d of two retries are left", n)
 				}
 			}
 		})
 	}
 }
 
-// TestACallOfARepeatIsOne lets a backend server of the host call for a run that was a retry: each
-// call says that it is one, counts as one and earns nothing.
+// TestACallOfARepeatIsOne guards against subrequests of a retry that are not marked and counted as
+// retries, or that add to the retry budget.
 func TestACallOfARepeatIsOne(t *testing.T) {
 	l := newLimited(t, nil)
 	l.ask(199, "a") // nine retries
 	l.runs.Begin(time.Now(), runs.Run{ID: "r", Service: "search", Retry: true})
 	l.ask(2, "r.1")
 	if sent, retries := l.sent.Load(), l.retries.Load(); sent != 199+9+2 || retries != 9+2 {
-		t.Fatalf("%d sendings, %d of them repeats", sent, retries)
+		t.Fatalf("%d requests sent, %d of them retries", sent, retries)
 	}
 	l.ask(40, "a")
 	if retries := l.retries.Load(); retries != 11 {
-		t.Fatalf("%d repeats after 239 requests and two calls of a repeat", retries)
+		t.Fatalf("%d retries after 239 requests and two subrequests of a retry", retries)
 	}
 }
 
-// TestACallOfARepeatThatNobodyMayRun lets every backend server refuse a call of a retry for want of
-// room for what it would call itself: it was not run, and its caller hears that.
+// TestACallOfARepeatThatNobodyMayRun guards against running a subrequest of a retry, or answering
+// it as if it may have run, when all backend servers refuse it because the services that they call
+// have no retry budget left.
 func TestACallOfARepeatThatNobodyMayRun(t *testing.T) {
 	code := result.RetryLimit
 	l := newLimited(t, &code)
@@ -142,6 +144,6 @@
 	w := httptest.NewRecorder()
 	l.in.ServeHTTP(w, r)
 	if w.Code != http.StatusServiceUnavailable || l.sent.Load() != 0 {
-		t.Fatalf("status %d, %d sendings", w.Code, l.sent.Load())
+		t.Fatalf("status %d, %d requests sent", w.Code, l.sent.Load())
 	}
 }
--- a/internal/ingress/passedover_test.go
+++ b/internal/ingress/passedover_test.go
@@ -9,8 +9,8 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// TestWhatOnlySendsARequestOnIsCounted passes backend servers over and then fails: one line,
-// which counts them.
+// TestWhatOnlySendsARequestOnIsCounted guards against a log line for each skipped backend server;
+// the next failure's line has their counts.
 func TestWhatOnlySendsARequestOnIsCounted(t *testing.T) {
 	var log bytes.Buffer
 	r := newTestRace(t, 1)
@@ -19,7 +19,7 @@
 		in.logAttempt(r.request, r.running[0], r.progress, result.New(code), true)
 	}
 	if log.Len() > 0 {
-		t.Fatalf("a line for each: %s", &log)
+		t.Fatalf("skipped backend servers were logged separately: %s", &log)
 	}
 	in.logAttempt(r.request, r.running[0], r.progress, result.New(result.ConnectionLost), false)
 	if got := log.String(); strings.Count(got, "\n") != 1 || !strings.Contains(got, `"passed_over":"busy 2, suspected 1, queue-too-slow 1"`) {
--- a/internal/ingress/race_test.go
+++ b/internal/ingress/race_test.go
@@ -33,21 +33,21 @@
   - {name: other, host: h1, address: "127.0.0.1:4", slots: 100}
 routes: [{host: a.example, service: lookup, deadline: 5s, target: 4s}]
 `
-	// slowFor is how long the slow backend server takes. It is far past what is overdue
-	// beside others that take a few milliseconds, and far from the deadline.
+	// slowFor is how long the slow backend server takes. It is far longer than the overdue limit
+	// next to backend servers that take a few milliseconds, and far shorter than the deadline.
 	slowFor = 1200 * time.Millisecond
-	// quickFor is long enough for some requests to be at each at a time.
+	// quickFor is long enough for several requests to run at each backend server in parallel.
 	quickFor = 20 * time.Millisecond
 	// manyOf is how many requests are sent within half a second.
 	manyOf = 120
 )
 
-// twoBackends answers in place of a sidecar: one backend server becomes slow, the other
-// may have no free slot.
+// twoBackends replaces a sidecar with two backend servers: one can be slow, the other can have no
+// free slot.
 type twoBackends struct {
 	slow    atomic.Bool
-	waits   atomic.Bool  // the slow one keeps requests waiting for a slot
-	full    atomic.Bool  // the other has no slot, and its queue is full
+	waits   atomic.Bool  // requests at the slow one wait for a slot
+	full    atomic.Bool  // the other one has no free slot and a full queue
 	granted atomic.Int64 // reservations
 }
 
@@ -93,8 +93,8 @@
 	return "leave", nil
 }
 
-// newTwoBackends returns an ingress before two backend servers that have answered
-// enough requests for it to know what is usual.
+// newTwoBackends returns an ingress with two backend servers that have answered enough requests for
+// it to know their usual latency.
 func newTwoBackends(t *testing.T) (*Ingress, *twoBackends) {
 	t.Helper()
 	b := &twoBackends{}
@@ -114,7 +114,7 @@
 	return in, b
 }
 
-// get sends an idempotent request and returns the status and who answered.
+// get sends an idempotent request and returns the status and the backend server that answered.
 func get(in *Ingress) (int, string) {
 	r := httptest.NewRequest(http.MethodGet, "http://a.example/x", nil)
 	w := httptest.NewRecorder()
@@ -122,9 +122,8 @@
 	return w.Code, w.Header().Get("Backend")
 }
 
-// many sends requests a little apart, so that some find evidence that others left, and
-// returns how many of them failed, and
-// how many the slow backend server answered.
+// many sends requests at short intervals, so that later ones find the evidence of earlier ones, and
+// returns how many of them failed and how many the slow backend server answered.
 func many(in *Ingress) (failed, bySlow int64) {
 	var wg sync.WaitGroup
 	var failures, slowly atomic.Int64
@@ -144,8 +143,8 @@
 	return failures.Load(), slowly.Load()
 }
 
-// TestLateRequestsAreHedged lets the other backend server have free slots again while
-// requests are overdue at the slow one, be it that they run or wait there.
+// TestLateRequestsAreHedged guards against leaving overdue requests, running or waiting, at a slow
+// backend server once another one has free slots.
 func TestLateRequestsAreHedged(t *testing.T) {
 	for name, waits := range map[string]bool{"running": false, "waiting": true} {
 		t.Run(name, func(t *testing.T) {
@@ -162,8 +161,8 @@
 	}
 }
 
-// TestAnOverdueRequestStaysWhileNobodyTakesIt keeps requests at a slow backend server
-// as long as the other has no slot for them: it answers in the end.
+// TestAnOverdueRequestStaysWhileNobodyTakesIt guards against failing requests at a slow backend
+// server while no other one has a free slot for them.
 func TestAnOverdueRequestStaysWhileNobodyTakesIt(t *testing.T) {
 	in, b := newTwoBackends(t)
 	b.slow.Store(true)
--- a/internal/ingress/refuse_test.go
+++ b/internal/ingress/refuse_test.go
@@ -13,8 +13,8 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// TestARefusalSaysWhenToComeBack goes through every code that promises that the request
-// was not run. Only a request that is refused each time is not called back.
+// TestARefusalSaysWhenToComeBack guards against refusals without Retry-After. Only a quarantined
+// request has none, since it is refused every time.
 func TestARefusalSaysWhenToComeBack(t *testing.T) {
 	for _, code := range result.All() {
 		if code.Ran != result.RanNo || code.Status != http.StatusServiceUnavailable && code.Status != http.StatusTooManyRequests {
@@ -32,14 +32,15 @@
 	}
 }
 
-// TestAFailureThatMayHaveRunSaysNothingOfComingBack keeps the header to what is true.
+// TestAFailureThatMayHaveRunSaysNothingOfComingBack guards against inviting callers to repeat a
+// request that may have run.
 func TestAFailureThatMayHaveRunSaysNothingOfComingBack(t *testing.T) {
 	if got := refusal(t, result.New(result.ConnectionLost), fleet.RetryAfterSeconds).Header().Get("Retry-After"); got != "" {
 		t.Fatalf("Retry-After %q", got)
 	}
 }
 
-// refusal returns what a caller is answered.
+// refusal returns the response to a request that fails with the failure.
 func refusal(t *testing.T, failure *result.Error, written fleet.RetryAfter) *httptest.ResponseRecorder {
 	t.Helper()
 	in, cleanUp := New(Config{Logger: slog.New(slog.DiscardHandler), Scope: tally.NoopScope})
--- a/internal/ingress/reservation_test.go
+++ b/internal/ingress/reservation_test.go
@@ -8,8 +8,8 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// TestAReservationThatIsNotWantedBlamesNobody ends the question for a reservation, since the caller
-// left or the answer came meanwhile: that is no evidence against who was asked.
+// TestAReservationThatIsNotWantedBlamesNobody guards against evidence from a reservation that was
+// cancelled because the caller left or another attempt was answered.
 func TestAReservationThatIsNotWantedBlamesNobody(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -18,11 +18,12 @@
 		t.Fatalf("got %s", failure.Code.Name)
 	}
 	if _, seen := failures.Evidence(failure.Code); seen || failures.Of(failure.Code).Target != failures.Unchanged {
-		t.Fatal("the host that was asked is blamed")
+		t.Fatal("a cancelled reservation counts as evidence against the host")
 	}
 }
 
-// TestAReservationThatDoesNotComeIsEvidence keeps what a silent host shows.
+// TestAReservationThatDoesNotComeIsEvidence guards against ignoring a host that does not answer a
+// reservation in time.
 func TestAReservationThatDoesNotComeIsEvidence(t *testing.T) {
 	failure := result.From(reservationFailure(context.Background(), result.New(result.DeadlineBeforeRun)))
 	if failure.Code.Number != result.ReservationUnanswered.Number || failures.Of(failure.Code).Target != failures.HostSilent {
--- a/internal/ingress/serve_bench_test.go
+++ b/internal/ingress/serve_bench_test.go
@@ -16,9 +16,8 @@
 	"github.com/tideliftd/tidelift/internal/sidecar"
 )
 
-// BenchmarkServe is the ingress's own work on a request, whose backend server is on its host and
-// answers at once: an idempotent one, one that must not run twice, and one that finds no slot at
-// the first that is asked.
+// BenchmarkServe measures the ingress's own work on a request to a local backend server that
+// answers immediately: idempotent, non-idempotent, and refused by the first backend server.
 func BenchmarkServe(b *testing.B) {
 	for _, name := range []string{"idempotent", "once", "busy"} {
 		method := http.MethodGet
@@ -29,7 +28,7 @@
 			asked := 0
 			in, cleanUp := New(Config{
 				Host: "h1", DataCentre: "dc", Logger: slog.New(slog.DiscardHandler), Scope: tally.NoopScope, HeaderBytes: 1 << 16,
-				Off: experiment.Off{experiment.Hedges}, // what takes a microsecond seems slow after one of a millisecond
+				Off: experiment.Off{experiment.Hedges}, // most answers take microseconds, so one of a millisecond would be hedged
 				Local: func(_ context.Context, call hop.Call, r *http.Request) (sidecar.Answer, error) {
 					asked++
 					if name == "busy" && asked%2 == 1 {
--- a/internal/ingress/stop_test.go
+++ b/internal/ingress/stop_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestLastAnswersSayWhatIsTrue ends a planned stop while one request runs and another
-// has found no slot.
+// TestLastAnswersSayWhatIsTrue guards against wrong or late answers to pending requests at the end
+// of a planned stop: one that runs may have run, one that waits for a slot was not run.
 func TestLastAnswersSayWhatIsTrue(t *testing.T) {
 	for name, c := range map[string]struct {
 		waits bool
@@ -25,7 +25,7 @@
 			began := time.Now()
 			status, _ := get(in)
 			if status != c.want || time.Since(began) > slowFor/2 {
-				t.Fatalf("status %d after %v, want %d at once", status, time.Since(began), c.want)
+				t.Fatalf("status %d after %v, want %d immediately", status, time.Since(began), c.want)
 			}
 		})
 	}
