--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -130,8 +130,8 @@
 	Priority int
 	// TargetAt is when the answer should be there; zero says nothing of it.
 	TargetAt time.Time
-	// Usual is how long its answer usually takes; zero if that is not known.
-	Usual time.Duration
+	// TypicalLatency is how long its answer usually takes; zero if that is not known.
+	TypicalLatency time.Duration
 	// Deadline is when the answer has to be there.
 	Deadline time.Time
 }
@@ -211,7 +211,7 @@
 // missesTarget reports whether the request, run from then on, is answered after its latency target if it
 // takes as long as usual.
 func (q *Queue) missesTarget(from time.Time, r Request) bool {
-	usual := r.Usual
+	usual := r.TypicalLatency
 	if usual == 0 {
 		usual = q.serviceTime
 	}
@@ -249,11 +249,11 @@
 	return time.Duration(over) * q.serviceTime / time.Duration(moving)
 }
 
-// Stalled records that a running request has outlasted nearly all others of its route.
-func (q *Queue) Stalled() { q.stalled++ }
+// MarkStalled records that a running request has outlasted nearly all others of its route.
+func (q *Queue) MarkStalled() { q.stalled++ }
 
-// Unstalled records that one of these has ended.
-func (q *Queue) Unstalled() { q.stalled = max(0, q.stalled-1) }
+// UnmarkStalled records that one of these has ended.
+func (q *Queue) UnmarkStalled() { q.stalled = max(0, q.stalled-1) }
 
 // push adds a request to the line of its priority.
 func (q *Queue) push(now time.Time, bucket int, r Request) {
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -220,7 +220,7 @@
 	q := admission.NewQueue(admission.Config{Slots: 2, Depth: 100})
 	offer := func(id uint64, aim time.Duration) admission.Verdict {
 		return q.Offer(now, admission.Request{
-			ID: id, TargetAt: now.Add(aim), Usual: 400 * time.Millisecond, Deadline: now.Add(time.Minute),
+			ID: id, TargetAt: now.Add(aim), TypicalLatency: 400 * time.Millisecond, Deadline: now.Add(time.Minute),
 		}).Verdict
 	}
 	for id := range uint64(4) {
@@ -248,14 +248,14 @@
 		q.Offer(now, admission.Request{ID: id + 1, Deadline: now.Add(time.Minute)})
 	}
 	all := q.RetryAfter()
-	q.Stalled()
-	q.Stalled()
+	q.MarkStalled()
+	q.MarkStalled()
 	if half := q.RetryAfter(); half != 2*all {
 		t.Fatalf("with half of the slots stuck a wait takes %v, %v before", half, all)
 	}
-	q.Unstalled()
-	q.Unstalled()
-	q.Unstalled() // one more than there are
+	q.UnmarkStalled()
+	q.UnmarkStalled()
+	q.UnmarkStalled() // one more than there are
 	if again := q.RetryAfter(); again != all {
 		t.Fatalf("a wait takes %v once none is stuck, %v before", again, all)
 	}
--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -17,8 +17,8 @@
 	// ejected.
 	State      detect.State
 	EjectedFor time.Duration
-	// ProbationRuns says that a probation request is running.
-	ProbationRuns bool
+	// ProbationInFlight says that a probation request is running.
+	ProbationInFlight bool
 	// Hanging says that a request is slow there and no later one has been answered well.
 	Hanging bool
 	// RetryLeft says that the retries that the calls of a retry will be are left in their
@@ -34,8 +34,8 @@
 	Suspected bool
 	// MostlySlow says that most of what is held against it was slow rather than failed.
 	MostlySlow bool
-	// MayProbe says that an idempotent request may find out how it does, MayProbeWithAny that any may.
-	MayProbe, MayProbeWithAny bool
+	// MayProbe says that an idempotent request may find out how it does, MayProbeNonIdempotent that any may.
+	MayProbe, MayProbeNonIdempotent bool
 	// RetryAfter is when to come back.
 	RetryAfter time.Duration
 }
@@ -63,7 +63,7 @@
 		return Decision{Verdict: RefusedSuspected, RetryAfter: s.Suspicion.RetryAfter}
 	case s.isEjected() && s.State == detect.Ejected:
 		return Decision{Verdict: RefusedEjected, RetryAfter: retryafter.Ejected(s.EjectedFor)}
-	case s.isEjected() && (a.NonIdempotent || s.ProbationRuns):
+	case s.isEjected() && (a.NonIdempotent || s.ProbationInFlight):
 		return Decision{Verdict: RefusedEjected, RetryAfter: retryafter.Probation}
 	case a.RefuseIfHanging && s.Hanging:
 		return Decision{Verdict: RefusedHanging}
@@ -95,6 +95,6 @@
 	case !a.NonIdempotent && (s.MostlySlow || s.MayProbe):
 		return true
 	default:
-		return s.MayProbeWithAny
+		return s.MayProbeNonIdempotent
 	}
 }
--- a/internal/admission/admit_test.go
+++ b/internal/admission/admit_test.go
@@ -25,7 +25,7 @@
 	suspected := admission.Suspicion{Suspected: true, RetryAfter: suspectedFor}
 	slow := admission.Suspicion{Suspected: true, MostlySlow: true}
 	probed := admission.Suspicion{Suspected: true, MayProbe: true}
-	risked := admission.Suspicion{Suspected: true, MayProbe: true, MayProbeWithAny: true}
+	risked := admission.Suspicion{Suspected: true, MayProbe: true, MayProbeNonIdempotent: true}
 	once := admission.Attempt{NonIdempotent: true}
 	return []admitCase{
 		{name: "nothing is known", want: admission.Granted},
@@ -54,7 +54,7 @@
 			want: admission.RefusedEjected, retryAfter: retryafter.Probation,
 		},
 		{
-			name: "in probation with a request", server: admission.Server{State: detect.Probation, ProbationRuns: true},
+			name: "in probation with a request", server: admission.Server{State: detect.Probation, ProbationInFlight: true},
 			want: admission.RefusedEjected, retryAfter: retryafter.Probation,
 		},
 		{name: "in probation, no slot", server: admission.Server{State: detect.Probation}, running: 2, want: admission.Queued},
--- a/internal/admission/many_test.go
+++ b/internal/admission/many_test.go
@@ -70,7 +70,7 @@
 		}
 		total++
 		id := uint64(total)
-		r := admission.Request{ID: id, Customer: fmt.Sprint(random.IntN(c.customers)), TargetAt: now.Add(c.aim), Usual: c.took, Deadline: now.Add(c.deadline)}
+		r := admission.Request{ID: id, Customer: fmt.Sprint(random.IntN(c.customers)), TargetAt: now.Add(c.aim), TypicalLatency: c.took, Deadline: now.Add(c.deadline)}
 		if random.Float64() >= c.urgent {
 			r.Priority = 1
 		}
--- a/internal/attempts/attempts.go
+++ b/internal/attempts/attempts.go
@@ -66,8 +66,8 @@
 	NoHedges bool
 }
 
-// Terms are what holds for one request.
-type Terms struct {
+// Request are what holds for one request.
+type Request struct {
 	// Service is the service that it is for.
 	Service *Service
 	// NonIdempotent says that it must not run more than once.
@@ -77,8 +77,8 @@
 	Subrequest bool
 	// MaxSent is how many backend servers it may reach.
 	MaxSent int
-	// Began is when it came.
-	Began time.Time
+	// StartedAt is when it came.
+	StartedAt time.Time
 	// TargetAt is until when an answer is worth most, and it may wait in a crowded queue.
 	TargetAt time.Time
 }
--- a/internal/attempts/choose.go
+++ b/internal/attempts/choose.go
@@ -23,10 +23,10 @@
 	// maxHanging is how many backend servers are asked for one that does not seem to hang,
 	// before any will do. Source: five in place of two served no more.
 	maxHanging = 2
-	// LookAgainAfter is the pause before a request that finds only suspected backend servers,
+	// SelectionRetryDelay is the pause before a request that finds only suspected backend servers,
 	// or none, looks again. Source: one is trusted again within some tens of milliseconds of the
 	// first proof.
-	LookAgainAfter = 50 * time.Millisecond
+	SelectionRetryDelay = 50 * time.Millisecond
 	// lookAgainDivisor divides the time in which an answer is worth most into what a request may
 	// spend on the search for a backend server that is not suspected. Source: a refusal is best
 	// given within a quarter of that time.
@@ -45,21 +45,21 @@
 	RefuseIfHanging bool
 	// DespiteSuspicion says that no other is left, so that suspicion is no reason to refuse.
 	DespiteSuspicion bool
-	// LookAgain says that the request has the time to choose again after LookAgainAfter, when a
+	// RetrySelection says that the request has the time to choose again after LookAgainAfter, when a
 	// better target may be found.
-	LookAgain bool
+	RetrySelection bool
 }
 
 // Choose returns the backend server to ask next. A target that is on probation, that is to show whether it is
 // well or that the request waits at is taken: no other choice has it.
-func Choose(now time.Time, t Terms, h *History) Choice {
+func Choose(now time.Time, t Request, h *History) Choice {
 	c := choose(now, t, h)
 	found := c.Target != nil && !c.DespiteSuspicion
-	c.LookAgain = !found && h.mayFindAnother(t.Service.Pool) && t.mayLookAgain(now)
+	c.RetrySelection = !found && h.mayFindAnother(t.Service.Pool) && t.mayLookAgain(now)
 	return c
 }
 
-func choose(now time.Time, t Terms, h *History) Choice {
+func choose(now time.Time, t Request, h *History) Choice {
 	if !t.NonIdempotent && len(h.Tried) == 0 {
 		if c := toRecover(now, t.Service); c.Target != nil {
 			return c
@@ -97,7 +97,7 @@
 // mayAskForSlot reports whether another is asked for a free slot. For a subrequest all are: a
 // refusal wastes what was done for the request that needs it, which costs more than a round trip
 // to each.
-func mayAskForSlot(t Terms, h *History) bool {
+func mayAskForSlot(t Request, h *History) bool {
 	if t.Subrequest {
 		return true
 	}
@@ -110,7 +110,7 @@
 
 // toAskForSlot chooses one to ask for a free slot. A request that has no second chance goes to one
 // that does not seem to hang, if that is soon found.
-func toAskForSlot(now time.Time, t Terms, h *History) Choice {
+func toAskForSlot(now time.Time, t Request, h *History) Choice {
 	pool := t.Service.Pool
 	lastChance := t.NonIdempotent || h.Sent > 0 || !t.Service.RetryLeft(now)
 	if lastChance && len(h.Hanging) < maxHanging && !t.Service.IgnoreHanging {
@@ -130,7 +130,7 @@
 }
 
 // mayLookAgain reports whether the request has the time for another look.
-func (t Terms) mayLookAgain(now time.Time) bool {
-	patience := t.TargetAt.Sub(t.Began) / lookAgainDivisor
-	return patience-now.Sub(t.Began) > LookAgainAfter
+func (t Request) mayLookAgain(now time.Time) bool {
+	patience := t.TargetAt.Sub(t.StartedAt) / lookAgainDivisor
+	return patience-now.Sub(t.StartedAt) > SelectionRetryDelay
 }
--- a/internal/attempts/choose_test.go
+++ b/internal/attempts/choose_test.go
@@ -31,13 +31,13 @@
 }
 
 // termsOf returns the terms of an idempotent request that began at the start.
-func termsOf(s *attempts.Service) attempts.Terms {
-	return attempts.Terms{Service: s, MaxSent: 2, Began: start, TargetAt: start.Add(4 * time.Second)}
+func termsOf(s *attempts.Service) attempts.Request {
+	return attempts.Request{Service: s, MaxSent: 2, StartedAt: start, TargetAt: start.Add(4 * time.Second)}
 }
 
 // askAll has each choice refuse for want of a slot until one is asked to keep the request waiting,
 // and returns how many were asked and the one where it waits. The wait is shorter at each.
-func askAll(terms attempts.Terms, far bool) (asked int, last attempts.Choice) {
+func askAll(terms attempts.Request, far bool) (asked int, last attempts.Choice) {
 	h := &attempts.History{}
 	for wait := time.Minute; ; wait -= time.Second {
 		c := attempts.Choose(start, terms, h)
@@ -64,7 +64,7 @@
 	} {
 		s := newService(t, 9)
 		for range 100 {
-			s.Pool.Looked(!test.crowded)
+			s.Pool.RecordSlotCheck(!test.crowded)
 		}
 		terms := termsOf(s)
 		terms.Subrequest = test.subrequest
@@ -141,17 +141,17 @@
 // TestWhatMustNotBeLostAvoidsWhereRequestsHang says so to whom it is sent, until two have refused.
 func TestWhatMustNotBeLostAvoidsWhereRequestsHang(t *testing.T) {
 	for name, test := range map[string]struct {
-		change  func(*attempts.Terms, *attempts.History)
+		change  func(*attempts.Request, *attempts.History)
 		hanging int
 		want    bool
 	}{
-		"idempotent":     {change: func(*attempts.Terms, *attempts.History) {}},
-		"not idempotent": {change: func(terms *attempts.Terms, _ *attempts.History) { terms.NonIdempotent = true }, want: true},
-		"sent once":      {change: func(_ *attempts.Terms, h *attempts.History) { h.Sent = 1 }, want: true},
-		"no retry":       {change: func(terms *attempts.Terms, _ *attempts.History) { terms.Service.RetryLeft = never }, want: true},
-		"one hangs":      {change: func(terms *attempts.Terms, _ *attempts.History) { terms.NonIdempotent = true }, hanging: 1, want: true},
-		"two hang":       {change: func(terms *attempts.Terms, _ *attempts.History) { terms.NonIdempotent = true }, hanging: 2},
-		"ignored": {change: func(terms *attempts.Terms, _ *attempts.History) {
+		"idempotent":     {change: func(*attempts.Request, *attempts.History) {}},
+		"not idempotent": {change: func(terms *attempts.Request, _ *attempts.History) { terms.NonIdempotent = true }, want: true},
+		"sent once":      {change: func(_ *attempts.Request, h *attempts.History) { h.Sent = 1 }, want: true},
+		"no retry":       {change: func(terms *attempts.Request, _ *attempts.History) { terms.Service.RetryLeft = never }, want: true},
+		"one hangs":      {change: func(terms *attempts.Request, _ *attempts.History) { terms.NonIdempotent = true }, hanging: 1, want: true},
+		"two hang":       {change: func(terms *attempts.Request, _ *attempts.History) { terms.NonIdempotent = true }, hanging: 2},
+		"ignored": {change: func(terms *attempts.Request, _ *attempts.History) {
 			terms.NonIdempotent, terms.Service.IgnoreHanging = true, true
 		}},
 	} {
@@ -193,7 +193,7 @@
 			h.Record(s.Pool.Targets()[0], result.New(result.QueueFull), false)
 		}
 		c := attempts.Choose(start.Add(test.after), terms, h)
-		if (c.Target != nil) != test.asked || test.asked && !c.DespiteSuspicion || c.LookAgain != test.again {
+		if (c.Target != nil) != test.asked || test.asked && !c.DespiteSuspicion || c.RetrySelection != test.again {
 			t.Errorf("%s: got %+v", name, c)
 		}
 	}
@@ -204,11 +204,11 @@
 	s := newService(t, 1)
 	h := &attempts.History{}
 	h.Record(s.Pool.Targets()[0], result.New(result.ServerUnreachable), false)
-	if c := attempts.Choose(start, termsOf(s), h); c.Target != nil || c.LookAgain {
+	if c := attempts.Choose(start, termsOf(s), h); c.Target != nil || c.RetrySelection {
 		t.Fatalf("got %+v after all were tried", c)
 	}
 	s.Pool = balance.NewPool(balance.Config{DataCentre: "dc", Random: rand.Uint64, Start: start})
-	if c := attempts.Choose(start, termsOf(s), &attempts.History{}); c.Target != nil || !c.LookAgain {
+	if c := attempts.Choose(start, termsOf(s), &attempts.History{}); c.Target != nil || !c.RetrySelection {
 		t.Fatalf("got %+v where nobody is known", c)
 	}
 }
--- a/internal/attempts/hedge.go
+++ b/internal/attempts/hedge.go
@@ -21,7 +21,7 @@
 // and where: a hedge is sent once the attempt sent last is slow, if the request may run more than
 // once and has attempts left, to a backend server that keeps a slot for it.
 type Hedging struct {
-	terms     Terms
+	terms     Request
 	slowAfter time.Duration
 	// avoid are the backend servers where no hedge is sent.
 	avoid []*balance.Target
@@ -31,38 +31,38 @@
 	allRefused bool
 }
 
-// Running is what runs of a request when a hedge is considered.
-type Running struct {
+// InFlight is what runs of a request when a hedge is considered.
+type InFlight struct {
 	// Count is how many attempts run, one at least.
 	Count int
-	// NewestBegan is when the one of them that was sent last began.
-	NewestBegan time.Time
+	// LastStartedAt is when the one of them that was sent last began.
+	LastStartedAt time.Time
 	// Failed is how many have failed that the history does not have yet.
 	Failed int
-	// BodySpent says that the request's body cannot be sent again from its start.
-	BodySpent bool
+	// BodyConsumed says that the request's body cannot be sent again from its start.
+	BodyConsumed bool
 	// Stopping says that a planned stop has begun: others may not take the request any more.
 	Stopping bool
 }
 
 // NewHedging returns what decides on hedges of an attempt of the request that is slow after that
 // time; never if it is zero.
-func NewHedging(t Terms, slowAfter time.Duration, h *History) Hedging {
+func NewHedging(t Request, slowAfter time.Duration, h *History) Hedging {
 	return Hedging{terms: t, slowAfter: slowAfter, avoid: h.triedNotBusy()}
 }
 
-// FirstLook returns when after the attempt's begin a hedge is first considered, and false if none
+// FirstCheck returns when after the attempt's begin a hedge is first considered, and false if none
 // may be sent.
-func (g *Hedging) FirstLook() (time.Duration, bool) {
+func (g *Hedging) FirstCheck() (time.Duration, bool) {
 	return g.slowAfter, g.slowAfter > 0 && !g.terms.NonIdempotent && !g.terms.Service.NoHedges
 }
 
-// NextLook returns how long after a look the next one is.
-func (g *Hedging) NextLook() time.Duration { return max(g.slowAfter/hedgeLooks, shortestLook) }
+// CheckInterval returns how long after a look the next one is.
+func (g *Hedging) CheckInterval() time.Duration { return max(g.slowAfter/hedgeLooks, shortestLook) }
 
 // Choose returns where a hedge is sent now, and no target if none is. That of a subrequest waits for
 // a slot, since such requests go first.
-func (g *Hedging) Choose(now time.Time, h *History, running Running) Choice {
+func (g *Hedging) Choose(now time.Time, h *History, running InFlight) Choice {
 	if !g.mayHedge(now, h, running) {
 		return Choice{}
 	}
@@ -71,14 +71,14 @@
 }
 
 // mayHedge reports whether the request may have another hedge now.
-func (g *Hedging) mayHedge(now time.Time, h *History, running Running) bool {
-	if g.slowAfter == 0 || g.terms.NonIdempotent || running.Stopping || running.BodySpent {
+func (g *Hedging) mayHedge(now time.Time, h *History, running InFlight) bool {
+	if g.slowAfter == 0 || g.terms.NonIdempotent || running.Stopping || running.BodyConsumed {
 		return false
 	}
 	if h.Sent+running.Failed+running.Count >= g.terms.MaxSent {
 		return false // each that runs may reach a backend server yet
 	}
-	return now.Sub(running.NewestBegan) >= g.slowAfter
+	return now.Sub(running.LastStartedAt) >= g.slowAfter
 }
 
 // pick chooses where a hedge may be sent: one that has not refused one yet, and once all have, any
@@ -94,11 +94,11 @@
 	return target
 }
 
-// Sent records that the request is sent to the target, as a hedge or before any.
-func (g *Hedging) Sent(target *balance.Target) { g.avoid = append(g.avoid, target) }
+// RecordSent records that the request is sent to the target, as a hedge or before any.
+func (g *Hedging) RecordSent(target *balance.Target) { g.avoid = append(g.avoid, target) }
 
-// Refused records that the target kept no slot for a hedge.
-func (g *Hedging) Refused(target *balance.Target) {
+// RecordRefused records that the target kept no slot for a hedge.
+func (g *Hedging) RecordRefused(target *balance.Target) {
 	g.avoid = slices.DeleteFunc(g.avoid, func(t *balance.Target) bool { return t == target })
 	g.refused = append(g.refused, target)
 }
--- a/internal/attempts/hedge_test.go
+++ b/internal/attempts/hedge_test.go
@@ -11,7 +11,7 @@
 const slowAfter = time.Millisecond
 
 // slow is what runs of a request whose only attempt is slow a second after the start.
-var slow = attempts.Running{Count: 1, NewestBegan: start}
+var slow = attempts.InFlight{Count: 1, LastStartedAt: start}
 
 // TestNoHedgeInAPlannedStop leaves a request where it runs once a stop has begun, however
 // long it takes there.
@@ -30,19 +30,19 @@
 // TestWhatMustNotRunTwiceIsNeverHedged holds it, and the route's limit on attempts.
 func TestWhatMustNotRunTwiceIsNeverHedged(t *testing.T) {
 	for name, test := range map[string]struct {
-		terms     attempts.Terms
+		terms     attempts.Request
 		history   attempts.History
-		running   attempts.Running
+		running   attempts.InFlight
 		slowAfter time.Duration
 	}{
-		"once":          {terms: attempts.Terms{MaxSent: 2, NonIdempotent: true}, running: slow, slowAfter: slowAfter},
-		"one attempt":   {terms: attempts.Terms{MaxSent: 1}, running: slow, slowAfter: slowAfter},
-		"sent before":   {terms: attempts.Terms{MaxSent: 2}, history: attempts.History{Sent: 1}, running: slow, slowAfter: slowAfter},
-		"not late yet":  {terms: attempts.Terms{MaxSent: 2}, running: slow, slowAfter: time.Hour},
-		"failed beside": {terms: attempts.Terms{MaxSent: 2}, running: attempts.Running{Count: 1, NewestBegan: start, Failed: 1}, slowAfter: slowAfter},
-		"two run":       {terms: attempts.Terms{MaxSent: 2}, running: attempts.Running{Count: 2, NewestBegan: start}, slowAfter: slowAfter},
-		"body spent":    {terms: attempts.Terms{MaxSent: 2}, running: attempts.Running{Count: 1, NewestBegan: start, BodySpent: true}, slowAfter: slowAfter},
-		"nothing known": {terms: attempts.Terms{MaxSent: 2}, running: slow},
+		"once":          {terms: attempts.Request{MaxSent: 2, NonIdempotent: true}, running: slow, slowAfter: slowAfter},
+		"one attempt":   {terms: attempts.Request{MaxSent: 1}, running: slow, slowAfter: slowAfter},
+		"sent before":   {terms: attempts.Request{MaxSent: 2}, history: attempts.History{Sent: 1}, running: slow, slowAfter: slowAfter},
+		"not late yet":  {terms: attempts.Request{MaxSent: 2}, running: slow, slowAfter: time.Hour},
+		"failed beside": {terms: attempts.Request{MaxSent: 2}, running: attempts.InFlight{Count: 1, LastStartedAt: start, Failed: 1}, slowAfter: slowAfter},
+		"two run":       {terms: attempts.Request{MaxSent: 2}, running: attempts.InFlight{Count: 2, LastStartedAt: start}, slowAfter: slowAfter},
+		"body spent":    {terms: attempts.Request{MaxSent: 2}, running: attempts.InFlight{Count: 1, LastStartedAt: start, BodyConsumed: true}, slowAfter: slowAfter},
+		"nothing known": {terms: attempts.Request{MaxSent: 2}, running: slow},
 	} {
 		test.terms.Service = newService(t, 2)
 		hedging := attempts.NewHedging(test.terms, test.slowAfter, &test.history)
@@ -59,7 +59,7 @@
 	targets := s.Pool.Targets()
 	h := &attempts.History{}
 	hedging := attempts.NewHedging(termsOf(s), slowAfter, h)
-	hedging.Sent(targets[0])
+	hedging.RecordSent(targets[0])
 	for turn := range 3 {
 		asked := make(map[*balance.Target]bool)
 		for n := range len(targets) - 1 {
@@ -71,8 +71,8 @@
 				t.Fatalf("turn %d, %d asked: refuses if it hangs: %t", turn, n, c.RefuseIfHanging)
 			}
 			asked[c.Target] = true
-			hedging.Sent(c.Target)
-			hedging.Refused(c.Target)
+			hedging.RecordSent(c.Target)
+			hedging.RecordRefused(c.Target)
 		}
 	}
 }
@@ -83,7 +83,7 @@
 		s := newService(t, 2)
 		s.NoHedges = off
 		hedging := attempts.NewHedging(termsOf(s), slowAfter, &attempts.History{})
-		after, ok := hedging.FirstLook()
+		after, ok := hedging.FirstCheck()
 		if ok == off || after != slowAfter {
 			t.Fatalf("switched off: %t, a hedge is looked for after %v: %t", off, after, ok)
 		}
--- a/internal/attempts/history.go
+++ b/internal/attempts/history.go
@@ -24,8 +24,8 @@
 	Sent int
 	// FullQueues is how many refused for a full queue.
 	FullQueues int
-	// NoRetries is how many refused since they have no room for what a retry calls.
-	NoRetries int
+	// RetryRefusals is how many refused since they have no room for what a retry calls.
+	RetryRefusals int
 	// Last is the last failure; nil if there was none.
 	Last *result.Error
 	// MayHaveRun is the last failure after which the request may have run; nil if there was none.
@@ -43,9 +43,9 @@
 // Record enters an attempt that failed at the target, which is far if it is in another data
 // centre.
 func (h *History) Record(target *balance.Target, failure *result.Error, far bool) {
-	meaning := failures.Of(failure.Code)
+	meaning := failures.Classify(failure.Code)
 	h.recordTarget(target, meaning.Target, failure.RetryAfter, far)
-	if meaning.Target == failures.NoRetries && h.Last != nil {
+	if meaning.Target == failures.NoRetryBudget && h.Last != nil {
 		return // the failure that asked for a retry is what the caller is told
 	}
 	h.Last = failure
@@ -58,7 +58,7 @@
 }
 
 // recordTarget enters what the failure says of the target, and whether it may be chosen again.
-func (h *History) recordTarget(target *balance.Target, state failures.Target, wait time.Duration, far bool) {
+func (h *History) recordTarget(target *balance.Target, state failures.TargetState, wait time.Duration, far bool) {
 	switch state {
 	case failures.Suspected: // may be chosen again once it is trusted, or if no other is left
 		return
@@ -72,9 +72,9 @@
 		}
 	case failures.QueueFull:
 		h.FullQueues++
-	case failures.NoRetries:
-		h.NoRetries++
-	case failures.Unchanged, failures.NoWork, failures.HostUnreachable, failures.HostSilent, failures.Unreachable:
+	case failures.NoRetryBudget:
+		h.RetryRefusals++
+	case failures.Unchanged, failures.NotAccepting, failures.HostUnreachable, failures.HostUnresponsive, failures.Unreachable:
 	}
 	h.Tried = append(h.Tried, target)
 }
--- a/internal/attempts/retry.go
+++ b/internal/attempts/retry.go
@@ -21,8 +21,8 @@
 
 // MayRetry reports whether the request may be sent to another backend server after the last
 // failure. bodySpent says that its body cannot be sent again from its start.
-func (h *History) MayRetry(now time.Time, t Terms, bodySpent bool) bool {
-	meaning := failures.Of(h.Last.Code)
+func (h *History) MayRetry(now time.Time, t Request, bodySpent bool) bool {
+	meaning := failures.Classify(h.Last.Code)
 	switch {
 	case bodySpent || meaning.Final:
 		return false
@@ -32,7 +32,7 @@
 		return h.FullQueues < MaxQueues || t.Subrequest
 	case !meaning.Reached:
 		return true // the refusal cost no backend server anything
-	case h.Sent >= t.MaxSent || h.NoRetries >= maxNoRetries:
+	case h.Sent >= t.MaxSent || h.RetryRefusals >= maxNoRetries:
 		return false
 	default:
 		return h.Last.Code.Ran == result.RanNo || !t.NonIdempotent
@@ -44,18 +44,18 @@
 
 // MayImprove reports whether another backend server may give a better answer than this one,
 // which is kept until then: a failure that was read whole.
-func (t Terms) MayImprove(answer *http.Response) bool {
+func (t Request) MayImprove(answer *http.Response) bool {
 	return !t.NonIdempotent && answer.StatusCode >= http.StatusInternalServerError && answer.ContentLength >= 0
 }
 
 // Failure is what the caller is told after the last failure.
 func (h *History) Failure() *result.Error { return h.worstOf(h.Last) }
 
-// NoneLeft is what the caller is told if no backend server is left to ask, of so many that are
+// NoTargetFailure is what the caller is told if no backend server is left to ask, of so many that are
 // known: the last failure, unless there was none or the last one asked takes no work.
 // passedOver says for which reasons some were passed over.
-func (h *History) NoneLeft(known int, passedOver string) *result.Error {
-	if h.Last == nil || failures.Of(h.Last.Code).TakesNoWork() {
+func (h *History) NoTargetFailure(known int, passedOver string) *result.Error {
+	if h.Last == nil || failures.Classify(h.Last.Code).TakesNoWork() {
 		return h.worstOf(result.New(result.NoneAble).WithRetryAfter(retryafter.NoneAble).
 			WithDetail("%d backend servers known, %d tried (%s)", known, len(h.Tried), passedOver))
 	}
--- a/internal/attempts/retry_test.go
+++ b/internal/attempts/retry_test.go
@@ -17,12 +17,12 @@
 	began := time.Now()
 	target := began.Add(time.Second)
 	inTime, tooLate := began, target.Add(1)
-	once := attempts.Terms{NonIdempotent: true, MaxSent: 2, TargetAt: target}
-	twice := attempts.Terms{MaxSent: 2, TargetAt: target}
-	call := attempts.Terms{MaxSent: 2, TargetAt: target, Subrequest: true}
+	once := attempts.Request{NonIdempotent: true, MaxSent: 2, TargetAt: target}
+	twice := attempts.Request{MaxSent: 2, TargetAt: target}
+	call := attempts.Request{MaxSent: 2, TargetAt: target, Subrequest: true}
 	tests := []struct {
 		name    string
-		terms   attempts.Terms
+		terms   attempts.Request
 		history attempts.History
 		at      time.Time
 		want    string
@@ -42,8 +42,8 @@
 		{"no slot, past the target", twice, attempts.History{Last: result.New(result.Busy)}, tooLate, free},
 		{"a customer's share", twice, attempts.History{Last: result.New(result.CustomerShare)}, inTime, final},
 		{"the deadline", twice, attempts.History{Sent: 1, Last: result.New(result.DeadlineWhileRunning)}, inTime, final},
-		{"two had no retries", twice, attempts.History{Sent: 1, NoRetries: 2, Last: result.New(result.ConnectionLost)}, inTime, again},
-		{"three had no retries", twice, attempts.History{Sent: 1, NoRetries: 3, Last: result.New(result.ConnectionLost)}, inTime, final},
+		{"two had no retries", twice, attempts.History{Sent: 1, RetryRefusals: 2, Last: result.New(result.ConnectionLost)}, inTime, again},
+		{"three had no retries", twice, attempts.History{Sent: 1, RetryRefusals: 3, Last: result.New(result.ConnectionLost)}, inTime, final},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -67,7 +67,7 @@
 
 // TestOnceIsNeverTriedAgainAfterItMayHaveRun goes through every code.
 func TestOnceIsNeverTriedAgainAfterItMayHaveRun(t *testing.T) {
-	terms := attempts.Terms{MaxSent: 9, NonIdempotent: true}
+	terms := attempts.Request{MaxSent: 9, NonIdempotent: true}
 	for _, code := range result.All() {
 		history := attempts.History{Sent: 1, Last: result.New(code)}
 		if code.Ran == result.RanUnknown && history.MayRetry(time.Time{}, terms, false) {
@@ -95,10 +95,10 @@
 		"one may have run":               {record(lost, busy).Failure(), result.ConnectionLost, time.Minute},
 		"one had no room for a retry":    {record(lost, result.New(result.RetryLimit)).Failure(), result.ConnectionLost, 0},
 		"all had no room for a retry":    {record(result.New(result.RetryLimit)).Failure(), result.RetryLimit, 0},
-		"nobody was asked":               {record().NoneLeft(0, ""), result.NoneAble, time.Second},
-		"nobody takes work":              {record(busy, draining).NoneLeft(2, ""), result.NoneAble, time.Second},
-		"nobody is left":                 {record(draining, busy).NoneLeft(2, ""), result.Busy, time.Minute},
-		"nobody takes work, one has run": {record(lost, draining).NoneLeft(2, ""), result.ConnectionLost, time.Second},
+		"nobody was asked":               {record().NoTargetFailure(0, ""), result.NoneAble, time.Second},
+		"nobody takes work":              {record(busy, draining).NoTargetFailure(2, ""), result.NoneAble, time.Second},
+		"nobody is left":                 {record(draining, busy).NoTargetFailure(2, ""), result.Busy, time.Minute},
+		"nobody takes work, one has run": {record(lost, draining).NoTargetFailure(2, ""), result.ConnectionLost, time.Second},
 	} {
 		if test.told.Code.Number != test.want.Number || test.told.RetryAfter != test.after {
 			t.Errorf("%s: got %s, come back after %v", name, test.told.Code.Name, test.told.RetryAfter)
--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -119,20 +119,20 @@
 // Targets returns every target in the order of the declaration.
 func (p *Pool) Targets() []*Target { return p.view.Load().all }
 
-// Report records the load that came with a target's answer.
-func (p *Pool) Report(t *Target, load float64, now time.Time) {
+// RecordLoad records the load that came with a target's answer.
+func (p *Pool) RecordLoad(t *Target, load float64, now time.Time) {
 	t.loadBits.Store(math.Float64bits(load))
 	t.reported.Store(p.clock(now))
 }
 
-// ReportFailing records the share of its requests that failed at the target, as its sidecar said.
-func (p *Pool) ReportFailing(t *Target, share float64, now time.Time) {
+// RecordFailureShare records the share of its requests that failed at the target, as its sidecar said.
+func (p *Pool) RecordFailureShare(t *Target, share float64, now time.Time) {
 	t.failingBits.Store(math.Float64bits(share))
 	t.failingAt.Store(p.clock(now))
 }
 
-// Failing returns the share of requests that failed at each target of which that was reported of late, by name.
-func (p *Pool) Failing(now time.Time) map[string]float64 {
+// FailureShares returns the share of requests that failed at each target of which that was reported of late, by name.
+func (p *Pool) FailureShares(now time.Time) map[string]float64 {
 	since := p.clock(now)
 	shares := make(map[string]float64)
 	for _, t := range p.view.Load().all {
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -57,24 +57,24 @@
 			func(c map[string]int) bool { return c["s0"] > 300 && c["s1"] > 300 && c["s2"] == 0 },
 		},
 		{
-			"the less loaded of two", func(p *balance.Pool) { p.Report(p.Targets()[0], 0.9, later) },
+			"the less loaded of two", func(p *balance.Pool) { p.RecordLoad(p.Targets()[0], 0.9, later) },
 			func(c map[string]int) bool { return c["s0"] == 0 },
 		},
 		{
-			"a load reported long ago does not count", func(p *balance.Pool) { p.Report(p.Targets()[0], 1, later.Add(-2*time.Second)) },
+			"a load reported long ago does not count", func(p *balance.Pool) { p.RecordLoad(p.Targets()[0], 1, later.Add(-2*time.Second)) },
 			func(c map[string]int) bool { return c["s0"] > 300 },
 		},
 		{
 			"spill-over when the own are full", func(p *balance.Pool) {
-				p.Report(p.Targets()[0], 2, later)
-				p.Report(p.Targets()[1], 2, later)
+				p.RecordLoad(p.Targets()[0], 2, later)
+				p.RecordLoad(p.Targets()[1], 2, later)
 			},
 			func(c map[string]int) bool { return c["s2"] == 1000 },
 		},
 		{
 			"no spill-over to one as full", func(p *balance.Pool) {
 				for _, target := range p.Targets() {
-					p.Report(target, 1.2, later)
+					p.RecordLoad(target, 1.2, later)
 				}
 			},
 			func(c map[string]int) bool { return c["s2"] == 0 },
--- a/internal/balance/busy.go
+++ b/internal/balance/busy.go
@@ -8,8 +8,8 @@
 	busyWeight = 16
 )
 
-// Looked records whether a target had a free slot when it was asked for one.
-func (p *Pool) Looked(free bool) {
+// RecordSlotCheck records whether a target had a free slot when it was asked for one.
+func (p *Pool) RecordSlotCheck(free bool) {
 	for {
 		old := p.busyShare.Load()
 		next := old - old/busyWeight
--- a/internal/balance/pause.go
+++ b/internal/balance/pause.go
@@ -19,8 +19,8 @@
 	t.suspectUntil.Store(p.clock(until))
 }
 
-// Trust lets the target be chosen again.
-func (p *Pool) Trust(t *Target) { t.suspectUntil.Store(0) }
+// ClearSuspicion lets the target be chosen again.
+func (p *Pool) ClearSuspicion(t *Target) { t.suspectUntil.Store(0) }
 
 // Paused reports whether the target is paused.
 func (p *Pool) Paused(t *Target, now time.Time) bool {
--- a/internal/balance/target.go
+++ b/internal/balance/target.go
@@ -41,8 +41,8 @@
 // End counts the request's answer.
 func (t *Target) End() { t.inFlight.Add(-1) }
 
-// Fail counts a failure.
-func (t *Target) Fail() { t.failures.Add(1) }
+// RecordFailure counts a failure.
+func (t *Target) RecordFailure() { t.failures.Add(1) }
 
 // InFlight returns the requests on their way.
 func (t *Target) InFlight() int { return int(t.inFlight.Load()) }
@@ -70,8 +70,8 @@
 	t.typical.Store(int64(typical))
 }
 
-// Typical returns how long the others typically take; zero if it is not known.
-func (t *Target) Typical() time.Duration { return time.Duration(t.typical.Load()) }
+// TypicalLatency returns how long the others typically take; zero if it is not known.
+func (t *Target) TypicalLatency() time.Duration { return time.Duration(t.typical.Load()) }
 
 // Baseline returns what SetBaseline set.
 func (t *Target) Baseline() string {
--- a/internal/daemon/build.go
+++ b/internal/daemon/build.go
@@ -34,7 +34,7 @@
 	d.buildMetrics()
 	d.health = storehealth.New(storehealth.Config{Logger: d.config.Logger})
 	d.buildPeers()
-	d.budgets = retry.NewBudgets(retry.Config{Began: d.started, Borrows: true})
+	d.budgets = retry.NewBudgets(retry.Config{StartedAt: d.started, Borrows: true})
 	d.buildMembers()
 	d.quarantines = d.newQuarantines()
 	d.buildLedger()
@@ -80,13 +80,13 @@
 		Logger:    d.config.Logger,
 		Peers:     d.peers,
 		Record: record.Config{
-			Host:       s.Name,
-			Store:      d.config.Store,
-			Prefix:     s.Platform.Prefix,
-			FirstStart: s.FirstStart,
-			Health:     d.health,
-			Logger:     d.config.Logger,
-			Unused:     d.budgets.Clear,
+			Host:          s.Name,
+			Store:         d.config.Store,
+			Prefix:        s.Platform.Prefix,
+			FirstStart:    s.FirstStart,
+			Health:        d.health,
+			Logger:        d.config.Logger,
+			OnShareUnused: d.budgets.SetSlackUnused,
 		},
 		Plan:     func() *gossip.Plan { return d.declarations.Plan() },
 		Services: func() ([]fleet.Service, bool) { return d.declarations.Services() },
@@ -169,27 +169,27 @@
 
 func (d *daemon) buildLender() {
 	d.lender = lend.New(lend.Config{
-		Host:       d.config.Settings.Name,
-		DataCentre: d.config.Settings.DataCentre,
-		Budgets:    d.budgets,
-		Hosts:      d.declarations.Hosts,
-		Away:       d.isAway,
-		Call:       d.peers.CallHost,
-		Scope:      d.metrics.Scope,
+		Host:        d.config.Settings.Name,
+		DataCentre:  d.config.Settings.DataCentre,
+		Budgets:     d.budgets,
+		Hosts:       d.declarations.Hosts,
+		Unreachable: d.isAway,
+		Call:        d.peers.CallHost,
+		Scope:       d.metrics.Scope,
 	})
 }
 
 func (d *daemon) buildLimits() {
 	d.limits = limits.New(limits.Config{
-		Host:       d.config.Settings.Name,
-		DataCentre: d.config.Settings.DataCentre,
-		Peers:      d.peers,
-		Away:       d.isAway,
+		Host:        d.config.Settings.Name,
+		DataCentre:  d.config.Settings.DataCentre,
+		Peers:       d.peers,
+		Unreachable: d.isAway,
 	})
 }
 
 // isAway reports whether the host of that name does not answer the ingress.
-func (d *daemon) isAway(host string) bool { return d.ingress.Away(host) }
+func (d *daemon) isAway(host string) bool { return d.ingress.Unreachable(host) }
 
 func (d *daemon) buildSidecar() {
 	var cleanUp func()
@@ -212,26 +212,26 @@
 	s := d.config.Settings
 	var cleanUp func()
 	d.ingress, cleanUp = ingress.New(ingress.Config{
-		Host:             s.Name,
-		DataCentre:       s.DataCentre,
-		Service:          s.Service,
-		Off:              s.Experiments.Off,
-		TLS:              d.clientTLS(),
-		HeaderBytes:      s.Limits.HeaderBytes,
-		Logger:           d.config.Logger,
-		Scope:            d.metrics.Scope,
-		Runs:             d.runs,
-		Retries:          d.budgets,
-		BorrowRetry:      d.lender.Borrow,
-		HostsCounted:     d.members.HostsCounted,
-		Local:            d.sidecar.Do,
-		LocalReservation: d.sidecar.Reserve,
-		Far:              d.isFar,
-		Ping:             d.ping,
-		Silent:           d.members.CheckGone,
-		Subrequest:       d.tellSubrequest,
-		AdmitCustomer:    d.limits.Admit,
-		GiveBack:         d.limits.GiveBack,
+		Host:                 s.Name,
+		DataCentre:           s.DataCentre,
+		Service:              s.Service,
+		Off:                  s.Experiments.Off,
+		TLS:                  d.clientTLS(),
+		HeaderBytes:          s.Limits.HeaderBytes,
+		Logger:               d.config.Logger,
+		Scope:                d.metrics.Scope,
+		Runs:                 d.runs,
+		Retries:              d.budgets,
+		BorrowRetry:          d.lender.Borrow,
+		HostsCounted:         d.members.HostsCounted,
+		Local:                d.sidecar.Do,
+		LocalReservation:     d.sidecar.Reserve,
+		ShouldCompress:       d.isFar,
+		Ping:                 d.ping,
+		OnHostUnresponsive:   d.members.CheckGone,
+		OnSubrequestEvidence: d.tellSubrequest,
+		AdmitCustomer:        d.limits.Admit,
+		RefundCustomer:       d.limits.Refund,
 	})
 	d.atEnd(cleanUp)
 }
--- a/internal/daemon/calls.go
+++ b/internal/daemon/calls.go
@@ -54,7 +54,7 @@
 	if err := control.Decode(params, &draining); err != nil {
 		return nil, err
 	}
-	d.ingress.Draining(draining.Names)
+	d.ingress.MarkDraining(draining.Names)
 	return control.Done{}, nil
 }
 
@@ -63,7 +63,7 @@
 	if err := control.Decode(params, &trusted); err != nil {
 		return nil, err
 	}
-	d.ingress.Trusted(trusted.Names)
+	d.ingress.ClearSuspicion(trusted.Names)
 	return control.Done{}, nil
 }
 
@@ -102,5 +102,5 @@
 	if told.Service != d.config.Settings.Service {
 		return control.Known{}, nil
 	}
-	return control.Known{Routes: d.ingress.HearSubrequest(told.Seen)}, nil
+	return control.Known{Routes: d.ingress.MergeSubrequestEvidence(told.Seen)}, nil
 }
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -27,7 +27,7 @@
 	trusted := control.Trusted{Names: []string{backendServer}}
 	for _, name := range hosts {
 		if name == d.config.Settings.Name {
-			go d.ingress.Trusted(trusted.Names)
+			go d.ingress.ClearSuspicion(trusted.Names)
 			continue
 		}
 		if host, ok := index.Host(name); ok {
--- a/internal/daemon/quarantine.go
+++ b/internal/daemon/quarantine.go
@@ -9,16 +9,16 @@
 // newQuarantines returns what keeps the quarantine of requests.
 func (d *daemon) newQuarantines() *quarantinesync.Syncer {
 	return quarantinesync.New(quarantinesync.Config{
-		Host:     d.config.Settings.Name,
-		Store:    d.config.Store,
-		Prefix:   d.config.Settings.Platform.Prefix + "/quarantine",
-		Tell:     d.tellQuarantine,
-		Spread:   d.spreadQuarantine,
-		Watches:  d.watchesQuarantines,
-		Logger:   d.config.Logger,
-		Scope:    d.metrics.Scope,
-		OnError:  d.health.Failed,
-		OnAnswer: d.health.Answered,
+		Host:          d.config.Settings.Name,
+		Store:         d.config.Store,
+		Prefix:        d.config.Settings.Platform.Prefix + "/quarantine",
+		NotifyService: d.tellQuarantine,
+		Gossip:        d.spreadQuarantine,
+		Watches:       d.watchesQuarantines,
+		Logger:        d.config.Logger,
+		Scope:         d.metrics.Scope,
+		OnError:       d.health.Failed,
+		OnAnswer:      d.health.Answered,
 	})
 }
 
--- a/internal/daemon/stop.go
+++ b/internal/daemon/stop.go
@@ -28,7 +28,7 @@
 	event.Log(d.config.Logger, event.DaemonStopping, "in_flight", d.ingress.InFlight())
 	d.stopping.Store(true)
 	servers.CloseAfterAnswers()
-	d.ingress.Settle()
+	d.ingress.BeginShutdown()
 	limits := d.live.Load().Limits
 	ctx, cancel := context.WithTimeout(context.Background(), limits.Stop-limits.Stop/endPart)
 	defer cancel()
--- a/internal/daemon/subrequest.go
+++ b/internal/daemon/subrequest.go
@@ -32,7 +32,7 @@
 	if err := d.peers.CallLogged(ctx, d.peers.Address(host), control.MethodSubrequest, told, &known); err != nil {
 		return
 	}
-	d.ingress.LearnSubrequest(known.Routes)
+	d.ingress.MarkSubrequestRoutes(known.Routes)
 }
 
 // hostsOfService returns the other hosts with a backend server of the service, up to
--- a/internal/detect/baseline.go
+++ b/internal/detect/baseline.go
@@ -31,13 +31,13 @@
 	Failure, Slow float64
 	// FailureSum and SlowSum are the middle of their cumulative sums.
 	FailureSum, SlowSum float64
-	// Typical is the middle of the times they take; zero if it is not known, and nothing but Failure is then.
-	Typical time.Duration
+	// TypicalLatency is the middle of the times they take; zero if it is not known, and nothing but Failure is then.
+	TypicalLatency time.Duration
 }
 
 var unknownBaseline = Baseline{Failure: normalFailure, Slow: normalSlow}
 
-func (r Baseline) known() bool { return r.Typical > 0 }
+func (r Baseline) known() bool { return r.TypicalLatency > 0 }
 
 func (r Baseline) failure() float64 {
 	return math.Min(math.Max(r.Failure, normalFailure), maxNormal)
@@ -65,7 +65,7 @@
 		text = strconv.AppendInt(text, int64(value*thousand), 10)
 		text = append(text, ',')
 	}
-	return string(strconv.AppendInt(text, r.Typical.Microseconds(), 10))
+	return string(strconv.AppendInt(text, r.TypicalLatency.Microseconds(), 10))
 }
 
 // ParseBaseline reads what Encode wrote.
@@ -88,11 +88,11 @@
 	}
 	share := func(i int) float64 { return float64(numbers[i]) / thousand }
 	return Baseline{
-		Failure:    math.Min(1, share(0)),
-		Slow:       math.Min(1, share(1)),
-		FailureSum: share(2),
-		SlowSum:    share(3),
-		Typical:    time.Duration(numbers[4]) * time.Microsecond,
+		Failure:        math.Min(1, share(0)),
+		Slow:           math.Min(1, share(1)),
+		FailureSum:     share(2),
+		SlowSum:        share(3),
+		TypicalLatency: time.Duration(numbers[4]) * time.Microsecond,
 	}, nil
 }
 
@@ -122,7 +122,7 @@
 		next[name] = s
 	}
 	g.subjects = next
-	g.Compare()
+	g.UpdateBaselines()
 }
 
 // Subject returns the backend server of that name.
@@ -151,9 +151,9 @@
 	return suspected.IsOutlier(others)
 }
 
-// Compare works out for each backend server how the others do. It is called a
+// UpdateBaselines works out for each backend server how the others do. It is called a
 // few times a second; in between the last result stands.
-func (g *Group) Compare() {
+func (g *Group) UpdateBaselines() {
 	table := newComparison(g.subjects, g.rules)
 	clear(g.others)
 	for name, s := range g.subjects {
@@ -196,11 +196,11 @@
 		return Baseline{}
 	}
 	return Baseline{
-		Failure:    middleWithout(c.failure, s.failure.normal(), own),
-		Slow:       middleWithout(c.slow, s.slow.normal(), own),
-		FailureSum: middleWithout(c.failureSum, s.failure.total(rules), own),
-		SlowSum:    middleWithout(c.slowSum, s.slow.total(rules), own),
-		Typical:    time.Duration(math.Exp(middleWithout(c.logTime, s.latency.logMiddle, own))),
+		Failure:        middleWithout(c.failure, s.failure.normal(), own),
+		Slow:           middleWithout(c.slow, s.slow.normal(), own),
+		FailureSum:     middleWithout(c.failureSum, s.failure.total(rules), own),
+		SlowSum:        middleWithout(c.slowSum, s.slow.total(rules), own),
+		TypicalLatency: time.Duration(math.Exp(middleWithout(c.logTime, s.latency.logMiddle, own))),
 	}
 }
 
--- a/internal/detect/baseline_test.go
+++ b/internal/detect/baseline_test.go
@@ -21,10 +21,10 @@
 		if err != nil {
 			return
 		}
-		if r.Failure < 0 || r.Failure > 1 || r.Slow < 0 || r.Slow > 1 || r.Typical < 0 {
+		if r.Failure < 0 || r.Failure > 1 || r.Slow < 0 || r.Slow > 1 || r.TypicalLatency < 0 {
 			t.Fatalf("%q gave %+v", text, r)
 		}
-		if again, err := detect.ParseBaseline(r.Encode()); err != nil || r.Typical > 0 && again != r {
+		if again, err := detect.ParseBaseline(r.Encode()); err != nil || r.TypicalLatency > 0 && again != r {
 			t.Fatalf("%q gave %+v, and encoded again %+v, %v", text, r, again, err)
 		}
 	})
@@ -54,7 +54,7 @@
 			if s.State(now) != detect.Probation {
 				t.Fatalf("%s after its hold", s.State(now))
 			}
-			s.Return(now)
+			s.Reinstate(now)
 			last = held
 		}
 	})
@@ -64,17 +64,17 @@
 // bad one.
 func TestTrial(t *testing.T) {
 	rules := detect.Swift()
-	others := detect.Baseline{Typical: median}
-	good := detect.Observation{Outcome: detect.OK, Took: median}
+	others := detect.Baseline{TypicalLatency: median}
+	good := detect.Observation{Outcome: detect.OK, Latency: median}
 	tests := []struct {
 		name string
 		saw  detect.Observation
 		back bool
 	}{
 		{"good", good, true},
-		{"an error", detect.Observation{Outcome: detect.Error, Took: median}, false},
-		{"no answer", detect.Observation{Outcome: detect.TimedOut, Took: deadline}, false},
-		{"slow", detect.Observation{Outcome: detect.OK, Took: 10 * median}, false},
+		{"an error", detect.Observation{Outcome: detect.Error, Latency: median}, false},
+		{"no answer", detect.Observation{Outcome: detect.TimedOut, Latency: deadline}, false},
+		{"slow", detect.Observation{Outcome: detect.OK, Latency: 10 * median}, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/detect/detect.go
+++ b/internal/detect/detect.go
@@ -72,10 +72,10 @@
 	// Overdue is no answer yet, long after others would have given one. The
 	// request's end is observed too, with WasOverdue set.
 	Overdue Outcome = "overdue"
-	// Refused is a refused connection.
-	Refused Outcome = "refused"
-	// Lost is a connection that broke before the answer was whole.
-	Lost Outcome = "lost"
+	// ConnectionRefused is a refused connection.
+	ConnectionRefused Outcome = "refused"
+	// ConnectionLost is a connection that broke before the answer was whole.
+	ConnectionLost Outcome = "lost"
 )
 
 // Cause says what a sick backend server does.
@@ -94,8 +94,8 @@
 // Observation is one request's end, or that it is overdue.
 type Observation struct {
 	Outcome Outcome
-	// Took is how long the answer took, without the wait for a slot.
-	Took time.Duration
+	// Latency is how long the answer took, without the wait for a slot.
+	Latency time.Duration
 	// WasOverdue says that the request was observed as overdue before.
 	WasOverdue bool
 	// PastTarget says that the answer took longer than the route's target.
@@ -109,8 +109,8 @@
 
 // Verdict is what an observer concludes.
 type Verdict struct {
-	// Sick says that the rules would eject the backend server.
-	Sick bool
+	// Unhealthy says that the rules would eject the backend server.
+	Unhealthy bool
 	// Cause says what it does; CauseNone unless Sick.
 	Cause Cause
 	// Severity orders the sick, the worst with the highest; 0 to 2.
@@ -154,7 +154,7 @@
 		s.failure.add(now, failed, s.baseline.failure(), s.rules.SickFailure, s.rules)
 	}
 	if o.Outcome == OK {
-		s.observeLatency(now, o.Took)
+		s.observeLatency(now, o.Latency)
 	}
 	if s.failure.sum == 0 {
 		s.causes = [causeCount]int{}
@@ -166,11 +166,11 @@
 
 func (s *Subject) observeLatency(now time.Time, took time.Duration) {
 	s.latency.add(took)
-	if s.baseline.Typical == 0 {
+	if s.baseline.TypicalLatency == 0 {
 		s.lastGood = now
 		return
 	}
-	slow := took > s.rules.slowLimit(s.baseline.Typical)
+	slow := took > s.rules.slowLimit(s.baseline.TypicalLatency)
 	if !slow {
 		s.lastGood = now
 	}
@@ -182,9 +182,9 @@
 	severity := s.failure.rate + s.slow.rate
 	switch {
 	case s.failure.convinces(now, s.baseline.failure(), s.baseline.FailureSum, s.rules):
-		return Verdict{Sick: true, Cause: s.mainCause(), Severity: severity}
+		return Verdict{Unhealthy: true, Cause: s.mainCause(), Severity: severity}
 	case s.slow.convinces(now, s.baseline.slow(), s.baseline.SlowSum, s.rules):
-		return Verdict{Sick: true, Cause: CauseSlow, Severity: severity}
+		return Verdict{Unhealthy: true, Cause: CauseSlow, Severity: severity}
 	default:
 		return Verdict{Severity: severity}
 	}
@@ -206,9 +206,9 @@
 	switch o {
 	case Error:
 		return 1
-	case Refused:
+	case ConnectionRefused:
 		return 2
-	case Lost:
+	case ConnectionLost:
 		return 3
 	case OK, TimedOut, Overdue:
 		return 0
--- a/internal/detect/detect_test.go
+++ b/internal/detect/detect_test.go
@@ -91,7 +91,7 @@
 	compared := epoch
 	for _, s := range x.events(random, fault) {
 		if s.at.Sub(compared) >= 100*time.Millisecond {
-			group.Compare()
+			group.UpdateBaselines()
 			compared = s.at
 		}
 		subject, _ := group.Subject(names[s.server])
@@ -101,13 +101,13 @@
 				result.failures[s.server]++
 			}
 		}
-		if !subject.Verdict(s.at).Sick || !group.IsOutlier(names[s.server]) {
+		if !subject.Verdict(s.at).Unhealthy || !group.IsOutlier(names[s.server]) {
 			continue
 		}
 		if s.at.Before(fault) {
 			result.early++
 			subject.Eject(s.at)
-			subject.Return(s.at)
+			subject.Reinstate(s.at)
 			continue
 		}
 		if _, called := result.after[s.server]; !called {
@@ -137,7 +137,7 @@
 		if late {
 			all = append(all, seen{at.Add(limit), server, detect.Observation{Outcome: detect.Overdue}})
 		}
-		all = append(all, seen{at.Add(took), server, detect.Observation{Outcome: outcome, Took: took, WasOverdue: late}})
+		all = append(all, seen{at.Add(took), server, detect.Observation{Outcome: outcome, Latency: took, WasOverdue: late}})
 	}
 	slices.SortFunc(all, func(a, b seen) int { return a.at.Compare(b.at) })
 	return all
--- a/internal/detect/ejection.go
+++ b/internal/detect/ejection.go
@@ -48,7 +48,7 @@
 	x.until = now.Add(min(length, s.rules.EjectionTimeMax))
 	x.level++
 	x.passes = 0
-	if verdict := s.Verdict(now); verdict.Sick {
+	if verdict := s.Verdict(now); verdict.Unhealthy {
 		x.cause = verdict.Cause
 	}
 	s.forget()
@@ -86,7 +86,7 @@
 	if others.known() {
 		s.baseline = others
 	}
-	slow := s.baseline.Typical > 0 && o.Took > s.rules.slowLimit(s.baseline.Typical)
+	slow := s.baseline.TypicalLatency > 0 && o.Latency > s.rules.slowLimit(s.baseline.TypicalLatency)
 	if o.Outcome != OK || slow {
 		s.Eject(now)
 		return false
@@ -95,12 +95,12 @@
 	if s.ejection.passes < s.rules.ProbationPasses {
 		return false
 	}
-	s.Return(now)
+	s.Reinstate(now)
 	return true
 }
 
-// Return puts the subject back in service.
-func (s *Subject) Return(now time.Time) {
+// Reinstate puts the subject back in service.
+func (s *Subject) Reinstate(now time.Time) {
 	s.ejection.ejected = false
 	s.ejection.returned = now
 	s.ejection.serving = now
@@ -108,18 +108,18 @@
 	s.forget()
 }
 
-// Restore puts the subject back in service with its whole share, on proof from
+// ReinstateFully puts the subject back in service with its whole share, on proof from
 // elsewhere that it is well.
-func (s *Subject) Restore(now time.Time) {
+func (s *Subject) ReinstateFully(now time.Time) {
 	s.ejection.ejected = false
 	s.ejection.serving = now
 	s.ejection.cause = CauseNone
 	s.forget()
 }
 
-// Share returns the part of its work that the subject should get, from 0 to 1:
+// TrafficShare returns the part of its work that the subject should get, from 0 to 1:
 // after a return it grows to 1 over the ramp.
-func (s *Subject) Share(now time.Time) float64 {
+func (s *Subject) TrafficShare(now time.Time) float64 {
 	if s.ejection.ejected {
 		return 0
 	}
--- a/internal/detect/ejection_test.go
+++ b/internal/detect/ejection_test.go
@@ -11,7 +11,7 @@
 // an earlier return, however long ago, shortens the first ejection after it alone.
 func TestFailedProbationsLengthenTheEjection(t *testing.T) {
 	rules := detect.Careful()
-	failed := detect.Observation{Outcome: detect.TimedOut, Took: deadline}
+	failed := detect.Observation{Outcome: detect.TimedOut, Latency: deadline}
 	tests := []struct {
 		name   string
 		before func(*detect.Subject) time.Time // returns when it is ejected anew
@@ -19,12 +19,12 @@
 		{"it was never ejected", func(*detect.Subject) time.Time { return epoch }},
 		{"it returned two minutes ago", func(s *detect.Subject) time.Time {
 			s.Eject(epoch)
-			s.Return(epoch.Add(rules.EjectionTime))
+			s.Reinstate(epoch.Add(rules.EjectionTime))
 			return epoch.Add(rules.EjectionTime + 2*rules.EjectionMemory)
 		}},
 		{"it was restored two minutes ago", func(s *detect.Subject) time.Time {
 			s.Eject(epoch)
-			s.Restore(epoch.Add(time.Second))
+			s.ReinstateFully(epoch.Add(time.Second))
 			return epoch.Add(time.Second + 2*rules.EjectionMemory)
 		}},
 	}
@@ -54,13 +54,13 @@
 		s.Eject(now)
 		now = now.Add(s.EjectedFor(now))
 	}
-	s.Return(now)
+	s.Reinstate(now)
 	now = now.Add(2 * rules.EjectionMemory)
 	s.Eject(now)
 	if got, want := s.EjectedFor(now), 2*rules.EjectionTime; got != want {
 		t.Fatalf("after two minutes in service ejected for %s, want %s", got, want)
 	}
-	s.Restore(now)
+	s.ReinstateFully(now)
 	s.Eject(now)
 	if got, want := s.EjectedFor(now), 4*rules.EjectionTime; got != want {
 		t.Fatalf("at once after that for %s, want %s", got, want)
--- a/internal/detect/explain.go
+++ b/internal/detect/explain.go
@@ -19,9 +19,9 @@
 	OthersFailure float64 `json:"others_failure"`
 	SlowRate      float64 `json:"slow_rate"`
 	OthersSlow    float64 `json:"others_slow"`
-	// Typical is the time the subject takes, OthersTypical the others'.
-	Typical       time.Duration `json:"typical"`
-	OthersTypical time.Duration `json:"others_typical"`
+	// TypicalLatency is the time the subject takes, OthersTypical the others'.
+	TypicalLatency       time.Duration `json:"typical"`
+	OthersTypicalLatency time.Duration `json:"others_typical"`
 	// FailureSum and SlowSum are the cumulative sums; Threshold is the rule's.
 	FailureSum float64 `json:"failure_sum"`
 	SlowSum    float64 `json:"slow_sum"`
@@ -38,7 +38,7 @@
 	}
 	x.State = s.State(now)
 	x.Cause = s.ejection.cause
-	if verdict := s.Verdict(now); verdict.Sick {
+	if verdict := s.Verdict(now); verdict.Unhealthy {
 		x.Cause = verdict.Cause
 	}
 	x.Observed = s.observed
@@ -50,15 +50,15 @@
 // evidenceNow returns the rates, times and sums as they stand.
 func (s *Subject) evidenceNow() Explanation {
 	return Explanation{
-		FailureRate:   s.failure.rate,
-		OthersFailure: s.baseline.failure(),
-		SlowRate:      s.slow.rate,
-		OthersSlow:    s.baseline.slow(),
-		Typical:       s.latency.typical(),
-		OthersTypical: s.baseline.Typical,
-		FailureSum:    s.failure.total(s.rules),
-		SlowSum:       s.slow.total(s.rules),
-		Threshold:     s.rules.Threshold,
+		FailureRate:          s.failure.rate,
+		OthersFailure:        s.baseline.failure(),
+		SlowRate:             s.slow.rate,
+		OthersSlow:           s.baseline.slow(),
+		TypicalLatency:       s.latency.typical(),
+		OthersTypicalLatency: s.baseline.TypicalLatency,
+		FailureSum:           s.failure.total(s.rules),
+		SlowSum:              s.slow.total(s.rules),
+		Threshold:            s.rules.Threshold,
 	}
 }
 
--- a/internal/detect/outcome.go
+++ b/internal/detect/outcome.go
@@ -2,9 +2,9 @@
 
 import "net/http"
 
-// FromAnswer returns what an answer's head says of the backend server. It says
+// OutcomeFromResponse returns what an answer's head says of the backend server. It says
 // false if it says nothing: a 503 with Retry-After sheds load.
-func FromAnswer(response *http.Response) (Outcome, bool) {
+func OutcomeFromResponse(response *http.Response) (Outcome, bool) {
 	switch response.StatusCode {
 	case http.StatusInternalServerError, http.StatusBadGateway, http.StatusGatewayTimeout:
 		return Error, true
--- a/internal/detect/told_test.go
+++ b/internal/detect/told_test.go
@@ -11,7 +11,7 @@
 // against each, since the observer has seen too little of them itself.
 func TestToldFailuresCompleteABaseline(t *testing.T) {
 	shared := map[string]float64{"a": 0.9, "b": 0.3, "c": 0.25, "d": 0.2, "e": 0}
-	known := detect.Baseline{Failure: 0.01, Typical: time.Second}
+	known := detect.Baseline{Failure: 0.01, TypicalLatency: time.Second}
 	tests := []struct {
 		name string
 		told map[string]float64
@@ -25,7 +25,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			got := detect.NewTold(test.told).Complete("a", test.own)
+			got := detect.NewReportedFailureRates(test.told).Complete("a", test.own)
 			if got != test.want {
 				t.Fatalf("got %+v, want %+v", got, test.want)
 			}
--- a/internal/failures/failures.go
+++ b/internal/failures/failures.go
@@ -22,32 +22,32 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// Target is what a failure says of the state of the backend server that was asked.
-type Target string
+// TargetState is what a failure says of the state of the backend server that was asked.
+type TargetState string
 
 // The states of a backend server after a failure.
 const (
 	// Unchanged: the failure says nothing of it, or only what it shows as evidence.
-	Unchanged Target = ""
+	Unchanged TargetState = ""
 	// NoSlot: it has no free slot now, and was asked not to keep the request waiting.
-	NoSlot Target = "no-slot"
+	NoSlot TargetState = "no-slot"
 	// QueueFull: it has neither a slot nor a place in its queue from which the request would
 	// come to run in time.
-	QueueFull Target = "queue-full"
+	QueueFull TargetState = "queue-full"
 	// Suspected: others are to be asked first for a moment.
-	Suspected Target = "suspected"
+	Suspected TargetState = "suspected"
 	// Hanging: it seems to hang, and was asked to refuse then.
-	Hanging Target = "hanging"
-	// NoRetries: the services that it calls have no room for the calls of a retry.
-	NoRetries Target = "no-retries"
-	// NoWork: it takes no requests now, or none of this daemon.
-	NoWork Target = "no-work"
+	Hanging TargetState = "hanging"
+	// NoRetryBudget: the services that it calls have no room for the calls of a retry.
+	NoRetryBudget TargetState = "no-retries"
+	// NotAccepting: it takes no requests now, or none of this daemon.
+	NotAccepting TargetState = "no-work"
 	// HostUnreachable: no connection to its host could be made.
-	HostUnreachable Target = "host-unreachable"
-	// HostSilent: its host did not answer when it was asked for a reservation.
-	HostSilent Target = "host-silent"
+	HostUnreachable TargetState = "host-unreachable"
+	// HostUnresponsive: its host did not answer when it was asked for a reservation.
+	HostUnresponsive TargetState = "host-silent"
 	// Unreachable: its own daemon could not connect to it.
-	Unreachable Target = "unreachable"
+	Unreachable TargetState = "unreachable"
 )
 
 // Meaning is what a failure means.
@@ -58,27 +58,27 @@
 	// It is so for each code that does not promise that the request was not run.
 	Reached bool
 	// Target is what the failure says of the backend server.
-	Target Target
+	Target TargetState
 	// Evidence is what it shows of the backend server's health; empty if it shows nothing, as a
 	// full queue or a caller that went away.
 	Evidence detect.Outcome
-	// ComeBack: callers read the code's status as a promise that the request was not run, and
+	// NeedsRetryAfter: callers read the code's status as a promise that the request was not run, and
 	// it may be of use to send it again later; so the answer says when.
-	ComeBack bool
+	NeedsRetryAfter bool
 }
 
-// Of returns what a failure of that code means.
-func Of(code result.Code) Meaning { return table[code.Number] }
+// Classify returns what a failure of that code means.
+func Classify(code result.Code) Meaning { return table[code.Number] }
 
 // Evidence returns what a failure of that code shows of the backend server's health, and
 // false if it shows nothing.
 func Evidence(code result.Code) (detect.Outcome, bool) {
-	outcome := Of(code).Evidence
+	outcome := Classify(code).Evidence
 	return outcome, outcome != ""
 }
 
 // TakesNoWork reports whether the backend server refused since it gets no work now.
-func (m Meaning) TakesNoWork() bool { return m.Target == NoWork || m.Target == Suspected }
+func (m Meaning) TakesNoWork() bool { return m.Target == NotAccepting || m.Target == Suspected }
 
 // PassedOver reports whether the refusal only sends the request to the next backend server:
 // nothing ran, and it says nothing of the path. Such refusals are counted on the request's next
@@ -86,9 +86,9 @@
 // was three quarters of the log.
 func (m Meaning) PassedOver() bool {
 	switch m.Target {
-	case NoSlot, QueueFull, Suspected, Hanging, NoRetries:
+	case NoSlot, QueueFull, Suspected, Hanging, NoRetryBudget:
 		return true
-	case Unchanged, NoWork, HostUnreachable, HostSilent, Unreachable:
+	case Unchanged, NotAccepting, HostUnreachable, HostUnresponsive, Unreachable:
 	}
 	return false
 }
--- a/internal/failures/failures_test.go
+++ b/internal/failures/failures_test.go
@@ -24,13 +24,13 @@
 // TestRowsSayWhatTheirCodesSay holds the table to what the codes themselves promise.
 func TestRowsSayWhatTheirCodesSay(t *testing.T) {
 	for _, code := range result.All() {
-		meaning := Of(code)
+		meaning := Classify(code)
 		if code.Ran == result.RanUnknown && !meaning.Reached {
 			t.Errorf("%s may have run, and is said to have reached no backend server", code.Name)
 		}
 		refusal := code.Status == http.StatusServiceUnavailable || code.Status == http.StatusTooManyRequests
-		if refusal != meaning.ComeBack && code.Number != result.Quarantined.Number {
-			t.Errorf("%s has status %d, come back: %t", code.Name, code.Status, meaning.ComeBack)
+		if refusal != meaning.NeedsRetryAfter && code.Number != result.Quarantined.Number {
+			t.Errorf("%s has status %d, come back: %t", code.Name, code.Status, meaning.NeedsRetryAfter)
 		}
 		if meaning.PassedOver() && (meaning.Reached || meaning.Evidence != "") {
 			t.Errorf("%s is passed over without a log line, and is more than a refusal", code.Name)
@@ -97,7 +97,7 @@
 
 // meaningOf returns what the code means, in words.
 func meaningOf(code result.Code) string {
-	meaning := Of(code)
+	meaning := Classify(code)
 	var words []string
 	add := func(is bool, word string) {
 		if is {
@@ -108,8 +108,8 @@
 	add(meaning.Target == QueueFull, "full")
 	add(meaning.Reached, "reached")
 	add(meaning.TakesNoWork(), "no-work")
-	add(meaning.Target == HostUnreachable || meaning.Target == HostSilent, "path")
-	add(meaning.ComeBack, "refusal")
+	add(meaning.Target == HostUnreachable || meaning.Target == HostUnresponsive, "path")
+	add(meaning.NeedsRetryAfter, "refusal")
 	add(meaning.PassedOver(), "passed-over")
 	outcome, seen := Evidence(code)
 	add(seen, "evidence:"+string(outcome))
--- a/internal/failures/table.go
+++ b/internal/failures/table.go
@@ -20,59 +20,59 @@
 	result.KeyUnknown.Number:       {},
 
 	// The request is refused on its own account or its customer's, whichever backend server is asked.
-	result.CustomerShare.Number:     {Final: true, ComeBack: true},
-	result.PlaceLost.Number:         {Final: true, ComeBack: true},
-	result.CustomerLimit.Number:     {ComeBack: true},
+	result.CustomerShare.Number:     {Final: true, NeedsRetryAfter: true},
+	result.PlaceLost.Number:         {Final: true, NeedsRetryAfter: true},
+	result.CustomerLimit.Number:     {NeedsRetryAfter: true},
 	result.Quarantined.Number:       {Final: true}, // it would be refused again
 	result.DeadlineBeforeRun.Number: {Final: true},
 	result.CancelledBefore.Number:   {Final: true},
 
 	// The daemon that was asked cannot serve it.
-	result.NotReady.Number: {ComeBack: true},
-	result.NoneAble.Number: {ComeBack: true},
+	result.NotReady.Number: {NeedsRetryAfter: true},
+	result.NoneAble.Number: {NeedsRetryAfter: true},
 
 	// The backend server takes no work.
-	result.Stopping.Number:      {Target: NoWork, ComeBack: true},
-	result.Draining.Number:      {Target: NoWork, ComeBack: true},
-	result.Ejected.Number:       {Target: NoWork, ComeBack: true},
-	result.UnknownServer.Number: {Target: NoWork, ComeBack: true},
+	result.Stopping.Number:      {Target: NotAccepting, NeedsRetryAfter: true},
+	result.Draining.Number:      {Target: NotAccepting, NeedsRetryAfter: true},
+	result.Ejected.Number:       {Target: NotAccepting, NeedsRetryAfter: true},
+	result.UnknownServer.Number: {Target: NotAccepting, NeedsRetryAfter: true},
 
 	// It does not take this request now.
-	result.Busy.Number:         {Target: NoSlot, ComeBack: true},
-	result.QueueFull.Number:    {Target: QueueFull, ComeBack: true},
-	result.QueueTooSlow.Number: {Target: QueueFull, ComeBack: true},
-	result.Suspected.Number:    {Target: Suspected, ComeBack: true},
-	result.Unproven.Number:     {Target: Hanging, ComeBack: true},
-	result.RetryLimit.Number:   {Target: NoRetries, ComeBack: true},
+	result.Busy.Number:         {Target: NoSlot, NeedsRetryAfter: true},
+	result.QueueFull.Number:    {Target: QueueFull, NeedsRetryAfter: true},
+	result.QueueTooSlow.Number: {Target: QueueFull, NeedsRetryAfter: true},
+	result.Suspected.Number:    {Target: Suspected, NeedsRetryAfter: true},
+	result.Unproven.Number:     {Target: Hanging, NeedsRetryAfter: true},
+	result.RetryLimit.Number:   {Target: NoRetryBudget, NeedsRetryAfter: true},
 
 	// The request did not come to run there.
-	result.ReservationExpired.Number: {ComeBack: true},
-	result.MovedOn.Number:            {ComeBack: true},
+	result.ReservationExpired.Number: {NeedsRetryAfter: true},
+	result.MovedOn.Number:            {NeedsRetryAfter: true},
 	result.ConnectionUnused.Number:   {},
-	result.NotTaken.Number:           {Reached: true, ComeBack: true},
-	result.Misdirected.Number:        {Reached: true, ComeBack: true},
+	result.NotTaken.Number:           {Reached: true, NeedsRetryAfter: true},
+	result.Misdirected.Number:        {Reached: true, NeedsRetryAfter: true},
 
 	// The backend server or its daemon cannot be reached.
-	result.PeerUnreachable.Number:       {Target: HostUnreachable, Evidence: detect.Refused, ComeBack: true},
-	result.ReservationUnanswered.Number: {Target: HostSilent, Evidence: detect.TimedOut, ComeBack: true},
-	result.ServerUnreachable.Number:     {Target: Unreachable, Evidence: detect.Refused, ComeBack: true},
+	result.PeerUnreachable.Number:       {Target: HostUnreachable, Evidence: detect.ConnectionRefused, NeedsRetryAfter: true},
+	result.ReservationUnanswered.Number: {Target: HostUnresponsive, Evidence: detect.TimedOut, NeedsRetryAfter: true},
+	result.ServerUnreachable.Number:     {Target: Unreachable, Evidence: detect.ConnectionRefused, NeedsRetryAfter: true},
 
 	// The request may have run.
 	result.DeadlineWhileRunning.Number: {Final: true, Reached: true, Evidence: detect.TimedOut},
 	result.CallerGone.Number:           {Final: true, Reached: true},
 	result.StoppedWhileRunning.Number:  {Reached: true},
 	result.AttemptOverdue.Number:       {Reached: true, Evidence: detect.TimedOut},
-	result.ConnectionLost.Number:       {Reached: true, Evidence: detect.Lost},
-	result.UnframedAnswer.Number:       {Reached: true, Evidence: detect.Lost},
-	result.AnswerCut.Number:            {Reached: true, Evidence: detect.Lost},
-	result.SpoiltAnswer.Number:         {Reached: true, Evidence: detect.Lost},
+	result.ConnectionLost.Number:       {Reached: true, Evidence: detect.ConnectionLost},
+	result.UnframedAnswer.Number:       {Reached: true, Evidence: detect.ConnectionLost},
+	result.AnswerCut.Number:            {Reached: true, Evidence: detect.ConnectionLost},
+	result.SpoiltAnswer.Number:         {Reached: true, Evidence: detect.ConnectionLost},
 	result.ServerFailed.Number:         {Reached: true, Evidence: detect.Error},
 	result.ServerError.Number:          {Reached: true}, // the answer that it stands for was evidence already
 
 	// Operators' calls, with which no sidecar answers a request.
 	result.BadDeclaration.Number:  {},
 	result.RevisionChanged.Number: {},
-	result.PlatformDown.Number:    {ComeBack: true},
+	result.PlatformDown.Number:    {NeedsRetryAfter: true},
 	result.NotDeclared.Number:     {},
 	result.ChangeUnknown.Number:   {Reached: true},
 	result.ValueTooLarge.Number:   {},
@@ -80,5 +80,5 @@
 	result.ChangeIDReused.Number:  {},
 	result.TokenRefused.Number:    {},
 	result.RoleRefused.Number:     {},
-	result.PeerSilent.Number:      {Reached: true, ComeBack: true},
+	result.PeerSilent.Number:      {Reached: true, NeedsRetryAfter: true},
 }
--- a/internal/fingerprint/fingerprint.go
+++ b/internal/fingerprint/fingerprint.go
@@ -48,8 +48,8 @@
 	Body func(limit int) ([]byte, error)
 }
 
-// Head returns a hash of all but the body.
-func (r Request) Head() uint64 {
+// HeadHash returns a hash of all but the body.
+func (r Request) HeadHash() uint64 {
 	var h xxhash.Digest
 	h.Reset()
 	for _, part := range r.parts() {
--- a/internal/fingerprint/fingerprint_test.go
+++ b/internal/fingerprint/fingerprint_test.go
@@ -49,7 +49,7 @@
 			before := request(long)
 			after := before
 			test.change(&after)
-			if got := before.Head() == after.Head(); got != test.sameHead {
+			if got := before.HeadHash() == after.HeadHash(); got != test.sameHead {
 				t.Errorf("same head: %v, want %v", got, test.sameHead)
 			}
 			if got := digest(t, before) == digest(t, after); got != test.same {
@@ -76,7 +76,7 @@
 func BenchmarkHead(b *testing.B) {
 	r := request(nil)
 	for b.Loop() {
-		r.Head()
+		r.HeadHash()
 	}
 }
 
--- a/internal/floor/floor.go
+++ b/internal/floor/floor.go
@@ -43,9 +43,9 @@
 	// is lost counts towards the floor for as long, and a sidecar that has just started is not
 	// ejected for as long.
 	Lease = 2 * time.Second
-	// RenewEvery is how often a holder asks again. Not measured: two renewals may be lost
+	// RenewInterval is how often a holder asks again. Not measured: two renewals may be lost
 	// before a lease runs out; each costs as many calls as the floor.
-	RenewEvery = 500 * time.Millisecond
+	RenewInterval = 500 * time.Millisecond
 	// DriftPart is the part of a lease that a holder leaves unused, as one part in so many: 100 ms,
 	// 5%. Not measured: clocks differ by far less over two seconds.
 	DriftPart = 20
@@ -160,9 +160,9 @@
 	}
 }
 
-// BeginAsking records that the backend server wants to be ejected and reports whether it may
+// BeginRequesting records that the backend server wants to be ejected and reports whether it may
 // ask for leases now.
-func (l *Ledger) BeginAsking(now time.Time, severity float64) bool {
+func (l *Ledger) BeginRequesting(now time.Time, severity float64) bool {
 	l.asking = now.Sub(l.config.Start) >= Lease && !l.bound(now)
 	l.severity = severity
 	return l.asking
@@ -245,10 +245,10 @@
 	}
 }
 
-// Trim keeps as many leases as the floor needs, the preferred first, and returns the others to give
+// ReleaseSurplus keeps as many leases as the floor needs, the preferred first, and returns the others to give
 // back by the name of the backend server that granted each.
-func (l *Ledger) Trim(now time.Time, floor int, preferred func(name string) bool) map[string]Release {
-	names := l.Holding(now)
+func (l *Ledger) ReleaseSurplus(now time.Time, floor int, preferred func(name string) bool) map[string]Release {
+	names := l.Grantors(now)
 	if len(names) <= floor {
 		return nil
 	}
@@ -283,8 +283,8 @@
 	return 1
 }
 
-// Holding returns who gave the leases that count now, sorted.
-func (l *Ledger) Holding(now time.Time) []string {
+// Grantors returns who gave the leases that count now, sorted.
+func (l *Ledger) Grantors(now time.Time) []string {
 	names := make([]string, 0, len(l.held))
 	for name, until := range l.held {
 		if now.Before(until) {
--- a/internal/floor/floor_test.go
+++ b/internal/floor/floor_test.go
@@ -72,7 +72,7 @@
 
 func (m *model) wantEjected(t *rapid.T) {
 	name, l, ok := m.awake(t)
-	if !ok || !l.BeginAsking(m.now, float64(rapid.IntRange(0, 2).Draw(t, "severity"))) {
+	if !ok || !l.BeginRequesting(m.now, float64(rapid.IntRange(0, 2).Draw(t, "severity"))) {
 		return
 	}
 	m.askAll(name, l)
@@ -103,7 +103,7 @@
 
 func (m *model) trim(t *rapid.T) {
 	if name, l, ok := m.awake(t); ok {
-		m.send(name, l.Trim(m.now, m.floorSize, func(other string) bool { return other > "s1" }))
+		m.send(name, l.ReleaseSurplus(m.now, m.floorSize, func(other string) bool { return other > "s1" }))
 	}
 }
 
@@ -262,11 +262,11 @@
 	ejected := 0
 	for _, name := range []string{"s0", "s1", "s2"} {
 		l := ledgers[name]
-		if !l.BeginAsking(now, 1) {
+		if !l.BeginRequesting(now, 1) {
 			continue
 		}
 		settle(now, name, ledgers)
-		for to, r := range l.Trim(now, floorSize, func(other string) bool { return other > "s2" }) {
+		for to, r := range l.ReleaseSurplus(now, floorSize, func(other string) bool { return other > "s2" }) {
 			ledgers[to].RecordRelease(r)
 		}
 		if l.Eject(now, floorSize) {
@@ -289,7 +289,7 @@
 	}
 	now := epoch.Add(floor.Lease)
 	a := ledgers["a"]
-	a.BeginAsking(now, 1)
+	a.BeginRequesting(now, 1)
 	settle(now, "a", ledgers)
 	if !a.Eject(now, 2) {
 		t.Fatal("a is not ejected")
@@ -308,19 +308,19 @@
 	}
 	now := epoch.Add(floor.Lease)
 	a := ledgers["a"]
-	a.BeginAsking(now, 1)
+	a.BeginRequesting(now, 1)
 	settle(now, "a", ledgers)
 	if !a.Eject(now, 1) || !a.MayStayEjected(now, 1) {
 		t.Fatal("a is not ejected")
 	}
-	if ledgers["b"].BeginAsking(now, 2) {
+	if ledgers["b"].BeginRequesting(now, 2) {
 		t.Fatal("b may ask although it granted a lease")
 	}
 	later := now.Add(floor.Lease)
 	if a.MayStayEjected(later, 1) {
 		t.Fatal("a is ejected with a lease that ran out")
 	}
-	if !ledgers["b"].BeginAsking(later, 2) {
+	if !ledgers["b"].BeginRequesting(later, 2) {
 		t.Fatal("b is bound by a lease that ran out")
 	}
 }
--- a/internal/ingress/admit.go
+++ b/internal/ingress/admit.go
@@ -26,7 +26,7 @@
 	deadline        time.Time
 	customer        string
 	queueCustomer   string // under which it is queued
-	terms           attempts.Terms
+	terms           attempts.Request
 	priority        int
 	body            *body.Body
 	route           route.Name
@@ -46,7 +46,7 @@
 
 // usual returns the usual latency of the request's route; zero if unknown.
 func (r *request) usual() time.Duration {
-	usual, _ := r.latency.Usual()
+	usual, _ := r.latency.Median()
 	return usual
 }
 
@@ -115,11 +115,11 @@
 		deadline:      now.Add(a.timeLeft),
 		customer:      a.caller.name,
 		queueCustomer: in.queueCustomer(a.state, a.caller),
-		terms: attempts.Terms{
+		terms: attempts.Request{
 			Service:       &service.attempts,
 			NonIdempotent: !a.match.Idempotent(r.Method),
 			MaxSent:       a.match.Attempts,
-			Began:         now,
+			StartedAt:     now,
 			TargetAt:      now.Add(target),
 		},
 		priority: a.caller.priority,
--- a/internal/ingress/attempt.go
+++ b/internal/ingress/attempt.go
@@ -34,7 +34,7 @@
 // finish runs the attempt and ends its retry, if it is one.
 func (a *attempt) finish(ctx context.Context) outcome {
 	o := a.runReserved(ctx)
-	reached := o.err == nil || failures.Of(result.From(o.err).Code).Reached
+	reached := o.err == nil || failures.Classify(result.From(o.err).Code).Reached
 	if reached {
 		a.request.reached.Store(true)
 	}
@@ -63,7 +63,7 @@
 	a.reservation = reservation
 	event.Log(a.in.config.Logger, event.RequestHedged,
 		"request", a.in.requestID(a.request.Request), "service", a.request.serviceName, "backend_server", a.Target.Name,
-		"after_ms", time.Since(a.request.terms.Began).Milliseconds())
+		"after_ms", time.Since(a.request.terms.StartedAt).Milliseconds())
 	return nil
 }
 
--- a/internal/ingress/attempts.go
+++ b/internal/ingress/attempts.go
@@ -20,7 +20,7 @@
 		choice := in.choose(ctx, r, p)
 		if choice.Target == nil {
 			r.service.limit.giveBack(p.grant)
-			return p.end(p.NoneLeft(len(r.service.pool.Targets()), p.passedOver.String()))
+			return p.end(p.NoTargetFailure(len(r.service.pool.Targets()), p.passedOver.String()))
 		}
 		o := in.runRace(ctx, &attempt{in: in, request: r, Choice: choice, grant: p.grant}, p)
 		if o.isAnswer() {
@@ -41,7 +41,7 @@
 // available.
 func (in *Ingress) choose(ctx context.Context, r *request, p *progress) attempts.Choice {
 	choice := attempts.Choose(time.Now(), r.terms, &p.History)
-	for choice.LookAgain && wait.For(ctx, attempts.LookAgainAfter) {
+	for choice.RetrySelection && wait.For(ctx, attempts.SelectionRetryDelay) {
 		choice = attempts.Choose(time.Now(), r.terms, &p.History)
 	}
 	return choice
@@ -65,7 +65,7 @@
 // logAttempt logs a failed attempt. Refusals that only pass the request on to the next backend
 // server are counted instead, and logged with the next failure.
 func (in *Ingress) logAttempt(r *request, a *attempt, p *progress, failure *result.Error, retried bool) {
-	if retried && failures.Of(failure.Code).PassedOver() {
+	if retried && failures.Classify(failure.Code).PassedOver() {
 		p.passedOver.add(failure.Code)
 		return
 	}
--- a/internal/ingress/avoid.go
+++ b/internal/ingress/avoid.go
@@ -18,11 +18,11 @@
 // decide evaluates every target and sets its share.
 func (j *judge) decide(now time.Time) {
 	targets := j.pool.Targets()
-	j.group.Compare()
+	j.group.UpdateBaselines()
 	if j.declared.AdoptionIn(j.config.DataCentre) == fleet.AdoptionSteer {
 		j.avoidSick(now, targets)
 	}
-	told := detect.NewTold(j.pool.Failing(now))
+	told := detect.NewReportedFailureRates(j.pool.FailureShares(now))
 	for _, target := range targets {
 		j.publish(now, target, told)
 	}
@@ -36,7 +36,7 @@
 		if !ok || subject.State(now) != detect.Serving {
 			continue
 		}
-		if verdict := subject.Verdict(now); verdict.Sick && j.group.IsOutlier(target.Name) {
+		if verdict := subject.Verdict(now); verdict.Unhealthy && j.group.IsOutlier(target.Name) {
 			sick = append(sick, sickTarget{target, subject, verdict})
 		}
 	}
@@ -58,13 +58,13 @@
 
 // publish sets the target's share of the requests and the baseline that requests to its sidecar
 // carry.
-func (j *judge) publish(now time.Time, target *balance.Target, told detect.Told) {
+func (j *judge) publish(now time.Time, target *balance.Target, told detect.ReportedFailureRates) {
 	subject, ok := j.group.Subject(target.Name)
 	if !ok {
 		return
 	}
 	others := told.Complete(target.Name, j.group.Baseline(target.Name))
-	target.SetBaseline(others.Encode(), others.Typical)
+	target.SetBaseline(others.Encode(), others.TypicalLatency)
 	if j.declared.AdoptionIn(j.config.DataCentre) != fleet.AdoptionSteer {
 		target.SetShare(balance.FullShare)
 		return
@@ -120,11 +120,11 @@
 }
 
 func (j *judge) servingShare(now time.Time, target *balance.Target, subject *detect.Subject) uint32 {
-	share := uint32(subject.Share(now) * balance.FullShare)
+	share := uint32(subject.TrafficShare(now) * balance.FullShare)
 	if !j.keptByFloor[target.Name] {
 		return share
 	}
-	if !subject.Verdict(now).Sick {
+	if !subject.Verdict(now).Unhealthy {
 		delete(j.keptByFloor, target.Name)
 		return share
 	}
--- a/internal/ingress/customer.go
+++ b/internal/ingress/customer.go
@@ -99,7 +99,7 @@
 
 // giveBack refunds the customer's limit for a request that reached no backend server.
 func (in *Ingress) giveBack(r *request) {
-	if in.config.GiveBack != nil && r.customer != "" {
-		in.config.GiveBack(r.customer)
+	if in.config.RefundCustomer != nil && r.customer != "" {
+		in.config.RefundCustomer(r.customer)
 	}
 }
--- a/internal/ingress/customer_test.go
+++ b/internal/ingress/customer_test.go
@@ -128,7 +128,7 @@
 		AdmitCustomer: func(string) quota.Decision {
 			return quota.Decision{Admitted: within, RetryAfter: 1700 * time.Millisecond}
 		},
-		GiveBack: func(string) { givenBack++ },
+		RefundCustomer: func(string) { givenBack++ },
 	})
 	w := httptest.NewRecorder()
 	in.ServeHTTP(w, ask("/closed/x", "school-key")) // the service has no backend servers
--- a/internal/ingress/disabled_test.go
+++ b/internal/ingress/disabled_test.go
@@ -35,7 +35,7 @@
 		if waitsForDeadline := first.terms.TargetAt.Equal(first.deadline); waitsForDeadline != (mechanism == experiment.Aims) {
 			t.Errorf("%q disabled: a request waits until its deadline: %t", mechanism, waitsForDeadline)
 		}
-		in.LearnSubrequest([]route.Name{first.route})
+		in.MarkSubrequestRoutes([]route.Name{first.route})
 		if got := admitted(t, in).terms.Subrequest; got != (mechanism != experiment.Subrequests) {
 			t.Errorf("%q disabled: a subrequest is classified as one: %t", mechanism, got)
 		}
--- a/internal/ingress/failures_test.go
+++ b/internal/ingress/failures_test.go
@@ -84,7 +84,7 @@
 	add(len(history.Busy) > 0, "busy")
 	add(len(history.Hanging) > 0, "hanging")
 	add(history.FullQueues > 0, "full")
-	add(history.NoRetries > 0, "limited")
+	add(history.RetryRefusals > 0, "limited")
 	add(history.Sent > 0, "sent")
 	add(history.MayHaveRun != nil, "may-have-run")
 	add(pool.Paused(a.Target, time.Now()), "paused")
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -100,22 +100,22 @@
 	Logger *slog.Logger
 	// Scope receives the metrics.
 	Scope tally.Scope
-	// Far reports whether traffic to another daemon's address is compressed because bandwidth to it
+	// ShouldCompress reports whether traffic to another daemon's address is compressed because bandwidth to it
 	// is expensive; nil if none is. It is ignored with TLS.
-	Far func(address string) bool
+	ShouldCompress func(address string) bool
 	// Ping sends a request to another host's daemon and returns nil on any answer; nil disables
 	// pings.
 	Ping func(context.Context, fleet.Host) error
-	// Silent is called for a host that has not answered any ping within the ping period. It is
+	// OnHostUnresponsive is called for a host that has not answered any ping within the ping period. It is
 	// required if Ping is set.
-	Silent func(fleet.Host)
-	// Subrequest receives evidence on routes that the backend servers of this host may call; nil
+	OnHostUnresponsive func(fleet.Host)
+	// OnSubrequestEvidence receives evidence on routes that the backend servers of this host may call; nil
 	// discards it.
-	Subrequest func([]subrequest.Evidence)
+	OnSubrequestEvidence func([]subrequest.Evidence)
 	// AdmitCustomer decides whether a request is within the customer's limit, and GiveBack reverts
 	// that for a request that reached no backend server; both are nil if there are no limits.
-	AdmitCustomer func(customer string) quota.Decision
-	GiveBack      func(customer string)
+	AdmitCustomer  func(customer string) quota.Decision
+	RefundCustomer func(customer string)
 	// Runs tracks the requests that the backend servers of this host are running; nil uses an empty
 	// table.
 	Runs *runs.Table
@@ -170,7 +170,7 @@
 		config.Runs = runs.New()
 	}
 	if config.Retries == nil {
-		config.Retries = retry.NewBudgets(retry.Config{Began: time.Now()})
+		config.Retries = retry.NewBudgets(retry.Config{StartedAt: time.Now()})
 	}
 	in := &Ingress{
 		config:   config,
@@ -205,7 +205,7 @@
 
 // dialTo returns the dial function for connections to other daemons.
 func dialTo(config Config) dial.Func {
-	far := config.Far
+	far := config.ShouldCompress
 	if config.TLS != nil {
 		far = nil // compressed lengths leak information about encrypted content
 	}
--- a/internal/ingress/learn.go
+++ b/internal/ingress/learn.go
@@ -25,50 +25,50 @@
 
 // learnFromAnswer records what the header of an answer shows about the target.
 func (a *attempt) learnFromAnswer(answer sidecar.Answer, took time.Duration) {
-	a.request.service.pool.Report(a.Target, answer.Load, time.Now())
-	a.request.service.pool.ReportFailing(a.Target, answer.Failing, time.Now())
+	a.request.service.pool.RecordLoad(a.Target, answer.Load, time.Now())
+	a.request.service.pool.RecordFailureShare(a.Target, answer.Failing, time.Now())
 	if a.RefuseIfBusy {
-		a.request.service.pool.Looked(true)
+		a.request.service.pool.RecordSlotCheck(true)
 	}
-	outcome, isEvidence := detect.FromAnswer(answer.Response)
+	outcome, isEvidence := detect.OutcomeFromResponse(answer.Response)
 	switch {
 	case isEvidence && outcome != detect.OK:
-		a.Target.Fail()
+		a.Target.RecordFailure()
 	case isEvidence:
-		a.request.latency.Good(took)
+		a.request.latency.Observe(took)
 	}
-	a.report(detect.Observation{Outcome: outcome, Took: took, WasOverdue: a.overdue.Load()}, isEvidence)
+	a.report(detect.Observation{Outcome: outcome, Latency: took, WasOverdue: a.overdue.Load()}, isEvidence)
 }
 
 // learnFromFailure records what a failure shows about the target, and skips a target that refuses
 // requests for a while.
 func (a *attempt) learnFromFailure(failure *result.Error, took time.Duration) {
-	meaning := failures.Of(failure.Code)
+	meaning := failures.Classify(failure.Code)
 	if meaning.Reached {
-		a.Target.Fail()
+		a.Target.RecordFailure()
 	}
-	a.report(detect.Observation{Outcome: meaning.Evidence, Took: took, WasOverdue: a.overdue.Load()}, meaning.Evidence != "")
+	a.report(detect.Observation{Outcome: meaning.Evidence, Latency: took, WasOverdue: a.overdue.Load()}, meaning.Evidence != "")
 	pool := a.request.service.pool
 	switch meaning.Target {
 	case failures.NoSlot:
-		pool.Report(a.Target, 1, time.Now())
-		pool.Looked(false)
+		pool.RecordLoad(a.Target, 1, time.Now())
+		pool.RecordSlotCheck(false)
 	case failures.Suspected:
 		pool.Suspect(a.Target, time.Now().Add(a.stayAway(failure)))
-	case failures.NoWork:
+	case failures.NotAccepting:
 		pool.Pause(a.Target, time.Now().Add(pauseFor(failure)))
-	case failures.HostUnreachable, failures.HostSilent:
+	case failures.HostUnreachable, failures.HostUnresponsive:
 		a.passOverHost(meaning.Target)
 	case failures.Unreachable:
 		pool.Pause(a.Target, time.Now().Add(unreachablePause))
-	case failures.Unchanged, failures.QueueFull, failures.Hanging, failures.NoRetries: // nothing to remember beyond the request
+	case failures.Unchanged, failures.QueueFull, failures.Hanging, failures.NoRetryBudget: // nothing to remember beyond the request
 	}
 }
 
 // passOverHost skips the backend servers of the target's unreachable host until the host answers a
 // ping. If pings are disabled, it skips only this target, for a short time, and only if no
 // connection could be made.
-func (a *attempt) passOverHost(state failures.Target) {
+func (a *attempt) passOverHost(state failures.TargetState) {
 	if a.in.config.Ping != nil {
 		a.in.reach.recordLost(a.Target.Placement().Host)
 		return
--- a/internal/ingress/limit.go
+++ b/internal/ingress/limit.go
@@ -29,7 +29,7 @@
 // likelyLeft reports whether a retry is likely to be available. It is called for every request, so
 // the far cheaper check of borrowing comes first.
 func (l *retryLimit) likelyLeft(now time.Time) bool {
-	return l.budgets.MayBorrow(now, l.service) || l.budgets.Left(now, l.service)
+	return l.budgets.MayBorrow(now, l.service) || l.budgets.Available(now, l.service)
 }
 
 // takeOwn takes a retry from this host's budget, and reports whether one was left.
--- a/internal/ingress/limit_test.go
+++ b/internal/ingress/limit_test.go
@@ -57,7 +57,7 @@
 
 func newLimited(t *testing.T, reject *result.Code) *limited {
 	t.Helper()
-	l := &limited{runs: runs.New(), budgets: retry.NewBudgets(retry.Config{Began: time.Now()}), reject: reject}
+	l := &limited{runs: runs.New(), budgets: retry.NewBudgets(retry.Config{StartedAt: time.Now()}), reject: reject}
 	in, cleanUp := New(Config{
 		Host: "h1", DataCentre: "dc", Logger: slog.New(slog.DiscardHandler), Scope: tally.NoopScope, HeaderBytes: 1 << 16,
 		Local: l.do, Runs: l.runs, Retries: l.budgets,
@@ -89,7 +89,7 @@
 	if sent, retries := l.sent.Load(), l.retries.Load(); sent != 105 || retries != 5 {
 		t.Fatalf("100 requests were sent %d times, %d of them as retries", sent, retries)
 	}
-	if l.budgets.Left(time.Now(), "names") {
+	if l.budgets.Available(time.Now(), "names") {
 		t.Fatal("retries are left")
 	}
 }
@@ -101,7 +101,7 @@
 		t.Run(code.Name, func(t *testing.T) {
 			l := newLimited(t, &code)
 			for range 39 {
-				l.budgets.Request(time.Now(), "names")
+				l.budgets.RecordRequest(time.Now(), "names")
 			}
 			l.ask(1, "a")
 			if l.sent.Load() != 1 {
--- a/internal/ingress/race.go
+++ b/internal/ingress/race.go
@@ -59,14 +59,14 @@
 			}
 		case <-look.C:
 			r.tryHedge(ctx)
-			look.Reset(r.hedging.NextLook())
+			look.Reset(r.hedging.CheckInterval())
 		}
 	}
 }
 
 // firstLook returns the timer for the next hedge. It never fires if the request may not be hedged.
 func (r *race) firstLook() *time.Timer {
-	after, ok := r.hedging.FirstLook()
+	after, ok := r.hedging.FirstCheck()
 	look := time.NewTimer(after)
 	if !ok {
 		look.Stop()
@@ -79,7 +79,7 @@
 func (r *race) handle(o outcome) *outcome {
 	r.running = slices.DeleteFunc(r.running, func(a *attempt) bool { return a == o.attempt })
 	if o.hedgeRefused {
-		r.hedging.Refused(o.attempt.Target)
+		r.hedging.RecordRefused(o.attempt.Target)
 		if len(r.running) == 0 {
 			return r.failed // the attempt that the hedge was for
 		}
@@ -114,7 +114,7 @@
 	ctx, a.cancel = context.WithCancelCause(ctx)
 	a.startedAt = time.Now()
 	r.running = append(r.running, a)
-	r.hedging.Sent(a.Target)
+	r.hedging.RecordSent(a.Target)
 	go func() { r.done <- a.finish(ctx) }()
 }
 
@@ -128,10 +128,10 @@
 }
 
 // runs returns the state of the request's running attempts.
-func (r *race) runs() attempts.Running {
-	running := attempts.Running{
-		Count: len(r.running), NewestBegan: r.running[len(r.running)-1].startedAt,
-		BodySpent: r.request.body.Spent(), Stopping: r.in.settling.Load(),
+func (r *race) runs() attempts.InFlight {
+	running := attempts.InFlight{
+		Count: len(r.running), LastStartedAt: r.running[len(r.running)-1].startedAt,
+		BodyConsumed: r.request.body.Spent(), Stopping: r.in.settling.Load(),
 	}
 	if r.failed != nil {
 		running.Failed = 1
--- a/internal/ingress/reach.go
+++ b/internal/ingress/reach.go
@@ -65,7 +65,7 @@
 		ever = true
 	}
 	if !ever && x.in.ended.Err() == nil {
-		x.in.config.Silent(host)
+		x.in.config.OnHostUnresponsive(host)
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -95,8 +95,8 @@
 	}
 }
 
-// Away reports whether requests could not reach the host and it has not answered since.
-func (in *Ingress) Away(host string) bool {
+// Unreachable reports whether requests could not reach the host and it has not answered since.
+func (in *Ingress) Unreachable(host string) bool {
 	in.reach.mu.Lock()
 	defer in.reach.mu.Unlock()
 	return in.reach.away[host]
--- a/internal/ingress/refuse.go
+++ b/internal/ingress/refuse.go
@@ -19,7 +19,7 @@
 // always has a Retry-After.
 func (in *Ingress) fail(w http.ResponseWriter, r *http.Request, started time.Time, err error) {
 	e := result.From(err)
-	if failures.Of(e.Code).ComeBack && e.RetryAfter == 0 {
+	if failures.Classify(e.Code).NeedsRetryAfter && e.RetryAfter == 0 {
 		e = e.WithRetryAfter(retryafter.Unspecified)
 	}
 	in.metrics.refused.Inc(e.Code)
--- a/internal/ingress/reservation_test.go
+++ b/internal/ingress/reservation_test.go
@@ -17,7 +17,7 @@
 	if failure.Code.Number != result.CancelledBefore.Number {
 		t.Fatalf("got %s", failure.Code.Name)
 	}
-	if _, seen := failures.Evidence(failure.Code); seen || failures.Of(failure.Code).Target != failures.Unchanged {
+	if _, seen := failures.Evidence(failure.Code); seen || failures.Classify(failure.Code).Target != failures.Unchanged {
 		t.Fatal("a cancelled reservation counts as evidence against the host")
 	}
 }
@@ -26,7 +26,7 @@
 // reservation in time.
 func TestAReservationThatDoesNotComeIsEvidence(t *testing.T) {
 	failure := result.From(reservationFailure(context.Background(), result.New(result.DeadlineBeforeRun)))
-	if failure.Code.Number != result.ReservationUnanswered.Number || failures.Of(failure.Code).Target != failures.HostSilent {
+	if failure.Code.Number != result.ReservationUnanswered.Number || failures.Classify(failure.Code).Target != failures.HostUnresponsive {
 		t.Fatalf("got %s", failure.Code.Name)
 	}
 }
--- a/internal/ingress/service.go
+++ b/internal/ingress/service.go
@@ -43,7 +43,7 @@
 		services: make(map[string]*service, len(index.Declaration.Services)),
 	}
 	next.customers = in.customersOf(index.Declaration)
-	in.config.Retries.Resize(time.Now(), in.retrySizes(index.Declaration))
+	in.config.Retries.SetLimits(time.Now(), in.retrySizes(index.Declaration))
 	for _, declared := range index.Declaration.Services {
 		next.services[declared.Name] = in.reconfigureService(declared, index)
 	}
@@ -57,14 +57,14 @@
 
 // retrySizes returns the retry limits of the services. Their slack is divided among all hosts once
 // these have been counted.
-func (in *Ingress) retrySizes(d fleet.Declaration) map[string]retry.Size {
+func (in *Ingress) retrySizes(d fleet.Declaration) map[string]retry.Limit {
 	hosts := len(d.Hosts)
 	if in.config.HostsCounted != nil && !in.config.HostsCounted() {
 		hosts = 0
 	}
-	sizes := make(map[string]retry.Size, len(d.Services))
+	sizes := make(map[string]retry.Limit, len(d.Services))
 	for _, s := range d.Services {
-		sizes[s.Name] = retry.Size{Share: s.RetryShare, Slack: s.RetrySlack, Window: s.RetryWindow, Hosts: hosts}
+		sizes[s.Name] = retry.Limit{Share: s.RetryShare, Slack: s.RetrySlack, Window: s.RetryWindow, Hosts: hosts}
 	}
 	return sizes
 }
@@ -107,5 +107,5 @@
 // overdueLimit returns how long an attempt at the target may take before it is overdue; zero if
 // there are no other targets to compare it with.
 func (s *service) overdueLimit(target *balance.Target) time.Duration {
-	return s.rules.OverdueLimit(target.Typical())
+	return s.rules.OverdueLimit(target.TypicalLatency())
 }
--- a/internal/ingress/stop.go
+++ b/internal/ingress/stop.go
@@ -13,9 +13,9 @@
 // InFlight returns the number of callers' requests being served.
 func (in *Ingress) InFlight() int64 { return in.inFlight.Load() }
 
-// Settle records that a planned stop has begun. Requests in flight are no longer hedged, since
+// BeginShutdown records that a planned stop has begun. Requests in flight are no longer hedged, since
 // other backend servers may refuse them by now.
-func (in *Ingress) Settle() { in.settling.Store(true) }
+func (in *Ingress) BeginShutdown() { in.settling.Store(true) }
 
 // Stop refuses new requests.
 func (in *Ingress) Stop() { in.stopping.Store(true) }
--- a/internal/ingress/subrequest.go
+++ b/internal/ingress/subrequest.go
@@ -27,10 +27,10 @@
 func (in *Ingress) countForLimit(r *request, now time.Time) {
 	run, ok := in.config.Runs.Caller(now, in.requestID(r.Request))
 	if !ok {
-		in.config.Retries.Request(now, r.serviceName)
+		in.config.Retries.RecordRequest(now, r.serviceName)
 		return
 	}
-	r.countsAsRetry = in.config.Retries.Call(now, run, r.serviceName)
+	r.countsAsRetry = in.config.Retries.RecordCall(now, run, r.serviceName)
 	r.sentByRetry = run.Retry
 	if run.Retry {
 		r.service.calls.ofRetry.Inc(1)
@@ -60,14 +60,14 @@
 // ServerAnswered records whether an answer of a backend server of this host was good or an error.
 func (in *Ingress) ServerAnswered(good bool) {
 	updates := in.subrequest.Answered(time.Now(), good)
-	if len(updates) > 0 && in.config.Subrequest != nil {
-		in.config.Subrequest(updates)
+	if len(updates) > 0 && in.config.OnSubrequestEvidence != nil {
+		in.config.OnSubrequestEvidence(updates)
 	}
 }
 
-// HearSubrequest merges the evidence of another host of the same service on routes that its backend
+// MergeSubrequestEvidence merges the evidence of another host of the same service on routes that its backend
 // servers may call, and returns the routes that are known to be called.
-func (in *Ingress) HearSubrequest(told []subrequest.Evidence) []route.Name {
+func (in *Ingress) MergeSubrequestEvidence(told []subrequest.Evidence) []route.Name {
 	var known []route.Name
 	for _, e := range told {
 		if in.subrequest.Hear(e) {
@@ -77,9 +77,9 @@
 	return known
 }
 
-// LearnSubrequest marks routes that, according to another host of the same service, its backend
+// MarkSubrequestRoutes marks routes that, according to another host of the same service, its backend
 // servers call.
-func (in *Ingress) LearnSubrequest(routes []route.Name) {
+func (in *Ingress) MarkSubrequestRoutes(routes []route.Name) {
 	for _, name := range routes {
 		in.subrequest.Learn(name)
 	}
--- a/internal/ingress/targets.go
+++ b/internal/ingress/targets.go
@@ -39,15 +39,15 @@
 	return s.pool, true
 }
 
-// Draining pauses backend servers that another daemon reports as draining.
-func (in *Ingress) Draining(names []string) {
+// MarkDraining pauses backend servers that another daemon reports as draining.
+func (in *Ingress) MarkDraining(names []string) {
 	until := time.Now().Add(drainingPause)
 	in.eachTarget(names, func(pool *balance.Pool, target *balance.Target) { pool.Pause(target, until) })
 }
 
-// Trusted clears the suspicion of backend servers.
-func (in *Ingress) Trusted(names []string) {
-	in.eachTarget(names, func(pool *balance.Pool, target *balance.Target) { pool.Trust(target) })
+// ClearSuspicion clears the suspicion of backend servers.
+func (in *Ingress) ClearSuspicion(names []string) {
+	in.eachTarget(names, func(pool *balance.Pool, target *balance.Target) { pool.ClearSuspicion(target) })
 }
 
 // eachTarget calls f for each target with one of the names.
--- a/internal/latency/latency.go
+++ b/internal/latency/latency.go
@@ -68,8 +68,8 @@
 // New returns an estimate of which nothing is known.
 func New() *Estimate { return &Estimate{} }
 
-// Good records how long a good answer took.
-func (e *Estimate) Good(took time.Duration) {
+// Observe records how long a good answer took.
+func (e *Estimate) Observe(took time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.counts[classOf(took)]++
@@ -102,9 +102,9 @@
 	return slowAfter
 }
 
-// Usual returns how long a good answer of the route usually takes, and false while too
+// Median returns how long a good answer of the route usually takes, and false while too
 // little is known.
-func (e *Estimate) Usual() (time.Duration, bool) {
+func (e *Estimate) Median() (time.Duration, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.sum < minAnswers {
--- a/internal/latency/latency_test.go
+++ b/internal/latency/latency_test.go
@@ -13,7 +13,7 @@
 func taught(millis ...int) *latency.Estimate {
 	p := latency.New()
 	for _, m := range millis {
-		p.Good(time.Duration(m) * time.Millisecond)
+		p.Observe(time.Duration(m) * time.Millisecond)
 	}
 	return p
 }
@@ -51,9 +51,9 @@
 func TestWhatIsUsualFollowsTheLastAnswers(t *testing.T) {
 	p := taught(times(5*latency.Memory, 50)...)
 	for range 2 * latency.Memory {
-		p.Good(500 * time.Millisecond)
+		p.Observe(500 * time.Millisecond)
 	}
-	if usual, known := p.Usual(); !known || usual < 500*time.Millisecond {
+	if usual, known := p.Median(); !known || usual < 500*time.Millisecond {
 		t.Fatalf("usual %v, %v", usual, known)
 	}
 }
--- a/internal/lend/lend.go
+++ b/internal/lend/lend.go
@@ -48,8 +48,8 @@
 	Budgets *retry.Budgets
 	// Hosts returns the hosts of the fleet; false while no declaration is in force.
 	Hosts func() ([]fleet.Host, bool)
-	// Away reports whether the host of that name does not answer.
-	Away func(host string) bool
+	// Unreachable reports whether the host of that name does not answer.
+	Unreachable func(host string) bool
 	// Call makes a control call to a host's daemon.
 	Call func(ctx context.Context, host fleet.Host, method control.Method, params, answer any) error
 	// Scope counts retries borrowed, or asked for in vain.
@@ -99,7 +99,7 @@
 	for range min(maxDraws, len(hosts)) {
 		host := hosts[rand.IntN(len(hosts))]
 		far := host.DataCentre != l.config.DataCentre
-		if host.Name == l.config.Host || host.Name == excluded || near && far || l.config.Away(host.Name) {
+		if host.Name == l.config.Host || host.Name == excluded || near && far || l.config.Unreachable(host.Name) {
 			continue
 		}
 		return host, true
--- a/internal/lend/lend_test.go
+++ b/internal/lend/lend_test.go
@@ -39,11 +39,11 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			lender := lend.New(lend.Config{
-				Host:       self.Name,
-				DataCentre: self.DataCentre,
-				Budgets:    retry.NewBudgets(retry.Config{Began: time.Now(), Borrows: true}),
-				Hosts:      func() ([]fleet.Host, bool) { return test.hosts, !test.undeclared },
-				Away:       func(host string) bool { return host == test.away },
+				Host:        self.Name,
+				DataCentre:  self.DataCentre,
+				Budgets:     retry.NewBudgets(retry.Config{StartedAt: time.Now(), Borrows: true}),
+				Hosts:       func() ([]fleet.Host, bool) { return test.hosts, !test.undeclared },
+				Unreachable: func(host string) bool { return host == test.away },
 				Call: func(_ context.Context, host fleet.Host, method control.Method, _, answer any) error {
 					if method != control.MethodLend || host.Name == self.Name {
 						t.Errorf("%s is called at %s", method, host.Name)
@@ -69,12 +69,12 @@
 	lender := lend.New(lend.Config{
 		Host:       "csepel-1",
 		DataCentre: "csepel",
-		Budgets:    retry.NewBudgets(retry.Config{Began: time.Now(), Borrows: true}),
+		Budgets:    retry.NewBudgets(retry.Config{StartedAt: time.Now(), Borrows: true}),
 		Hosts: func() ([]fleet.Host, bool) {
 			near := slices.Repeat([]fleet.Host{{Name: "csepel-2", DataCentre: "csepel"}}, 32)
 			return append(near, fleet.Host{Name: "obuda-1", DataCentre: "obuda"}), true
 		},
-		Away: func(string) bool { return false },
+		Unreachable: func(string) bool { return false },
 		Call: func(_ context.Context, host fleet.Host, _ control.Method, _, answer any) error {
 			asked = append(asked, host.Name)
 			answer.(*control.Lent).Granted = true
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -34,8 +34,8 @@
 	Host, DataCentre string
 	// Peers calls other daemons.
 	Peers *control.Client
-	// Away reports whether the host of that name does not answer.
-	Away func(host string) bool
+	// Unreachable reports whether the host of that name does not answer.
+	Unreachable func(host string) bool
 }
 
 // Limits keeps the customers' limits with the other daemons: it is this daemon's gate, and
@@ -127,9 +127,9 @@
 	return maps.Clone(l.gate.Allowances()), maps.Clone(l.refused)
 }
 
-// GiveBack takes back the admission of a request that reached no backend server.
-func (l *Limits) GiveBack(customer string) {
+// Refund takes back the admission of a request that reached no backend server.
+func (l *Limits) Refund(customer string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.gate.GiveBack(customer)
+	l.gate.Refund(customer)
 }
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -62,7 +62,7 @@
 	defer cleanUp()
 	counted := control.Counted{Report: quota.Report{From: "csepel-17", Hosts: 1}}
 	for i := range 12 {
-		counted.Report.Counts = append(counted.Report.Counts, quota.Count{Customer: fmt.Sprintf("county-%d", i), Asked: 2, Admitted: 1})
+		counted.Report.Counts = append(counted.Report.Counts, quota.Count{Customer: fmt.Sprintf("county-%d", i), Requested: 2, Admitted: 1})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/limits/report.go
+++ b/internal/limits/report.go
@@ -56,7 +56,7 @@
 		return
 	}
 	counted := control.Counted{Urgent: l.gate.AwaitsVerdict()}
-	counted.Report = quota.Report{From: l.config.Host, Hosts: 1, Counts: l.gate.Drain(now), Follows: l.gate.HasVerdict()}
+	counted.Report = quota.Report{From: l.config.Host, Hosts: 1, Counts: l.gate.Drain(now), HadVerdict: l.gate.HasVerdict()}
 	to, remote := l.firstPresent(l.collectors, now)
 	l.mu.Unlock()
 	var verdict quota.Verdict
@@ -108,7 +108,7 @@
 	defer l.forwarding.Unlock()
 	l.mu.Lock()
 	now := time.Now()
-	if !l.collector.Added() {
+	if !l.collector.HasPending() {
 		l.mu.Unlock()
 		return // another report has taken it along
 	}
@@ -137,7 +137,7 @@
 		if h.Name == l.config.Host {
 			break
 		}
-		if now.After(l.silent[h.Name]) && !l.config.Away(h.Name) {
+		if now.After(l.silent[h.Name]) && !l.config.Unreachable(h.Name) {
 			return h, true
 		}
 	}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -85,7 +85,7 @@
 		joined:  make(chan struct{}),
 	}
 	config.Record.Self = m.known.self
-	config.Record.Learn = func(hosts []member.Host) { m.Learn("", hosts) }
+	config.Record.OnHosts = func(hosts []member.Host) { m.Learn("", hosts) }
 	m.record = record.New(config.Record)
 	return m
 }
@@ -114,7 +114,7 @@
 	close(m.joined)
 	m.tell("", []member.Host{m.known.self()})
 	go m.record.CountHosts(ctx, m.config.Reapply)
-	m.record.Keep(ctx, lease)
+	m.record.KeepAlive(ctx, lease)
 }
 
 // askSomeone asks the daemons that the store names, in no order, for what they know until
@@ -144,7 +144,7 @@
 
 // HostsCounted reports whether this daemon may use its part of what the hosts share. Declared hosts
 // are known by their number.
-func (m *Membership) HostsCounted() bool { return !m.config.Registers || m.record.HostsCounted() }
+func (m *Membership) HostsCounted() bool { return !m.config.Registers || m.record.ShareUsable() }
 
 // Hosts returns every host that was ever told of, this one among them.
 func (m *Membership) Hosts() []member.Host { return m.known.all() }
--- a/internal/operator/describe.go
+++ b/internal/operator/describe.go
@@ -200,7 +200,7 @@
 		{Name: "requests", Value: strconv.FormatInt(seen.Observed, 10)},
 		{Name: "failures", Value: fmt.Sprintf("%d; %s", seen.Failures, compared(seen.FailureRate, seen.OthersFailure))},
 		{Name: "slow", Value: compared(seen.SlowRate, seen.OthersSlow)},
-		{Name: "takes", Value: fmt.Sprintf("%s, the others %s", millis(seen.Typical), millis(seen.OthersTypical))},
+		{Name: "takes", Value: fmt.Sprintf("%s, the others %s", millis(seen.TypicalLatency), millis(seen.OthersTypicalLatency))},
 	}
 }
 
--- a/internal/quarantine/fuzz_test.go
+++ b/internal/quarantine/fuzz_test.go
@@ -39,6 +39,6 @@
 		if got := table.View().Status(told.ID); got != quarantine.Clear {
 			t.Fatalf("it is %s", got)
 		}
-		table.Forget(start.Add(time.Hour))
+		table.Prune(start.Add(time.Hour))
 	})
 }
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -42,16 +42,16 @@
 	// allow three ends. One blames every request that ran there, and two still meet backend
 	// servers that end by themselves; docs/design/0014-quarantine.md has the ways compared.
 	Limit = 3
-	// SuspectedFor is how long after its last end a request is suspected. Not measured: one that comes
+	// SuspectTTL is how long after its last end a request is suspected. Not measured: one that comes
 	// again does so within seconds or minutes; the store keeps a record twice as long.
-	SuspectedFor = 5 * time.Minute
-	// ClearedFor is how long it is remembered that a quarantine has ended. Not measured: a daemon that was cut
+	SuspectTTL = 5 * time.Minute
+	// ClearedTTL is how long it is remembered that a quarantine has ended. Not measured: a daemon that was cut
 	// off meanwhile still reports it when it is back, which may take hours.
-	ClearedFor = 24 * time.Hour
-	// TrialAfter is how long after its last end a request in quarantine is tried once more. Source:
+	ClearedTTL = 24 * time.Hour
+	// TrialDelay is how long after its last end a request in quarantine is tried once more. Source:
 	// backend servers that end together do so within a second, and those that still ran it have
 	// answered by then.
-	TrialAfter = time.Second
+	TrialDelay = time.Second
 	// most bounds how many records are kept. Source: at 400 bytes each they take 1.6 MB of a daemon's
 	// 256 MB. Suspects go first, the oldest of them before the others.
 	most = 4096
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -13,8 +13,8 @@
 var start = time.UnixMilli(1_700_000_000_000)
 
 // sighting returns a request that a backend server ran when it ended.
-func sighting(id string) quarantine.Sighting {
-	return quarantine.Sighting{ID: id, Head: uint64(len(id)), Service: "lookup", Method: "GET", Host: "a.example", Path: "/x"}
+func sighting(id string) quarantine.Request {
+	return quarantine.Request{ID: id, HeadHash: uint64(len(id)), Service: "lookup", Method: "GET", Host: "a.example", Path: "/x"}
 }
 
 // end ends so many backend servers under the request, a second apart.
@@ -93,7 +93,7 @@
 	if _, ok := table.ProposeTrial(last, "a", "host-1"); ok || table.View().TrialDue(last, "a") {
 		t.Fatal("it may be tried at once")
 	}
-	later := last.Add(quarantine.TrialAfter)
+	later := last.Add(quarantine.TrialDelay)
 	record, ok := table.ProposeTrial(later, "a", "host-1")
 	if !ok || !table.View().TrialDue(later, "a") {
 		t.Fatal("it may not be tried later")
@@ -112,10 +112,10 @@
 	table := quarantine.New()
 	end(table, "a", quarantine.Limit)
 	end(table, "bb", 1)
-	if lapsed, dropped := table.Forget(start.Add(quarantine.SuspectedFor / 2)); len(lapsed)+len(dropped) > 0 {
+	if lapsed, dropped := table.Prune(start.Add(quarantine.SuspectTTL / 2)); len(lapsed)+len(dropped) > 0 {
 		t.Fatal("something was forgotten early")
 	}
-	table.Forget(start.Add(2 * quarantine.SuspectedFor))
+	table.Prune(start.Add(2 * quarantine.SuspectTTL))
 	if records := table.Records(); len(records) != 1 || records[0].ID != "a" {
 		t.Fatalf("left are %v", records)
 	}
@@ -128,15 +128,15 @@
 	last := end(cutOff, "a", quarantine.Limit)
 	others.Merge(cutOff.Records())
 	others.Lift(last, "a")
-	back := last.Add(quarantine.ClearedFor / 2)
-	others.Forget(back)
+	back := last.Add(quarantine.ClearedTTL / 2)
+	others.Prune(back)
 	if updates := others.Merge(cutOff.Records()); len(updates) > 0 || others.View().Status("a") != quarantine.Clear {
 		t.Fatalf("it is back: %+v", updates)
 	}
 	if cutOff.Merge(others.Records()); cutOff.View().Status("a") != quarantine.Clear {
 		t.Fatal("the daemon that was cut off keeps it")
 	}
-	if lapsed, _ := others.Forget(last.Add(2 * quarantine.ClearedFor)); len(lapsed) != 1 {
+	if lapsed, _ := others.Prune(last.Add(2 * quarantine.ClearedTTL)); len(lapsed) != 1 {
 		t.Fatalf("forgotten are %v", lapsed)
 	}
 }
@@ -166,7 +166,7 @@
 	for n := range 10_000 {
 		table.RecordEnd(start.Add(time.Duration(n)*time.Millisecond), sighting(fmt.Sprintf("flood-%d", n)), quarantine.End{Server: "server"})
 	}
-	if lapsed, dropped := table.Forget(start); len(lapsed) > 0 || len(dropped) < 5000 {
+	if lapsed, dropped := table.Prune(start); len(lapsed) > 0 || len(dropped) < 5000 {
 		t.Fatalf("%d records have lapsed, %d were dropped for being too many", len(lapsed), len(dropped))
 	}
 	if count := len(table.Records()); count > 5000 {
@@ -180,7 +180,7 @@
 // drawRecord returns a record as a daemon may tell it.
 func drawRecord(t *rapid.T, name string) quarantine.Record {
 	r := quarantine.Record{
-		ID: "a", Head: 1, Service: rapid.SampledFrom([]string{"lookup", "records"}).Draw(t, name+" service"),
+		ID: "a", HeadHash: 1, Service: rapid.SampledFrom([]string{"lookup", "records"}).Draw(t, name+" service"),
 		Epoch:           rapid.Int64Range(0, 2).Draw(t, name+" epoch"),
 		TrialHost:       rapid.SampledFrom([]string{"", "host-1", "host-2"}).Draw(t, name+" tried"),
 		EverQuarantined: rapid.Bool().Draw(t, name+" held"),
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -17,11 +17,11 @@
 	ClearedByOperator ClearedBy = "lifted"
 )
 
-// Sighting is a request that a backend server ran when it ended.
-type Sighting struct {
+// Request is a request that a backend server ran when it ended.
+type Request struct {
 	// ID is its fingerprint's digest, Head the hash of all but its body.
-	ID   string
-	Head uint64
+	ID       string
+	HeadHash uint64
 	// Service ran it.
 	Service string
 	// Method, Host and Path are for operators.
@@ -39,12 +39,12 @@
 
 // Record is what is known of a request.
 type Record struct {
-	ID      string `json:"id"`
-	Head    uint64 `json:"head"`
-	Service string `json:"service"`
-	Method  string `json:"method"`
-	Host    string `json:"host"`
-	Path    string `json:"path"`
+	ID       string `json:"id"`
+	HeadHash uint64 `json:"head"`
+	Service  string `json:"service"`
+	Method   string `json:"method"`
+	Host     string `json:"host"`
+	Path     string `json:"path"`
 	// Epoch rises with each answer and each lifting.
 	Epoch int64 `json:"epoch"`
 	// Ends are those of this epoch, the earliest first, at most Limit.
@@ -60,9 +60,9 @@
 }
 
 // newRecord returns the record of a request that was seen for the first time.
-func newRecord(s Sighting) Record {
+func newRecord(s Request) Record {
 	return Record{
-		ID: s.ID, Head: s.Head, Service: s.Service,
+		ID: s.ID, HeadHash: s.HeadHash, Service: s.Service,
 		Method: cut(s.Method), Host: cut(s.Host), Path: cut(s.Path),
 	}
 }
@@ -113,7 +113,7 @@
 
 // trialFrom returns from when on the request may be tried once more, if it may be at all.
 func (r Record) trialFrom() (time.Time, bool) {
-	return r.LastEnd().Add(TrialAfter), r.Quarantined() && r.TrialHost == ""
+	return r.LastEnd().Add(TrialDelay), r.Quarantined() && r.TrialHost == ""
 }
 
 // settled returns the record with EverQuarantined as it follows from the rest. A merge does not do that, since what
--- a/internal/quarantine/simulation_test.go
+++ b/internal/quarantine/simulation_test.go
@@ -236,7 +236,7 @@
 // blame records that a backend server ended under the request, which is sent to another if it may.
 func (s *simulation) blame(id string, from, to *simulated, incarnation, left int) {
 	ended := quarantine.End{Server: fmt.Sprintf("server-%d-%d", to.number, incarnation), At: start.Add(to.ended).UnixMilli()}
-	if record, ok := to.table.RecordEnd(s.wall(), quarantine.Sighting{ID: id, Service: "lookup"}, ended); ok {
+	if record, ok := to.table.RecordEnd(s.wall(), quarantine.Request{ID: id, Service: "lookup"}, ended); ok {
 		s.spread(to, record)
 	}
 	switch {
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -17,7 +17,7 @@
 
 // RecordEnd records that a backend server ended while it ran the request. It returns the record to tell others,
 // or false if that is known.
-func (t *Table) RecordEnd(now time.Time, s Sighting, end End) (Record, bool) {
+func (t *Table) RecordEnd(now time.Time, s Request, end End) (Record, bool) {
 	known, ok := t.records[s.ID]
 	if !ok {
 		known = newRecord(s)
@@ -96,9 +96,9 @@
 	return r, ok
 }
 
-// Forget drops the records that are no longer needed, which it returns as lapsed, and those beyond the most that
+// Prune drops the records that are no longer needed, which it returns as lapsed, and those beyond the most that
 // are kept, which it returns as dropped.
-func (t *Table) Forget(now time.Time) (lapsed, dropped []Record) {
+func (t *Table) Prune(now time.Time) (lapsed, dropped []Record) {
 	for _, r := range t.records {
 		if r.lapsed(now) {
 			lapsed = append(lapsed, r)
@@ -119,9 +119,9 @@
 	case r.Quarantined():
 		return false
 	case r.EverQuarantined:
-		return unchanged > ClearedFor
+		return unchanged > ClearedTTL
 	default:
-		return unchanged > SuspectedFor
+		return unchanged > SuspectTTL
 	}
 }
 
--- a/internal/quarantine/view.go
+++ b/internal/quarantine/view.go
@@ -40,7 +40,7 @@
 		if !r.Suspected() {
 			continue
 		}
-		v.heads[r.Head] = struct{}{}
+		v.heads[r.HeadHash] = struct{}{}
 		v.statuses[r.ID] = r.Status()
 		if from, ok := r.trialFrom(); ok {
 			v.trialFrom[r.ID] = from
@@ -52,9 +52,9 @@
 // Empty reports whether nothing is held against any request.
 func (v *View) Empty() bool { return len(v.heads) == 0 }
 
-// HasHead reports whether something is held against a request with that head; its body shows whether it is
+// MayContain reports whether something is held against a request with that head; its body shows whether it is
 // the same one.
-func (v *View) HasHead(head uint64) bool {
+func (v *View) MayContain(head uint64) bool {
 	_, ok := v.heads[head]
 	return ok
 }
--- a/internal/quarantinesync/lease.go
+++ b/internal/quarantinesync/lease.go
@@ -14,9 +14,9 @@
 const (
 	// leaseFor is how long the store keeps what was never quarantined. Not measured: twice as long as daemons do,
 	// so that one that sees a second end finds the first.
-	leaseFor = 2 * quarantine.SuspectedFor
+	leaseFor = 2 * quarantine.SuspectTTL
 	// leaseUsed is how long one lease is used for new records.
-	leaseUsed = leaseFor - quarantine.SuspectedFor
+	leaseUsed = leaseFor - quarantine.SuspectTTL
 )
 
 // lease is the store's lease with which records end that are no quarantine.
--- a/internal/quarantinesync/messages.go
+++ b/internal/quarantinesync/messages.go
@@ -6,7 +6,7 @@
 type (
 	// endedMessage says that a backend server ended while it ran a request.
 	endedMessage struct {
-		sighting quarantine.Sighting
+		sighting quarantine.Request
 		end      quarantine.End
 		known    chan struct{} // closed once lookups know it
 	}
--- a/internal/quarantinesync/quarantinesync.go
+++ b/internal/quarantinesync/quarantinesync.go
@@ -60,10 +60,10 @@
 	// Store is the platform's, in which keys begin with Prefix.
 	Store  store.Store
 	Prefix string
-	// Tell tells the daemons that keep backend servers of the service, without waiting for them. Spread
+	// NotifyService tells the daemons that keep backend servers of the service, without waiting for them. Spread
 	// tells a few others, each of which tells a few in turn.
-	Tell   func(service string, records []quarantine.Record)
-	Spread func(records []quarantine.Record)
+	NotifyService func(service string, records []quarantine.Record)
+	Gossip        func(records []quarantine.Record)
 	// Watches reports whether this daemon is one that watches the store.
 	Watches func() bool
 	// Logger receives numbered events.
@@ -114,13 +114,13 @@
 	newTask(s).run(ctx)
 }
 
-// Quiet reports whether nothing is held against any request.
-func (s *Syncer) Quiet() bool { return s.view.Load().Empty() }
+// Empty reports whether nothing is held against any request.
+func (s *Syncer) Empty() bool { return s.view.Load().Empty() }
 
 // Status returns the status of the request and, unless that is quarantine.Clear, its id.
 func (s *Syncer) Status(r fingerprint.Request) (quarantine.Status, string) {
 	view := s.view.Load()
-	if view.Empty() || !view.HasHead(r.Head()) {
+	if view.Empty() || !view.MayContain(r.HeadHash()) {
 		return quarantine.Clear, ""
 	}
 	id, err := r.Digest()
@@ -139,7 +139,7 @@
 	}
 	known := make(chan struct{})
 	s.send(context.Background(), endedMessage{
-		sighting: quarantine.Sighting{ID: id, Head: r.Head(), Service: service, Method: r.Method, Host: r.Host, Path: r.Path},
+		sighting: quarantine.Request{ID: id, HeadHash: r.HeadHash(), Service: service, Method: r.Method, Host: r.Host, Path: r.Path},
 		end:      end,
 		known:    known,
 	})
--- a/internal/quarantinesync/quarantinesync_test.go
+++ b/internal/quarantinesync/quarantinesync_test.go
@@ -74,14 +74,14 @@
 	number, deaf := len(g.syncers), g.deaf
 	k := quarantinesync.New(quarantinesync.Config{
 		Host: fmt.Sprintf("host-%d", number), Store: g.kv, Prefix: prefix,
-		Tell: func(_ string, records []quarantine.Record) {
+		NotifyService: func(_ string, records []quarantine.Record) {
 			for n, other := range g.all() {
 				if n != number && !g.cut.Load() {
 					go other.Merge(records)
 				}
 			}
 		},
-		Spread:  func([]quarantine.Record) {},
+		Gossip:  func([]quarantine.Record) {},
 		Watches: func() bool { return !deaf },
 		Logger:  slog.New(slog.NewTextHandler(g, nil)), Scope: tally.NoopScope,
 		OnError: func(error) {}, OnAnswer: func() {},
@@ -190,7 +190,7 @@
 	if g.syncers[0].StartTrial(context.Background(), id) {
 		t.Fatal("it is tried at once")
 	}
-	time.Sleep(quarantine.TrialAfter + 100*time.Millisecond)
+	time.Sleep(quarantine.TrialDelay + 100*time.Millisecond)
 	for round := range 2 {
 		var wg sync.WaitGroup
 		var mu sync.Mutex
@@ -216,7 +216,7 @@
 	g := newGroup(t, 2)
 	g.endEach("guilty", quarantine.Limit)
 	g.awaitAll(quarantine.Quarantined)
-	time.Sleep(quarantine.TrialAfter + 100*time.Millisecond)
+	time.Sleep(quarantine.TrialDelay + 100*time.Millisecond)
 	g.standin.SetOutage(true)
 	_, id := g.syncers[0].Status(request("guilty"))
 	if g.syncers[0].StartTrial(context.Background(), id) || g.syncers[1].StartTrial(context.Background(), id) {
@@ -287,7 +287,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.standin.Write(prefix+"/held/other", fmt.Appendf(nil, `{"id":%q,"head":%d,"ends":[{"server":"a"},{"server":"b"},{"server":"c"}]}`, others, request("").Head()))
+	g.standin.Write(prefix+"/held/other", fmt.Appendf(nil, `{"id":%q,"head":%d,"ends":[{"server":"a"},{"server":"b"},{"server":"c"}]}`, others, request("").HeadHash()))
 	g.endEach("guilty", quarantine.Limit)
 	late := g.add()
 	g.await("the good one is known", func() bool { return status(late, "guilty") == quarantine.Quarantined })
@@ -329,7 +329,7 @@
 func BenchmarkQuietStanding(b *testing.B) {
 	k := quarantinesync.New(quarantinesync.Config{Scope: tally.NoopScope})
 	for b.Loop() {
-		k.Quiet()
+		k.Empty()
 	}
 }
 
@@ -337,7 +337,7 @@
 func BenchmarkStanding(b *testing.B) {
 	k := quarantinesync.New(quarantinesync.Config{
 		Host: "host", Scope: tally.NoopScope, Logger: slog.New(slog.DiscardHandler), OnError: func(error) {}, OnAnswer: func() {},
-		Tell: func(string, []quarantine.Record) {},
+		NotifyService: func(string, []quarantine.Record) {},
 		Store: store.Store{
 			List: func(ctx context.Context, _ string) (store.Batch, error) {
 				<-ctx.Done()
@@ -364,7 +364,7 @@
 	g := newGroup(t, 1)
 	g.endEach("guilty", quarantine.Limit)
 	g.awaitAll(quarantine.Quarantined)
-	time.Sleep(quarantine.TrialAfter + 100*time.Millisecond)
+	time.Sleep(quarantine.TrialDelay + 100*time.Millisecond)
 	commit := g.kv.Commit
 	g.kv.Commit = func(context.Context, store.Change) (int64, error) { return 0, errors.New("away") }
 	late := g.add()
--- a/internal/quarantinesync/task.go
+++ b/internal/quarantinesync/task.go
@@ -153,7 +153,7 @@
 
 // forget drops what is no longer needed, here and in the store.
 func (t *task) forget(ctx context.Context, now time.Time) {
-	lapsed, dropped := t.table.Forget(now)
+	lapsed, dropped := t.table.Prune(now)
 	if len(lapsed)+len(dropped) == 0 {
 		return
 	}
@@ -184,10 +184,10 @@
 	}
 	t.updates = nil
 	if len(t.spread) > 0 {
-		t.syncer.config.Spread(t.spread)
+		t.syncer.config.Gossip(t.spread)
 		t.spread = nil
 	}
 	for service, records := range byService {
-		t.syncer.config.Tell(service, records)
+		t.syncer.config.NotifyService(service, records)
 	}
 }
--- a/internal/quota/collector.go
+++ b/internal/quota/collector.go
@@ -60,7 +60,7 @@
 func (c *Collector) Add(now time.Time, r Report) Verdict {
 	c.present[r.From] = presence{at: now, hosts: r.Hosts}
 	c.added = true
-	c.follows = c.follows || r.Follows
+	c.follows = c.follows || r.HadVerdict
 	merge(c.counts, r.Counts)
 	return c.Verdict(now)
 }
@@ -77,8 +77,8 @@
 	return c.verdict
 }
 
-// Added reports whether there is something to forward.
-func (c *Collector) Added() bool { return c.added }
+// HasPending reports whether there is something to forward.
+func (c *Collector) HasPending() bool { return c.added }
 
 // Due reports whether it is time to forward something.
 func (c *Collector) Due(now time.Time) bool { return c.added && now.Sub(c.forwardedAt) >= forwardEvery }
@@ -89,7 +89,7 @@
 	c.added = false
 	follows := c.follows
 	c.follows = false
-	return Report{From: from, Hosts: c.present.hosts(now), Counts: drain(c.counts), Follows: follows, Heard: c.verdictWithin(now, verdictKeptFor)}
+	return Report{From: from, Hosts: c.present.hosts(now), Counts: drain(c.counts), HadVerdict: follows, LastVerdict: c.verdictWithin(now, verdictKeptFor)}
 }
 
 // Restore adds again the counts of a report that was not answered.
--- a/internal/quota/gate.go
+++ b/internal/quota/gate.go
@@ -76,8 +76,8 @@
 	}
 	count := g.counts[customer]
 	count.Customer = customer
-	count.Asked++
-	g.urgent = g.urgent || count.Asked >= urgentCount
+	count.Requested++
+	g.urgent = g.urgent || count.Requested >= urgentCount
 	allowance, near := g.allowances[customer]
 	decision := Decision{Admitted: g.admits(customer, limit, allowance, near)}
 	if decision.Admitted {
@@ -141,8 +141,8 @@
 	return min(maxRetryAfter, max(minRetryAfter, time.Duration(min(seconds, maxRetryAfter.Seconds())*float64(time.Second))))
 }
 
-// GiveBack takes back the admission of a request that never reached a backend server.
-func (g *Gate) GiveBack(customer string) {
+// Refund takes back the admission of a request that never reached a backend server.
+func (g *Gate) Refund(customer string) {
 	if _, limited := g.limits[customer]; !limited {
 		return
 	}
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -93,12 +93,12 @@
 		clear(l.buckets)
 		l.filledPart, l.lostPart = 0, 0
 	}
-	l.follows = l.follows || r.Follows || r.Heard.Known
+	l.follows = l.follows || r.HadVerdict || r.LastVerdict.Known
 	l.present[r.From] = presence{at: now, hosts: r.Hosts}
 	part := l.presentPart(now)
 	l.resize(now, part)
-	if r.Heard.By != l.name || now.Sub(l.began) < adoptOwnFor {
-		l.adoptLevels(now, part, r.Heard)
+	if r.LastVerdict.LedgerHost != l.name || now.Sub(l.began) < adoptOwnFor {
+		l.adoptLevels(now, part, r.LastVerdict)
 	}
 	for _, c := range r.Counts {
 		if limit, limited := l.limits[c.Customer]; limited {
@@ -193,7 +193,7 @@
 func (b *bucket) add(now time.Time, limit Limit, c Count) {
 	b.fill(now, limit)
 	b.level -= float64(c.Admitted)
-	b.sum += float64(c.Asked)
+	b.sum += float64(c.Requested)
 }
 
 // fill fills the bucket and lets the rate fall off for the time since it was last filled.
@@ -226,7 +226,7 @@
 	if now.Sub(l.began) < settleFor {
 		return Verdict{}
 	}
-	v := Verdict{Known: true, By: l.name}
+	v := Verdict{Known: true, LedgerHost: l.name}
 	for customer, b := range l.buckets {
 		limit := l.limits[customer].scale(part)
 		b.fill(now, limit)
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -65,9 +65,9 @@
 // Count is what was counted of one customer since the last report.
 type Count struct {
 	Customer string `json:"c"`
-	// Asked are all requests, Admitted those that were let through, less those given back.
-	Asked    int `json:"a"`
-	Admitted int `json:"d"`
+	// Requested are all requests, Admitted those that were let through, less those given back.
+	Requested int `json:"a"`
+	Admitted  int `json:"d"`
 }
 
 // Report is what one daemon or one data centre counted since its last report.
@@ -77,19 +77,19 @@
 	// Hosts is how many hosts' counts are in it.
 	Hosts  int     `json:"hosts"`
 	Counts []Count `json:"counts,omitempty"`
-	// Follows says that the reporter, or who reported to it, has heard a verdict before: not
+	// HadVerdict says that the reporter, or who reported to it, has heard a verdict before: not
 	// all have just started.
-	Follows bool `json:"follows,omitempty"`
-	// Heard is the last verdict that the reporter got, for a ledger that begins.
-	Heard Verdict `json:"heard,omitzero"`
+	HadVerdict bool `json:"follows,omitempty"`
+	// LastVerdict is the last verdict that the reporter got, for a ledger that begins.
+	LastVerdict Verdict `json:"heard,omitzero"`
 }
 
 // Verdict tells how much of their customers' requests gates admit.
 type Verdict struct {
 	// Known is false if no ledger has given one yet.
 	Known bool `json:"known,omitempty"`
-	// By names the ledger's host.
-	By string `json:"by,omitempty"`
+	// LedgerHost names the ledger's host.
+	LedgerHost string `json:"by,omitempty"`
 	// Allowances are of the customers near their limit or beyond; those of all others are
 	// admitted whole.
 	Allowances []Allowance `json:"standings,omitempty"`
@@ -108,7 +108,7 @@
 func merge(into map[string]Count, counts []Count) {
 	for _, c := range counts {
 		sum := into[c.Customer]
-		into[c.Customer] = Count{Customer: c.Customer, Asked: sum.Asked + c.Asked, Admitted: sum.Admitted + c.Admitted}
+		into[c.Customer] = Count{Customer: c.Customer, Requested: sum.Requested + c.Requested, Admitted: sum.Admitted + c.Admitted}
 	}
 }
 
@@ -116,7 +116,7 @@
 func drain(from map[string]Count) []Count {
 	counts := make([]Count, 0, len(from))
 	for _, c := range from {
-		if c.Asked != 0 || c.Admitted != 0 {
+		if c.Requested != 0 || c.Admitted != 0 {
 			counts = append(counts, c)
 		}
 	}
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -152,7 +152,7 @@
 	for range 5 {
 		h.ask(20)
 		for range 20 {
-			h.gate.GiveBack("a")
+			h.gate.Refund("a")
 		}
 		h.pass(time.Second)
 	}
@@ -212,7 +212,7 @@
 	for _, test := range tests {
 		now := simStart.Add(test.later)
 		told := c.Add(now, quota.Report{From: "csepel-1", Hosts: 1})
-		heard := c.Drain(now, "csepel-2").Heard
+		heard := c.Drain(now, "csepel-2").LastVerdict
 		if told.Known != test.gate || heard.Known != test.heard || heard.Known && len(heard.Allowances) != 1 {
 			t.Errorf("%s later a gate is told %+v, a ledger %+v", test.later, told, heard)
 		}
@@ -228,7 +228,7 @@
 	var verdict quota.Verdict
 	for i := range 5 {
 		at := simStart.Add(time.Duration(i) * 100 * time.Millisecond)
-		verdict = ledger.Add(at, quota.Report{From: "csepel-1", Hosts: 1, Heard: heard, Counts: []quota.Count{{Customer: "a", Asked: 5, Admitted: 1}}})
+		verdict = ledger.Add(at, quota.Report{From: "csepel-1", Hosts: 1, LastVerdict: heard, Counts: []quota.Count{{Customer: "a", Requested: 5, Admitted: 1}}})
 	}
 	if len(verdict.Allowances) != 1 || verdict.Allowances[0].Level > -40 || verdict.Allowances[0].Share > 0 {
 		t.Fatalf("%+v", verdict)
--- a/internal/quota/ways_test.go
+++ b/internal/quota/ways_test.go
@@ -53,7 +53,7 @@
 			gate.Restore(counts)
 			return
 		}
-		verdict := collectors[to].Add(now.Add(simDelay/2), quota.Report{From: customerName(host), Hosts: 1, Counts: counts, Follows: gate.HasVerdict()})
+		verdict := collectors[to].Add(now.Add(simDelay/2), quota.Report{From: customerName(host), Hosts: 1, Counts: counts, HadVerdict: gate.HasVerdict()})
 		if spent {
 			passOn(now, to)
 			verdict = collectors[to].Verdict(now)
--- a/internal/record/keep_test.go
+++ b/internal/record/keep_test.go
@@ -49,25 +49,25 @@
 			},
 		}
 		r := New(Config{
-			Host:   "csepel-1",
-			Store:  kv,
-			Prefix: "tidelift",
-			Health: storehealth.New(storehealth.Config{Logger: slog.New(slog.DiscardHandler)}),
-			Self:   func() member.Host { return member.Host{Name: "csepel-1"} },
-			Unused: func(time.Duration) {},
+			Host:          "csepel-1",
+			Store:         kv,
+			Prefix:        "tidelift",
+			Health:        storehealth.New(storehealth.Config{Logger: slog.New(slog.DiscardHandler)}),
+			Self:          func() member.Host { return member.Host{Name: "csepel-1"} },
+			OnShareUnused: func(time.Duration) {},
 		})
 		r.counted.Store(true)
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 		defer cancel()
 		first := r.Write(ctx)
 		time.AfterFunc(50*time.Second, func() {
-			if r.HostsCounted() {
+			if r.ShareUsable() {
 				t.Error("the part is used while nobody knows whether the store has the record")
 			}
 		})
-		r.Keep(ctx, first)
-		if lease != first+1 || time.Since(renewed) > renewEvery || !r.HostsCounted() {
-			t.Fatalf("lease %d, renewed %s ago; the part may be used: %t", lease, time.Since(renewed), r.HostsCounted())
+		r.KeepAlive(ctx, first)
+		if lease != first+1 || time.Since(renewed) > renewEvery || !r.ShareUsable() {
+			t.Fatalf("lease %d, renewed %s ago; the part may be used: %t", lease, time.Since(renewed), r.ShareUsable())
 		}
 	})
 }
--- a/internal/record/part_test.go
+++ b/internal/record/part_test.go
@@ -45,16 +45,16 @@
 				return 1, nil
 			}
 			now := time.Now()
-			budgets := retry.NewBudgets(retry.Config{Began: now})
-			r := New(Config{Store: store.Store{Commit: commit}, FirstStart: test.fleets, Unused: budgets.Clear})
-			budgets.Resize(now, map[string]retry.Size{"names": {Slack: 56, Window: 10 * time.Second, Hosts: 1}})
+			budgets := retry.NewBudgets(retry.Config{StartedAt: now})
+			r := New(Config{Store: store.Store{Commit: commit}, FirstStart: test.fleets, OnShareUnused: budgets.SetSlackUnused})
+			budgets.SetLimits(now, map[string]retry.Limit{"names": {Slack: 56, Window: 10 * time.Second, Hosts: 1}})
 			for r.commit(context.Background(), store.Put{Key: "hosts/a"}) != nil {
 				continue
 			}
-			if has := budgets.Left(now, "names"); has != test.wantHas {
+			if has := budgets.Available(now, "names"); has != test.wantHas {
 				t.Fatalf("it has its part: %t", has)
 			}
-			if !budgets.Left(now.Add(10*time.Second), "names") {
+			if !budgets.Available(now.Add(10*time.Second), "names") {
 				t.Fatal("it has no part after a window")
 			}
 		})
@@ -84,17 +84,17 @@
 				return 1, test.answer
 			}
 			now := time.Now()
-			budgets := retry.NewBudgets(retry.Config{Began: now})
+			budgets := retry.NewBudgets(retry.Config{StartedAt: now})
 			r := New(Config{
-				Host: "csepel-1", Store: store.Store{Commit: commit}, FirstStart: test.fleets, Unused: budgets.Clear,
+				Host: "csepel-1", Store: store.Store{Commit: commit}, FirstStart: test.fleets, OnShareUnused: budgets.SetSlackUnused,
 				Health: storehealth.New(storehealth.Config{Logger: slog.New(slog.DiscardHandler)}),
 			})
-			budgets.Resize(now, map[string]retry.Size{"names": {Slack: 56, Window: 10 * time.Second, Hosts: 1}})
+			budgets.SetLimits(now, map[string]retry.Limit{"names": {Slack: 56, Window: 10 * time.Second, Hosts: 1}})
 			r.ClaimFirstStart(context.Background())
-			if has := budgets.Left(now, "names"); has != test.wantHas {
+			if has := budgets.Available(now, "names"); has != test.wantHas {
 				t.Fatalf("it has its part: %t", has)
 			}
-			if !budgets.Left(now.Add(10*time.Second), "names") {
+			if !budgets.Available(now.Add(10*time.Second), "names") {
 				t.Fatal("it has no part after a window")
 			}
 		})
@@ -106,16 +106,16 @@
 	r := New(Config{})
 	now := time.Now()
 	r.confirmedAt.Store(&now)
-	if r.HostsCounted() {
+	if r.ShareUsable() {
 		t.Fatal("the hosts have not been counted")
 	}
 	r.counted.Store(true)
-	if !r.HostsCounted() {
+	if !r.ShareUsable() {
 		t.Fatal("the hosts have been counted")
 	}
 	before := time.Now().Add(-sharedFor)
 	r.confirmedAt.Store(&before)
-	if r.HostsCounted() {
+	if r.ShareUsable() {
 		t.Fatal("the store has not renewed the record, and a next life may not find it")
 	}
 }
@@ -127,7 +127,7 @@
 	r.counted.Store(true)
 	confirmed := wallclock.ReadBeforeStepBack(time.Now().Add(-sharedFor), time.Hour)
 	r.confirmedAt.Store(&confirmed)
-	if r.HostsCounted() {
+	if r.ShareUsable() {
 		t.Fatalf("the part is used %s after the store renewed the record", sharedFor)
 	}
 }
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -65,11 +65,11 @@
 	Logger *slog.Logger
 	// Self returns what the record says.
 	Self func() member.Host
-	// Learn is given what the hosts' records say.
-	Learn func([]member.Host)
-	// Unused is called if nobody used this host's part of what hosts share, with for how long before
+	// OnHosts is given what the hosts' records say.
+	OnHosts func([]member.Host)
+	// OnShareUnused is called if nobody used this host's part of what hosts share, with for how long before
 	// this start.
-	Unused func(before time.Duration)
+	OnShareUnused func(before time.Duration)
 }
 
 // Record is this host's record in the store.
@@ -98,9 +98,9 @@
 	return lease
 }
 
-// Keep renews the record until ctx ends. After an outage in which the lease ended the record is
+// KeepAlive renews the record until ctx ends. After an outage in which the lease ended the record is
 // written anew at once.
-func (r *Record) Keep(ctx context.Context, lease store.Lease) {
+func (r *Record) KeepAlive(ctx context.Context, lease store.Lease) {
 	for wait.For(ctx, renewEvery) {
 		var lapsed bool
 		var asked time.Time
@@ -164,7 +164,7 @@
 		return err
 	}
 	if !r.foundOwn.Swap(true) && r.config.FirstStart {
-		r.config.Unused(leaseFor - sharedFor)
+		r.config.OnShareUnused(leaseFor - sharedFor)
 	}
 	return nil
 }
@@ -177,7 +177,7 @@
 		return err
 	})
 	if answered {
-		r.config.Learn(decodeRecords(batch.Items, r.logRefused))
+		r.config.OnHosts(decodeRecords(batch.Items, r.logRefused))
 	}
 }
 
--- a/internal/record/share.go
+++ b/internal/record/share.go
@@ -39,16 +39,16 @@
 	r.counted.Store(true)
 	changed()
 	for used := true; wait.For(ctx, sharedCheckEvery); {
-		if now := r.HostsCounted(); now != used {
+		if now := r.ShareUsable(); now != used {
 			used = now
 			changed()
 		}
 	}
 }
 
-// HostsCounted reports whether this daemon may use its part of what the hosts share: it knows how many
+// ShareUsable reports whether this daemon may use its part of what the hosts share: it knows how many
 // they are, and the store has had its record for most of the time.
-func (r *Record) HostsCounted() bool {
+func (r *Record) ShareUsable() bool {
 	confirmed := r.confirmedAt.Load()
 	return r.counted.Load() && confirmed != nil && time.Since(*confirmed) < sharedFor
 }
@@ -66,7 +66,7 @@
 	_, err := r.config.Store.Commit(ctx, claim)
 	switch {
 	case err == nil:
-		r.config.Unused(neverUsed)
+		r.config.OnShareUnused(neverUsed)
 	case !errors.Is(err, store.ErrConflict):
 		r.config.Health.Failed(err) // a start that cannot tell waits like a later one
 	}
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -22,8 +22,8 @@
 	oneRetry = 1
 )
 
-// Size is how many retries a service may have.
-type Size struct {
+// Limit is how many retries a service may have.
+type Limit struct {
 	// Share is the retries as a share of the service's requests, from 0 to 1.
 	Share float64
 	// Slack is how many retries beyond that the service may get in a window.
@@ -38,7 +38,7 @@
 // Budget bounds the retries of one service that one daemon answers for. It allows nothing until
 // Resize.
 type Budget struct {
-	size           Size
+	size           Limit
 	hosts          int // the most that were ever known
 	began          time.Time
 	slackUnusedFor time.Duration // before the daemon began
@@ -55,7 +55,7 @@
 func (b *Budget) Clear(before time.Duration) { b.slackUnusedFor = before }
 
 // Resize puts a new size in force. What was counted stays; if the window changes, the budget begins anew.
-func (b *Budget) Resize(now time.Time, size Size) {
+func (b *Budget) Resize(now time.Time, size Limit) {
 	if b.size.Window != size.Window {
 		b.counted = window{length: size.Window}
 	}
@@ -67,7 +67,7 @@
 }
 
 // Suspend allows nothing until Resize; what was counted stays.
-func (b *Budget) Suspend() { b.size = Size{Window: b.size.Window} }
+func (b *Budget) Suspend() { b.size = Limit{Window: b.size.Window} }
 
 // Empty reports whether nothing was counted for two windows, and nothing is on its way.
 func (b *Budget) Empty(now time.Time) bool {
--- a/internal/retry/budget_test.go
+++ b/internal/retry/budget_test.go
@@ -14,7 +14,7 @@
 // budgetPlay plays one budget and counts as users do.
 type budgetPlay struct {
 	budget   *retry.Budget
-	size     retry.Size
+	size     retry.Limit
 	now      time.Time
 	requests []time.Time
 	retries  []time.Time // when they arrived
@@ -23,7 +23,7 @@
 
 // newBudgetPlay plays a drawn size.
 func newBudgetPlay(t *rapid.T) *budgetPlay {
-	p := &budgetPlay{now: epoch, size: retry.Size{
+	p := &budgetPlay{now: epoch, size: retry.Limit{
 		Share:  rapid.Float64Range(0, 1).Draw(t, "share"),
 		Slack:  rapid.Float64Range(0, 100).Draw(t, "slack"),
 		Window: time.Duration(rapid.IntRange(1, 10).Draw(t, "window")) * time.Second,
@@ -109,7 +109,7 @@
 // newKovacsBudget returns a budget of a host among 21 that has been there for a window.
 func newKovacsBudget() (*retry.Budget, time.Time) {
 	b := retry.NewBudget(epoch)
-	b.Resize(epoch, retry.Size{Share: 0.2, Slack: 56, Window: 10 * time.Second, Hosts: 21})
+	b.Resize(epoch, retry.Limit{Share: 0.2, Slack: 56, Window: 10 * time.Second, Hosts: 21})
 	return b, epoch.Add(10 * time.Second)
 }
 
@@ -159,7 +159,7 @@
 	now := epoch
 	for range 20 {
 		b := retry.NewBudget(now)
-		b.Resize(epoch, retry.Size{Share: 0.2, Slack: 56, Window: 10 * time.Second, Hosts: 1})
+		b.Resize(epoch, retry.Limit{Share: 0.2, Slack: 56, Window: 10 * time.Second, Hosts: 1})
 		now = now.Add(9 * time.Second)
 		if b.Left(now) > 0 {
 			t.Fatal("a start has a part of the slack")
@@ -172,7 +172,7 @@
 	for before, wait := range map[time.Duration]time.Duration{0: 10 * time.Second, 4 * time.Second: 6 * time.Second, time.Minute: 0} {
 		b := retry.NewBudget(epoch)
 		b.Clear(before)
-		b.Resize(epoch, retry.Size{Share: 0.2, Slack: 56, Window: 10 * time.Second, Hosts: 21})
+		b.Resize(epoch, retry.Limit{Share: 0.2, Slack: 56, Window: 10 * time.Second, Hosts: 21})
 		if wait > 0 && b.Left(epoch.Add(wait-time.Second)) > 0 {
 			t.Errorf("cleared for %v: it has a part within %v", before, wait)
 		}
@@ -200,7 +200,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			b := retry.NewBudget(epoch)
 			for _, hosts := range test.hosts {
-				b.Resize(epoch, retry.Size{Share: 0.2, Slack: 56, Window: 10 * time.Second, Hosts: hosts})
+				b.Resize(epoch, retry.Limit{Share: 0.2, Slack: 56, Window: 10 * time.Second, Hosts: hosts})
 			}
 			if taken := takeAll(b, epoch.Add(time.Minute)); taken != test.want {
 				t.Fatalf("%d repeats without a request, want %d", taken, test.want)
@@ -211,7 +211,7 @@
 
 func TestWithoutASizeNothingIsAllowed(t *testing.T) {
 	b := retry.NewBudget(epoch)
-	b.Resize(epoch, retry.Size{Share: 1, Slack: 1, Window: time.Nanosecond, Hosts: 1})
+	b.Resize(epoch, retry.Limit{Share: 1, Slack: 1, Window: time.Nanosecond, Hosts: 1})
 	b.Earn(epoch)
 	b.End(epoch, false)
 	if b.Left(epoch) > 0 || b.Take(epoch.Add(time.Hour)) {
--- a/internal/retry/budgets.go
+++ b/internal/retry/budgets.go
@@ -51,8 +51,8 @@
 
 // Config tells whose budgets it is.
 type Config struct {
-	// Began is when the daemon began.
-	Began time.Time
+	// StartedAt is when the daemon began.
+	StartedAt time.Time
 	// Borrows says that other hosts can be asked for retries.
 	Borrows bool
 }
@@ -63,7 +63,7 @@
 	config Config
 
 	mu      sync.Mutex
-	sizes   map[string]Size
+	sizes   map[string]Limit
 	budgets map[string]*Budget
 	running map[string]*running  // by id
 	lent    []lent               // the oldest first
@@ -79,13 +79,13 @@
 func NewBudgets(config Config) *Budgets {
 	return &Budgets{
 		config: config, budgets: make(map[string]*Budget), running: make(map[string]*running), refused: make(map[string]time.Time),
-		calls: make(map[callPath]int), callsBefore: make(map[callPath]int), callsSince: config.Began,
+		calls: make(map[callPath]int), callsBefore: make(map[callPath]int), callsSince: config.StartedAt,
 	}
 }
 
-// Resize puts the limits of the services in force. One that is no longer declared has no retries; its budget
+// SetLimits puts the limits of the services in force. One that is no longer declared has no retries; its budget
 // is kept until it is empty, so that a service that is declared again has nothing twice.
-func (b *Budgets) Resize(now time.Time, sizes map[string]Size) {
+func (b *Budgets) SetLimits(now time.Time, sizes map[string]Limit) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.sizes = sizes
@@ -102,9 +102,9 @@
 	}
 }
 
-// Clear records that no daemon of this host used its part of the slack for that long before this one
+// SetSlackUnused records that no daemon of this host used its part of the slack for that long before this one
 // began.
-func (b *Budgets) Clear(before time.Duration) {
+func (b *Budgets) SetSlackUnused(before time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.slackUnusedFor = before
@@ -117,23 +117,23 @@
 func (b *Budgets) budget(service string) *Budget {
 	budget, ok := b.budgets[service]
 	if !ok {
-		budget = NewBudget(b.config.Began)
+		budget = NewBudget(b.config.StartedAt)
 		budget.Clear(b.slackUnusedFor)
-		budget.Resize(b.config.Began, b.sizes[service])
+		budget.Resize(b.config.StartedAt, b.sizes[service])
 		b.budgets[service] = budget
 	}
 	return budget
 }
 
-// Request counts a request to the service that begins on the host.
-func (b *Budgets) Request(now time.Time, service string) {
+// RecordRequest counts a request to the service that begins on the host.
+func (b *Budgets) RecordRequest(now time.Time, service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.budget(service).Earn(now)
 }
 
-// Left reports whether a retry may be taken.
-func (b *Budgets) Left(now time.Time, service string) bool {
+// Available reports whether a retry may be taken.
+func (b *Budgets) Available(now time.Time, service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.endLent(now)
--- a/internal/retry/budgets_test.go
+++ b/internal/retry/budgets_test.go
@@ -11,12 +11,12 @@
 // newTestBudgets returns the budgets of a host on which two hundred requests to each service have begun, so
 // that each has ten retries.
 func newTestBudgets() *retry.Budgets {
-	b := retry.NewBudgets(retry.Config{Began: epoch})
-	size := retry.Size{Share: 0.2, Window: 10 * time.Second, Hosts: 1}
-	b.Resize(epoch, map[string]retry.Size{"search": size, "names": size, "prices": size})
+	b := retry.NewBudgets(retry.Config{StartedAt: epoch})
+	size := retry.Limit{Share: 0.2, Window: 10 * time.Second, Hosts: 1}
+	b.SetLimits(epoch, map[string]retry.Limit{"search": size, "names": size, "prices": size})
 	for range 200 {
-		b.Request(epoch, "search")
-		b.Request(epoch, "names")
+		b.RecordRequest(epoch, "search")
+		b.RecordRequest(epoch, "names")
 	}
 	return b
 }
@@ -45,23 +45,23 @@
 		}
 	}
 	step("before", 10)
-	b.Begin(epoch, first, nil)
-	b.Call(epoch, first, "names")
-	b.Finish(epoch, first)
+	b.BeginRun(epoch, first, nil)
+	b.RecordCall(epoch, first, "names")
+	b.FinishRun(epoch, first)
 	step("a first run has called", 10)
-	b.Begin(epoch, retried, nil)
+	b.BeginRun(epoch, retried, nil)
 	step("a repeat runs", 9)
-	b.Call(epoch, retried, "names")
+	b.RecordCall(epoch, retried, "names")
 	step("it has called", 9)
-	b.Call(epoch, retried, "names")
+	b.RecordCall(epoch, retried, "names")
 	step("it has called once more than any before", 8)
 	b.End(epoch, "names", true)
 	b.End(epoch, "names", false)
-	b.Finish(epoch, retried)
+	b.FinishRun(epoch, retried)
 	step("it has ended, and one of its calls was not sent", 9)
-	b.Begin(epoch, retried, nil)
+	b.BeginRun(epoch, retried, nil)
 	step("the next repeat may call twice", 7)
-	b.Finish(epoch, retried)
+	b.FinishRun(epoch, retried)
 	step("it has not called", 9)
 }
 
@@ -70,20 +70,20 @@
 func TestCallsOfAnotherService(t *testing.T) {
 	b := newTestBudgets()
 	retried := runs.Run{ID: "r", Service: "search", Retry: true}
-	if !b.Begin(epoch, retried, nil) {
+	if !b.BeginRun(epoch, retried, nil) {
 		t.Fatal("a repeat of which nobody knows that it calls was refused")
 	}
-	b.Call(epoch, retried, "prices")
+	b.RecordCall(epoch, retried, "prices")
 	b.End(epoch, "prices", true)
-	b.Finish(epoch, retried)
-	if b.Begin(epoch, retried, nil) || b.MayRun(epoch, "search") {
+	b.FinishRun(epoch, retried)
+	if b.BeginRun(epoch, retried, nil) || b.MayRun(epoch, "search") {
 		t.Fatal("a repeat runs without room for its calls")
 	}
 	if !b.MayRun(epoch, "names") {
 		t.Fatal("a repeat of another service is refused")
 	}
 	for range 40 {
-		b.Request(epoch, "prices")
+		b.RecordRequest(epoch, "prices")
 	}
 	if !b.MayRun(epoch, "search") {
 		t.Fatal("a repeat is refused though there is room for its calls")
@@ -103,13 +103,13 @@
 	const window = 10 * time.Second
 	until := epoch.Add(retry.LentFor(window))
 	for now := epoch; now.Before(until.Add(window)); now = now.Add(window / 8) {
-		if b.Request(now, "search"); b.Lend(now, "names") {
+		if b.RecordRequest(now, "search"); b.Lend(now, "names") {
 			t.Fatalf("more is lent after %v, though what was lent may have been made within a window", now.Sub(epoch))
 		}
 	}
 	now := until.Add(window + window/8)
 	for range 60 {
-		b.Request(now, "names")
+		b.RecordRequest(now, "names")
 	}
 	for n := range 4 {
 		if b.Lend(now, "names") != (n < 3) {
@@ -122,8 +122,8 @@
 func TestWhatRunsCallIsForgotten(t *testing.T) {
 	b := newTestBudgets()
 	run := runs.Run{ID: "a", Service: "search"}
-	b.Begin(epoch, run, nil)
-	b.Call(epoch, run, "prices")
+	b.BeginRun(epoch, run, nil)
+	b.RecordCall(epoch, run, "prices")
 	for minute, want := range []bool{false, false, true} {
 		if now := epoch.Add(time.Duration(minute) * time.Minute); b.MayRun(now, "search") != want {
 			t.Fatalf("after %d minutes a repeat may run: %t", minute, !want)
@@ -134,10 +134,10 @@
 // TestAServiceThatIsDeclaredAgainHasNothingTwice takes a service out of the declaration and back, within a
 // window and after two.
 func TestAServiceThatIsDeclaredAgainHasNothingTwice(t *testing.T) {
-	size := retry.Size{Share: 0.2, Slack: 8, Window: 10 * time.Second, Hosts: 1}
-	both, one := map[string]retry.Size{"search": size, "names": size}, map[string]retry.Size{"search": size}
-	b := retry.NewBudgets(retry.Config{Began: epoch})
-	b.Resize(epoch, both)
+	size := retry.Limit{Share: 0.2, Slack: 8, Window: 10 * time.Second, Hosts: 1}
+	both, one := map[string]retry.Limit{"search": size, "names": size}, map[string]retry.Limit{"search": size}
+	b := retry.NewBudgets(retry.Config{StartedAt: epoch})
+	b.SetLimits(epoch, both)
 	now := epoch.Add(10 * time.Second)
 	const slack = 6 // three quarters
 	take := func(want int) {
@@ -153,40 +153,40 @@
 		}
 	}
 	take(slack)
-	b.Resize(now, one)
+	b.SetLimits(now, one)
 	take(0)
-	b.Resize(now, both)
+	b.SetLimits(now, both)
 	take(0)
 	for range slack {
 		b.End(now, "names", true)
 	}
-	b.Resize(now, one)
+	b.SetLimits(now, one)
 	now = now.Add(5 * time.Second)
-	b.Resize(now, both)
+	b.SetLimits(now, both)
 	take(0)
-	b.Resize(now, one)
+	b.SetLimits(now, one)
 	now = now.Add(16 * time.Second)
-	b.Resize(now, one)
-	b.Resize(now, both)
+	b.SetLimits(now, one)
+	b.SetLimits(now, both)
 	take(slack)
 }
 
 // TestAnotherWindowBeginsAnew changes the window's length: nobody has a part of the slack before a
 // window is over.
 func TestAnotherWindowBeginsAnew(t *testing.T) {
-	b := retry.NewBudgets(retry.Config{Began: epoch})
-	size := retry.Size{Slack: 8, Window: 10 * time.Second, Hosts: 1}
-	b.Resize(epoch, map[string]retry.Size{"names": size})
+	b := retry.NewBudgets(retry.Config{StartedAt: epoch})
+	size := retry.Limit{Slack: 8, Window: 10 * time.Second, Hosts: 1}
+	b.SetLimits(epoch, map[string]retry.Limit{"names": size})
 	now := epoch.Add(time.Minute)
-	if !b.Left(now, "names") {
+	if !b.Available(now, "names") {
 		t.Fatal("no repeats")
 	}
 	size.Window = 5 * time.Second
-	b.Resize(now, map[string]retry.Size{"names": size})
-	if b.Left(now.Add(4*time.Second), "names") {
+	b.SetLimits(now, map[string]retry.Limit{"names": size})
+	if b.Available(now.Add(4*time.Second), "names") {
 		t.Fatal("repeats within a window of the change")
 	}
-	if !b.Left(now.Add(5*time.Second), "names") {
+	if !b.Available(now.Add(5*time.Second), "names") {
 		t.Fatal("no repeats a window after the change")
 	}
 }
--- a/internal/retry/calls.go
+++ b/internal/retry/calls.go
@@ -36,9 +36,9 @@
 	return true
 }
 
-// Missing returns the services of which a retry has to be borrowed before one of that service runs
+// Shortfall returns the services of which a retry has to be borrowed before one of that service runs
 // here, each as often as that.
-func (b *Budgets) Missing(now time.Time, service string) []string {
+func (b *Budgets) Shortfall(now time.Time, service string) []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.missing(now, service)
@@ -79,10 +79,10 @@
 	b.calls, b.callsBefore, b.callsSince = make(map[callPath]int), b.calls, now
 }
 
-// Begin records that a backend server of the host is sent the request. For a retry it reserves the
+// BeginRun records that a backend server of the host is sent the request. For a retry it reserves the
 // retries that its calls will be, the borrowed ones among them; if they are not left it reports false,
 // and the request must not be sent. One that was begun must be ended with Finish.
-func (b *Budgets) Begin(now time.Time, run runs.Run, borrowed []string) bool {
+func (b *Budgets) BeginRun(now time.Time, run runs.Run, borrowed []string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if run.Retry && len(b.missing(now, run.Service)) > len(borrowed) {
@@ -117,8 +117,8 @@
 	}
 }
 
-// Finish records that a run has ended, and gives back what was reserved for its calls and not used.
-func (b *Budgets) Finish(now time.Time, run runs.Run) {
+// FinishRun records that a run has ended, and gives back what was reserved for its calls and not used.
+func (b *Budgets) FinishRun(now time.Time, run runs.Run) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r, ok := b.running[run.ID]
@@ -137,10 +137,10 @@
 	}
 }
 
-// Call records that a run of the host calls the service, and reports whether the call must be ended
+// RecordCall records that a run of the host calls the service, and reports whether the call must be ended
 // with End. That of a retry draws on what was reserved for it, or on what is left, and is made also if
 // nothing is. That of a first run counts as a request.
-func (b *Budgets) Call(now time.Time, from runs.Run, service string) (mustEnd bool) {
+func (b *Budgets) RecordCall(now time.Time, from runs.Run, service string) (mustEnd bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r, ok := b.running[from.ID]
--- a/internal/retry/daemon_test.go
+++ b/internal/retry/daemon_test.go
@@ -24,7 +24,7 @@
 }
 
 func newSimDaemon(f *simFleet, h *simHost) simDaemon {
-	d := simDaemon{fleet: f, host: h, budgets: retry.NewBudgets(retry.Config{Began: f.now, Borrows: true}), counted: new(int), open: make(map[*simRequest]int), called: make(map[*simRequest]bool)}
+	d := simDaemon{fleet: f, host: h, budgets: retry.NewBudgets(retry.Config{StartedAt: f.now, Borrows: true}), counted: new(int), open: make(map[*simRequest]int), called: make(map[*simRequest]bool)}
 	if f.trouble.hearsLate {
 		d.delay = time.Duration(f.random.IntN(5000)) * time.Millisecond
 	}
@@ -42,7 +42,7 @@
 	if *d.counted > 0 {
 		size.Hosts = max(*d.counted, d.known())
 	}
-	d.budgets.Resize(d.fleet.now, map[string]retry.Size{string(search): size, string(names): size})
+	d.budgets.SetLimits(d.fleet.now, map[string]retry.Limit{string(search): size, string(names): size})
 }
 
 // known returns how many hosts the daemon hears of.
@@ -70,7 +70,7 @@
 // begin takes a request that begins on the host.
 func (d simDaemon) begin(r *simRequest) {
 	if !d.called[r] {
-		d.budgets.Request(d.fleet.now, string(r.service))
+		d.budgets.RecordRequest(d.fleet.now, string(r.service))
 	}
 }
 
@@ -94,13 +94,13 @@
 // begins records that the backend server of the host is sent a retry, and borrows what its calls
 // will need.
 func (d simDaemon) begins(run runs.Run) bool {
-	missing := d.budgets.Missing(d.fleet.now, run.Service)
+	missing := d.budgets.Shortfall(d.fleet.now, run.Service)
 	for _, service := range missing {
 		if !d.borrows(serviceName(service)) {
 			return false
 		}
 	}
-	return d.budgets.Begin(d.fleet.now, run, missing)
+	return d.budgets.BeginRun(d.fleet.now, run, missing)
 }
 
 // borrows asks three other hosts for a retry.
@@ -124,15 +124,15 @@
 func (d simDaemon) run(r *simRequest, again bool) (end func()) {
 	run := runOf(r, again)
 	if !again {
-		d.budgets.Begin(d.fleet.now, run, nil)
+		d.budgets.BeginRun(d.fleet.now, run, nil)
 	}
-	return func() { d.budgets.Finish(d.fleet.now, run) }
+	return func() { d.budgets.FinishRun(d.fleet.now, run) }
 }
 
 // calls records that the run calls a service.
 func (d simDaemon) calls(from, call *simRequest) {
 	d.called[call] = true
-	if d.budgets.Call(d.fleet.now, runOf(from, call.ofRetry), string(call.service)) {
+	if d.budgets.RecordCall(d.fleet.now, runOf(from, call.ofRetry), string(call.service)) {
 		d.open[call]++
 	}
 }
--- a/internal/retry/fleet_test.go
+++ b/internal/retry/fleet_test.go
@@ -257,6 +257,6 @@
 }
 
 // fleetSize is what the limit of a service is, with so many hosts.
-func fleetSize(hosts int) retry.Size {
-	return retry.Size{Share: fleetShare, Slack: fleetSlack, Window: fleetWindow, Hosts: hosts}
+func fleetSize(hosts int) retry.Limit {
+	return retry.Limit{Share: fleetShare, Slack: fleetSlack, Window: fleetWindow, Hosts: hosts}
 }
--- a/internal/sidecar/admit.go
+++ b/internal/sidecar/admit.go
@@ -44,7 +44,7 @@
 	case t.isEjected(now):
 		s.State = t.subject.State(now)
 		s.EjectedFor = t.subject.EjectedFor(now)
-		s.ProbationRuns = t.probationRuns
+		s.ProbationInFlight = t.probationRuns
 	}
 	s.Hanging = m.attempt.RefuseIfHanging && t.suspicion.Hanging(now)
 	s.RetryLeft = m.attempt.Retry && t.config.Retries.MayRun(now, t.declared.Service.Name)
@@ -55,11 +55,11 @@
 // suspicionNow returns what is held against a backend server that is suspected.
 func (t *task) suspicionNow(now time.Time) admission.Suspicion {
 	return admission.Suspicion{
-		Suspected:       true,
-		MostlySlow:      t.suspicion.MostlySlow(),
-		MayProbe:        t.suspicion.MayProbe(now),
-		MayProbeWithAny: t.suspicion.MayProbeWithAny(now),
-		RetryAfter:      t.suspicion.RetryAfter(now),
+		Suspected:             true,
+		MostlySlow:            t.suspicion.MostlySlow(),
+		MayProbe:              t.suspicion.MayProbe(now),
+		MayProbeNonIdempotent: t.suspicion.MayProbeWithAny(now),
+		RetryAfter:            t.suspicion.RetryAfter(now),
 	}
 }
 
--- a/internal/sidecar/eject.go
+++ b/internal/sidecar/eject.go
@@ -34,7 +34,7 @@
 	if t.ledger.MayStayEjected(now, t.declared.Service.Floor) {
 		return true
 	}
-	t.subject.Return(now)
+	t.subject.Reinstate(now)
 	t.backInService("the floor needs it")
 	return false
 }
@@ -50,7 +50,7 @@
 		return
 	}
 	verdict := t.subject.Verdict(now)
-	if !verdict.Sick {
+	if !verdict.Unhealthy {
 		t.stopAsking()
 		t.ejecting.keptBy = ""
 		return
@@ -69,7 +69,7 @@
 		t.renewLeases(now)
 		return
 	}
-	t.subject.Return(now)
+	t.subject.Reinstate(now)
 	t.backInService("the service is not steered here any more")
 }
 
@@ -82,7 +82,7 @@
 		t.recordFloorHeld("the floor needs every backend server", verdict)
 		return
 	}
-	if !t.ledger.BeginAsking(now, verdict.Severity) {
+	if !t.ledger.BeginRequesting(now, verdict.Severity) {
 		t.recordFloorHeld("it granted others leases to keep serving, or has just started", verdict)
 		return
 	}
@@ -93,11 +93,11 @@
 
 // renewLeases asks again for the leases that are needed to stay ejected.
 func (t *task) renewLeases(now time.Time) {
-	if now.Sub(t.ejecting.askedAt) < floor.RenewEvery {
+	if now.Sub(t.ejecting.askedAt) < floor.RenewInterval {
 		return
 	}
 	holding := make(map[string]bool)
-	for _, name := range t.ledger.Holding(now) {
+	for _, name := range t.ledger.Grantors(now) {
 		holding[name] = true
 	}
 	var needed []fleet.Placement
@@ -120,8 +120,8 @@
 // the try once all have answered.
 func (t *task) ejectIfAllowed(now time.Time) {
 	verdict := t.subject.Verdict(now)
-	verdict.Sick = verdict.Sick && t.isOutlier()
-	if verdict.Sick && t.ledger.Eject(now, t.declared.Service.Floor) {
+	verdict.Unhealthy = verdict.Unhealthy && t.isOutlier()
+	if verdict.Unhealthy && t.ledger.Eject(now, t.declared.Service.Floor) {
 		t.ejecting.open = false
 		t.ejecting.keptBy = ""
 		t.subject.Eject(now)
@@ -137,9 +137,9 @@
 		pause = suspectedTryPause
 	}
 	t.ejecting.notBefore = now.Add(pause + rand.N(pause))
-	kept := fmt.Sprintf("%d leases to keep serving, floor %d", len(t.ledger.Holding(now)), t.declared.Service.Floor)
+	kept := fmt.Sprintf("%d leases to keep serving, floor %d", len(t.ledger.Grantors(now)), t.declared.Service.Floor)
 	t.stopAsking()
-	if verdict.Sick {
+	if verdict.Unhealthy {
 		t.recordFloorHeld(kept, verdict)
 	}
 }
@@ -172,7 +172,7 @@
 func (t *task) describeFloor(now time.Time) string {
 	need := t.declared.Service.Floor
 	if t.subject.State(now) != detect.Serving {
-		return fmt.Sprintf("floor %d: ejected with %d leases of others to serve", need, len(t.ledger.Holding(now)))
+		return fmt.Sprintf("floor %d: ejected with %d leases of others to serve", need, len(t.ledger.Grantors(now)))
 	}
 	if t.ejecting.keptBy != "" {
 		return fmt.Sprintf("floor %d: kept in service: %s", need, t.ejecting.keptBy)
--- a/internal/sidecar/ends.go
+++ b/internal/sidecar/ends.go
@@ -47,7 +47,7 @@
 // quarantined reports whether the request is quarantined, and returns its fingerprint if it is.
 func (s *Sidecar) quarantined(call hop.Call, in *http.Request) (string, bool) {
 	q := s.config.Quarantine
-	if q == nil || q.Quiet() {
+	if q == nil || q.Empty() {
 		return "", false
 	}
 	status, id := q.Status(s.fingerprintOf(in, call.Body.First))
@@ -62,7 +62,7 @@
 // suspicion or quarantine of that request.
 func (s *Sidecar) recordAnswered(server *server, call hop.Call, in *http.Request) {
 	server.recordAlive()
-	if q := s.config.Quarantine; q != nil && !q.Quiet() {
+	if q := s.config.Quarantine; q != nil && !q.Empty() {
 		q.RecordAnswer(s.fingerprintOf(in, call.Body.TryFirst))
 	}
 }
--- a/internal/sidecar/lease.go
+++ b/internal/sidecar/lease.go
@@ -105,7 +105,7 @@
 // first.
 func (t *task) trimLeases(now time.Time) {
 	healthy := func(name string) bool { return !t.ejecting.summaries[name].Suspect }
-	t.giveBack(t.ledger.Trim(now, t.declared.Service.Floor, healthy))
+	t.giveBack(t.ledger.ReleaseSurplus(now, t.declared.Service.Floor, healthy))
 }
 
 // giveBack gives leases back to those who gave them.
@@ -128,7 +128,7 @@
 func (t *task) answerRequest(now time.Time, r floor.Request) LeaseAnswer {
 	t.isEjected(now)
 	dead := t.subject.Verdict(now).Cause == detect.CauseRefuses
-	cold := t.subject.Share(now) < 1
+	cold := t.subject.TrafficShare(now) < 1
 	t.ledger.SetUnable(t.isDraining(now) || dead || cold)
 	since := now.Add(-time.Duration(r.SuspectedFor) * time.Millisecond)
 	return LeaseAnswer{Refusal: t.ledger.Answer(now, r), Summary: t.subject.Summary(since)}
--- a/internal/sidecar/retries_test.go
+++ b/internal/sidecar/retries_test.go
@@ -14,14 +14,14 @@
 // its host's budgets, in which no request to names has been counted but these.
 func newCallingTask(now time.Time) (*task, *retry.Budgets) {
 	t := newTestTask()
-	budgets := retry.NewBudgets(retry.Config{Began: now})
-	size := retry.Size{Share: 0.2, Window: 10 * time.Second, Hosts: 1}
-	budgets.Resize(now, map[string]retry.Size{t.declared.Service.Name: size, "names": size})
+	budgets := retry.NewBudgets(retry.Config{StartedAt: now})
+	size := retry.Limit{Share: 0.2, Window: 10 * time.Second, Hosts: 1}
+	budgets.SetLimits(now, map[string]retry.Limit{t.declared.Service.Name: size, "names": size})
 	run := runs.Run{ID: "a", Service: t.declared.Service.Name}
-	budgets.Begin(now, run, nil)
-	budgets.Call(now, run, "names")
-	budgets.Call(now, run, "names")
-	budgets.Finish(now, run)
+	budgets.BeginRun(now, run, nil)
+	budgets.RecordCall(now, run, "names")
+	budgets.RecordCall(now, run, "names")
+	budgets.FinishRun(now, run)
 	t.config.Retries = budgets
 	return t, budgets
 }
@@ -47,7 +47,7 @@
 	}
 	const requests = 40 // a quarter of a fifth of them is two retries
 	for range requests {
-		budgets.Request(now, "names")
+		budgets.RecordRequest(now, "names")
 	}
 	if g := offer(calling, now, 3, hop.Call{Retry: true}); g.err != nil {
 		t.Fatalf("a repeat with room for its calls was refused: %v", g.err)
@@ -60,16 +60,16 @@
 	now := time.Now()
 	calling, budgets := newCallingTask(now)
 	for range 40 {
-		budgets.Request(now, "names")
+		budgets.RecordRequest(now, "names")
 	}
 	run := runs.Run{ID: "b", Service: calling.declared.Service.Name, Retry: true}
-	if !budgets.Begin(now, run, nil) || budgets.Left(now, "names") {
+	if !budgets.BeginRun(now, run, nil) || budgets.Available(now, "names") {
 		t.Fatal("what a repeat may call is not kept for it")
 	}
 	if g := offer(calling, now, 1, hop.Call{Retry: true}); g.err == nil {
 		t.Fatal("another repeat got what is kept")
 	}
-	budgets.Finish(now, run)
+	budgets.FinishRun(now, run)
 	if g := offer(calling, now, 2, hop.Call{Retry: true}); g.err != nil {
 		t.Fatalf("what was kept is not left again: %v", g.err)
 	}
--- a/internal/sidecar/runs.go
+++ b/internal/sidecar/runs.go
@@ -28,12 +28,12 @@
 	run := runs.Run{ID: id, Service: server.declared.Load().Service.Name, Retry: call.Retry}
 	borrowed, ok := s.borrowFor(ctx, run)
 	now := time.Now()
-	if !ok || !s.config.Retries.Begin(now, run, borrowed) {
+	if !ok || !s.config.Retries.BeginRun(now, run, borrowed) {
 		return nil, result.New(result.RetryLimit)
 	}
 	s.config.Runs.Begin(now, run)
 	server.sendings.count(run)
-	return func() { s.config.Retries.Finish(time.Now(), run) }, nil
+	return func() { s.config.Retries.FinishRun(time.Now(), run) }, nil
 }
 
 // borrowFor borrows the retries that are missing for the calls of a retry and returns the services they
@@ -42,7 +42,7 @@
 	if !run.Retry || s.config.BorrowRetry == nil {
 		return nil, true
 	}
-	for _, service := range s.config.Retries.Missing(time.Now(), run.Service) {
+	for _, service := range s.config.Retries.Shortfall(time.Now(), run.Service) {
 		if !s.config.BorrowRetry(ctx, service) {
 			return nil, false
 		}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -114,7 +114,7 @@
 		config.Runs = runs.New()
 	}
 	if config.Retries == nil {
-		config.Retries = retry.NewBudgets(retry.Config{Began: time.Now()})
+		config.Retries = retry.NewBudgets(retry.Config{StartedAt: time.Now()})
 	}
 	s := &Sidecar{
 		config:       config,
--- a/internal/sidecar/slot.go
+++ b/internal/sidecar/slot.go
@@ -37,7 +37,7 @@
 	s.others = others
 	s.started = time.Now()
 	s.watch.begin(s.server, call.SlowAfter)
-	limit := s.server.declared.Load().rules.OverdueLimit(others.Typical)
+	limit := s.server.declared.Load().rules.OverdueLimit(others.TypicalLatency)
 	if limit > 0 {
 		s.overdue = time.AfterFunc(limit, s.reportOverdue)
 	}
@@ -50,7 +50,7 @@
 
 // answered observes the head of the answer.
 func (s *slot) answered(response *http.Response) {
-	s.observation.Outcome, s.isEvidence = detect.FromAnswer(response)
+	s.observation.Outcome, s.isEvidence = detect.OutcomeFromResponse(response)
 	s.stopClock()
 	if response.Header.Get(s.server.declared.Load().Service.DrainingHeader) != "" {
 		s.server.send(selfDrainMessage{})
@@ -70,13 +70,13 @@
 func (s *slot) isSlow() bool { return s.slowAfter > 0 && time.Since(s.started) >= s.slowAfter }
 
 func (s *slot) stopClock() {
-	s.observation.Took = time.Since(s.started)
+	s.observation.Latency = time.Since(s.started)
 	if s.overdue != nil {
 		s.overdue.Stop()
 	}
 	s.watch.end()
 	s.observation.WasOverdue = s.wasOverdue.Load()
-	s.observation.PastTarget = s.target > 0 && s.observation.Took > s.target
+	s.observation.PastTarget = s.target > 0 && s.observation.Latency > s.target
 	if s.isEvidence && !s.probation {
 		s.server.send(observeMessage{observation: s.observation, others: s.others})
 	}
--- a/internal/sidecar/slots.go
+++ b/internal/sidecar/slots.go
@@ -11,7 +11,7 @@
 // size is the backend server's slots, fewer for a while after a return.
 func (t *task) size(now time.Time) admission.Config {
 	size := t.declared.size()
-	if share := t.subject.Share(now); share > 0 {
+	if share := t.subject.TrafficShare(now); share > 0 {
 		size.Slots = max(1, int(math.Ceil(float64(size.Slots)*share)))
 	}
 	return size
@@ -38,12 +38,12 @@
 // has ended.
 func (t *task) recordSlow(now time.Time, m slowMessage) {
 	if m.ended {
-		t.queue.Unstalled()
-		t.suspicion.SlowRequestEnded(now, m.began)
+		t.queue.UnmarkStalled()
+		t.suspicion.RecordSlowRequestEnd(now, m.began)
 		return
 	}
-	t.queue.Stalled()
-	t.suspicion.SlowRequest(m.began)
+	t.queue.MarkStalled()
+	t.suspicion.RecordSlowRequest(m.began)
 }
 
 // answerWaiting answers waiting requests: those that got a slot, and those whose deadline
--- a/internal/sidecar/suspicion.go
+++ b/internal/sidecar/suspicion.go
@@ -21,22 +21,22 @@
 	switch saw.Outcome {
 	case detect.OK:
 		if !saw.WasOverdue && !saw.PastTarget {
-			t.recordGood(now, now.Add(-saw.Took))
+			t.recordGood(now, now.Add(-saw.Latency))
 			return
 		}
-		begins = t.suspicion.RecordSlowness(now, suspicion.Slow)
-	case detect.Refused, detect.Lost:
-		begins = t.suspicion.RecordFailure(now, suspicion.Broken)
+		begins = t.suspicion.RecordSlowness(now, suspicion.SlowWeight)
+	case detect.ConnectionRefused, detect.ConnectionLost:
+		begins = t.suspicion.RecordFailure(now, suspicion.BrokenConnectionWeight)
 	case detect.Error:
-		if weight := suspicion.FailureWeight(others.Failure); weight > 0 { // else the others fail as much
+		if weight := suspicion.ScaledErrorWeight(others.Failure); weight > 0 { // else the others fail as much
 			begins = t.suspicion.RecordFailure(now, weight)
 		}
 	case detect.TimedOut, detect.Overdue:
-		begins = t.suspicion.RecordSlowness(now, suspicion.Overdue)
+		begins = t.suspicion.RecordSlowness(now, suspicion.OverdueWeight)
 	}
 	if begins {
 		t.log(event.ServerSuspected, "outcome", saw.Outcome, "mostly_late", t.suspicion.MostlySlow(),
-			"others_failing", others.Failure, "others_known", others.Typical > 0)
+			"others_failing", others.Failure, "others_known", others.TypicalLatency > 0)
 		t.refuseWaiting(now)
 	}
 }
@@ -51,7 +51,7 @@
 
 // recordGood records an answer within its latency target to a request that began then.
 func (t *task) recordGood(now, began time.Time) {
-	if t.suspicion.RecordGood(now, began) {
+	if t.suspicion.RecordSuccess(now, began) {
 		t.trust(now)
 	}
 }
@@ -59,8 +59,8 @@
 // slotGiven records that a request was given a slot.
 func (t *task) slotGiven(now time.Time) {
 	if t.suspicion.Suspected() {
-		t.suspicion.ProbeSent(now)
-		t.log(event.ServerProbed, "good", t.suspicion.GoodInARow())
+		t.suspicion.RecordProbe(now)
+		t.log(event.ServerProbed, "good", t.suspicion.ConsecutiveSuccesses())
 	}
 }
 
@@ -78,7 +78,7 @@
 	t.config.Peer.Trusted(slices.Collect(maps.Keys(t.refusedHosts)), t.declared.BackendServer.Name)
 	clear(t.refusedHosts)
 	if t.subject.State(now) != detect.Serving {
-		t.subject.Restore(now)
+		t.subject.ReinstateFully(now)
 		t.backInService("answered well while it was suspected")
 	}
 }
--- a/internal/sidecar/suspicion_test.go
+++ b/internal/sidecar/suspicion_test.go
@@ -39,7 +39,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			task := newTestTask()
-			others := detect.Baseline{Failure: test.othersFailing, Typical: 100 * time.Millisecond}
+			others := detect.Baseline{Failure: test.othersFailing, TypicalLatency: 100 * time.Millisecond}
 			for range 20 {
 				task.recordSuspicion(now, detect.Observation{Outcome: detect.Error}, others)
 			}
@@ -54,7 +54,7 @@
 // cause.
 func TestBrokenConnectionsAlwaysBeginSuspicion(t *testing.T) {
 	task := newTestTask()
-	task.recordSuspicion(time.Now(), detect.Observation{Outcome: detect.Lost}, detect.Baseline{Failure: 1})
+	task.recordSuspicion(time.Now(), detect.Observation{Outcome: detect.ConnectionLost}, detect.Baseline{Failure: 1})
 	if !task.suspicion.Suspected() {
 		t.Fatal("a broken connection is not taken for one")
 	}
--- a/internal/sidecar/usage_test.go
+++ b/internal/sidecar/usage_test.go
@@ -19,7 +19,7 @@
 		useGood:      {isEvidence: true, observation: saw(detect.OK, false)},
 		useLate:      {isEvidence: true, observation: saw(detect.OK, true)},
 		useFailed:    {isEvidence: true, observation: saw(detect.Error, false)},
-		useLost:      {isEvidence: true, observation: saw(detect.Lost, false)},
+		useLost:      {isEvidence: true, observation: saw(detect.ConnectionLost, false)},
 		useOverdue:   {isEvidence: true, observation: saw(detect.TimedOut, true)},
 		useCancelled: {},
 		useReserved:  {},
--- a/internal/suspicion/hanging.go
+++ b/internal/suspicion/hanging.go
@@ -11,18 +11,18 @@
 	lastGoodFrom time.Time // when the latest request that was answered well began
 }
 
-// SlowRequest records that a running request which began then has outlasted nearly all others
+// RecordSlowRequest records that a running request which began then has outlasted nearly all others
 // of its route.
-func (s *Suspicion) SlowRequest(began time.Time) {
+func (s *Suspicion) RecordSlowRequest(began time.Time) {
 	s.hanging.slowRunning++
 	if began.After(s.hanging.lastSlowFrom) {
 		s.hanging.lastSlowFrom = began
 	}
 }
 
-// SlowRequestEnded records that a slow request which began then has ended. It counts for as
+// RecordSlowRequestEnd records that a slow request which began then has ended. It counts for as
 // long again as it ran: after that a request has to find out, where nothing else does.
-func (s *Suspicion) SlowRequestEnded(now, began time.Time) {
+func (s *Suspicion) RecordSlowRequestEnd(now, began time.Time) {
 	s.hanging.slowRunning--
 	if until := now.Add(now.Sub(began)); until.After(s.hanging.slowUntil) {
 		s.hanging.slowUntil = until
--- a/internal/suspicion/suspicion.go
+++ b/internal/suspicion/suspicion.go
@@ -37,22 +37,22 @@
 
 // The weights of bad outcomes; a sum of suspectedFrom makes a backend server suspected.
 const (
-	// Broken is the weight of a connection that broke or an answer that was spoilt: one is
+	// BrokenConnectionWeight is the weight of a connection that broke or an answer that was spoilt: one is
 	// enough. Source: a backend server that is well breaks less than one in a thousand. Of
 	// 2,750 requests 585 met one that broke six in seven connections for nine seconds, while
 	// the evidence of package detect took seconds.
-	Broken = 1.0
-	// Failed is the weight of an answer that says that the backend server failed. Source:
+	BrokenConnectionWeight = 1.0
+	// ErrorWeight is the weight of an answer that says that the backend server failed. Source:
 	// about one in eighty does at one that is well, so that two in a row are chance once in
 	// six thousand.
-	Failed = 0.5
-	// Overdue is the weight of a request that takes far longer than others. Not measured: as
+	ErrorWeight = 0.5
+	// OverdueWeight is the weight of a request that takes far longer than others. Not measured: as
 	// much as a failed answer, so that two are enough.
-	Overdue = 0.5
-	// Slow is the weight of a good answer that took longer than its route's target, or to a
+	OverdueWeight = 0.5
+	// SlowWeight is the weight of a good answer that took longer than its route's target, or to a
 	// request that was overdue before. Source: at a backend server that is well a few in a
 	// hundred take that long, three in a row hardly ever.
-	Slow = 0.4
+	SlowWeight = 0.4
 
 	// suspectedFrom is the sum from which a backend server is suspected.
 	suspectedFrom = 1.0
@@ -94,12 +94,12 @@
 	anyProbeAgain = 500 * time.Millisecond
 )
 
-// FailureWeight is the weight of an answer that says that the backend server failed where that
+// ScaledErrorWeight is the weight of an answer that says that the backend server failed where that
 // share of the others' answers says so too. What fails everywhere is a service that they all
 // call, or the requests; suspecting them all would leave nobody to serve.
-func FailureWeight(othersFailing float64) float64 {
+func ScaledErrorWeight(othersFailing float64) float64 {
 	own := (commonFailing - othersFailing) / (commonFailing - usualFailing)
-	return Failed * max(0, min(1, own))
+	return ErrorWeight * max(0, min(1, own))
 }
 
 // Suspicion is what is held against one backend server.
@@ -130,7 +130,7 @@
 // it.
 func (s *Suspicion) RecordFailure(now time.Time, weight float64) bool {
 	s.sum += weight
-	s.broke = weight >= Broken
+	s.broke = weight >= BrokenConnectionWeight
 	s.probed = time.Time{}
 	s.survived = 0
 	if s.suspected {
@@ -152,9 +152,9 @@
 	s.probeAt = now.Add(pause)
 }
 
-// RecordGood records a good answer to a request that began then and reports whether suspicion
+// RecordSuccess records a good answer to a request that began then and reports whether suspicion
 // ends with it.
-func (s *Suspicion) RecordGood(now, began time.Time) bool {
+func (s *Suspicion) RecordSuccess(now, began time.Time) bool {
 	s.sum *= keptByGood
 	s.slow *= keptByGood
 	s.hanging.recordGood(began)
@@ -200,8 +200,8 @@
 // before it is too late; where requests fail at once each costs a retry.
 func (s *Suspicion) MostlySlow() bool { return 2*s.slow > s.sum }
 
-// GoodInARow returns how many good probes in a row there were.
-func (s *Suspicion) GoodInARow() int { return s.good }
+// ConsecutiveSuccesses returns how many good probes in a row there were.
+func (s *Suspicion) ConsecutiveSuccesses() int { return s.good }
 
 // MayProbe reports whether an idempotent request may be sent as a probe.
 func (s *Suspicion) MayProbe(now time.Time) bool { return !now.Before(s.probeAt) }
@@ -216,8 +216,8 @@
 	return !now.Before(s.probeAt.Add(after))
 }
 
-// ProbeSent records that a probe was given a slot.
-func (s *Suspicion) ProbeSent(now time.Time) {
+// RecordProbe records that a probe was given a slot.
+func (s *Suspicion) RecordProbe(now time.Time) {
 	s.probeAt = now.Add(probeLasts)
 	s.probed = now
 }
--- a/internal/suspicion/suspicion_test.go
+++ b/internal/suspicion/suspicion_test.go
@@ -12,7 +12,7 @@
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func TestWhatBeginsSuspicion(t *testing.T) {
-	good := func(s *suspicion.Suspicion) { s.RecordGood(epoch, epoch) }
+	good := func(s *suspicion.Suspicion) { s.RecordSuccess(epoch, epoch) }
 	bad := func(weight float64) func(*suspicion.Suspicion) {
 		return func(s *suspicion.Suspicion) { s.RecordFailure(epoch, weight) }
 	}
@@ -22,18 +22,18 @@
 		want  bool
 	}{
 		{"nothing", nil, false},
-		{"one broken connection", []func(*suspicion.Suspicion){bad(suspicion.Broken)}, true},
-		{"one failure", []func(*suspicion.Suspicion){bad(suspicion.Failed)}, false},
-		{"two failures in a row", []func(*suspicion.Suspicion){bad(suspicion.Failed), bad(suspicion.Failed)}, true},
-		{"two failures with a good answer between", []func(*suspicion.Suspicion){bad(suspicion.Failed), good, bad(suspicion.Failed)}, false},
-		{"one overdue and slow", []func(*suspicion.Suspicion){bad(suspicion.Overdue), bad(suspicion.Slow)}, false},
-		{"two slow", []func(*suspicion.Suspicion){bad(suspicion.Slow), bad(suspicion.Slow)}, false},
-		{"three slow in a row", []func(*suspicion.Suspicion){bad(suspicion.Slow), bad(suspicion.Slow), bad(suspicion.Slow)}, true},
-		{"two in a row overdue and slow", []func(*suspicion.Suspicion){bad(suspicion.Overdue), bad(suspicion.Slow), bad(suspicion.Overdue), bad(suspicion.Slow)}, true},
-		{"by turns slow and good", []func(*suspicion.Suspicion){bad(suspicion.Overdue), bad(suspicion.Slow), good, bad(suspicion.Overdue), good}, false},
-		{"two good answers after", []func(*suspicion.Suspicion){bad(suspicion.Broken), good, good}, true},
-		{"three good answers after", []func(*suspicion.Suspicion){bad(suspicion.Broken), good, good, good}, false},
-		{"a failure among them", []func(*suspicion.Suspicion){bad(suspicion.Broken), good, good, bad(suspicion.Failed), good}, true},
+		{"one broken connection", []func(*suspicion.Suspicion){bad(suspicion.BrokenConnectionWeight)}, true},
+		{"one failure", []func(*suspicion.Suspicion){bad(suspicion.ErrorWeight)}, false},
+		{"two failures in a row", []func(*suspicion.Suspicion){bad(suspicion.ErrorWeight), bad(suspicion.ErrorWeight)}, true},
+		{"two failures with a good answer between", []func(*suspicion.Suspicion){bad(suspicion.ErrorWeight), good, bad(suspicion.ErrorWeight)}, false},
+		{"one overdue and slow", []func(*suspicion.Suspicion){bad(suspicion.OverdueWeight), bad(suspicion.SlowWeight)}, false},
+		{"two slow", []func(*suspicion.Suspicion){bad(suspicion.SlowWeight), bad(suspicion.SlowWeight)}, false},
+		{"three slow in a row", []func(*suspicion.Suspicion){bad(suspicion.SlowWeight), bad(suspicion.SlowWeight), bad(suspicion.SlowWeight)}, true},
+		{"two in a row overdue and slow", []func(*suspicion.Suspicion){bad(suspicion.OverdueWeight), bad(suspicion.SlowWeight), bad(suspicion.OverdueWeight), bad(suspicion.SlowWeight)}, true},
+		{"by turns slow and good", []func(*suspicion.Suspicion){bad(suspicion.OverdueWeight), bad(suspicion.SlowWeight), good, bad(suspicion.OverdueWeight), good}, false},
+		{"two good answers after", []func(*suspicion.Suspicion){bad(suspicion.BrokenConnectionWeight), good, good}, true},
+		{"three good answers after", []func(*suspicion.Suspicion){bad(suspicion.BrokenConnectionWeight), good, good, good}, false},
+		{"a failure among them", []func(*suspicion.Suspicion){bad(suspicion.BrokenConnectionWeight), good, good, bad(suspicion.ErrorWeight), good}, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -53,7 +53,7 @@
 func TestProbesAreFewAndNeverStop(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := suspicion.New()
-		s.RecordFailure(epoch, suspicion.Broken)
+		s.RecordFailure(epoch, suspicion.BrokenConnectionWeight)
 		now, last := epoch, epoch
 		for range rapid.IntRange(10, 400).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(1, 50).Draw(t, "ms")) * time.Millisecond)
@@ -67,8 +67,8 @@
 				t.Fatalf("two probes within %s", now.Sub(last))
 			}
 			last = now
-			s.ProbeSent(now)
-			s.RecordFailure(now, suspicion.Broken)
+			s.RecordProbe(now)
+			s.RecordFailure(now, suspicion.BrokenConnectionWeight)
 		}
 	})
 }
@@ -77,22 +77,22 @@
 // and not again when its answer comes.
 func TestAProbeThatRunsIsCountedOnce(t *testing.T) {
 	s := suspicion.New()
-	s.RecordFailure(epoch, suspicion.Broken)
+	s.RecordFailure(epoch, suspicion.BrokenConnectionWeight)
 	now := epoch
 	for range 2 {
-		s.ProbeSent(now)
+		s.RecordProbe(now)
 		if s.ProbeSurvived(now.Add(10 * time.Millisecond)) {
 			t.Fatal("a probe counts before it has survived")
 		}
 		now = now.Add(50 * time.Millisecond)
 		s.ProbeSurvived(now)
 	}
-	s.RecordGood(now, now)
-	s.RecordGood(now, now)
+	s.RecordSuccess(now, now)
+	s.RecordSuccess(now, now)
 	if !s.Suspected() {
 		t.Fatal("two probes were counted as four")
 	}
-	s.ProbeSent(now)
+	s.RecordProbe(now)
 	if !s.ProbeSurvived(now.Add(50 * time.Millisecond)) {
 		t.Fatal("the third probe does not end the suspicion")
 	}
@@ -102,11 +102,11 @@
 // answers: a probe that runs proves nothing of it.
 func TestOnlyBreakingIsOutlived(t *testing.T) {
 	s := suspicion.New()
-	s.RecordFailure(epoch, suspicion.Failed)
-	s.RecordFailure(epoch, suspicion.Failed)
+	s.RecordFailure(epoch, suspicion.ErrorWeight)
+	s.RecordFailure(epoch, suspicion.ErrorWeight)
 	for i := range 5 {
 		now := epoch.Add(time.Duration(i) * time.Second)
-		s.ProbeSent(now)
+		s.RecordProbe(now)
 		if s.ProbeSurvived(now.Add(time.Second)) {
 			t.Fatal("trusted without an answer")
 		}
@@ -121,17 +121,17 @@
 		t.Fatal("it hangs without a late request")
 	}
 	began := epoch.Add(time.Second)
-	s.SlowRequest(began)
-	s.RecordGood(began.Add(time.Second), began.Add(-time.Millisecond))
+	s.RecordSlowRequest(began)
+	s.RecordSuccess(began.Add(time.Second), began.Add(-time.Millisecond))
 	now := began.Add(2 * time.Second)
 	if !s.Hanging(now) {
 		t.Fatal("a good answer to an earlier request takes it back")
 	}
-	s.RecordGood(began.Add(2*time.Second), began.Add(time.Millisecond))
+	s.RecordSuccess(began.Add(2*time.Second), began.Add(time.Millisecond))
 	if s.Hanging(now) {
 		t.Fatal("it hangs after a good answer to a later request")
 	}
-	s.SlowRequest(began)
+	s.RecordSlowRequest(began)
 	if s.Hanging(now) {
 		t.Fatal("an old request that is late at last shows hanging")
 	}
@@ -141,7 +141,7 @@
 // that must not run twice.
 func TestWithoutRepeatableRequestsOthersFindOut(t *testing.T) {
 	s := suspicion.New()
-	s.RecordFailure(epoch, suspicion.Broken)
+	s.RecordFailure(epoch, suspicion.BrokenConnectionWeight)
 	if s.MayProbeWithAny(epoch.Add(time.Second)) {
 		t.Fatal("the first second is not for them")
 	}
@@ -151,8 +151,8 @@
 		if !s.MayProbeWithAny(now) {
 			t.Fatal("nobody may find out")
 		}
-		s.ProbeSent(now)
-		s.RecordGood(now, now)
+		s.RecordProbe(now)
+		s.RecordSuccess(now, now)
 	}
 	if s.Suspected() {
 		t.Fatal("three good answers are not enough")
@@ -162,18 +162,18 @@
 // TestMostlyLate tells a backend server that hangs from one that fails at once.
 func TestMostlyLate(t *testing.T) {
 	hangs := suspicion.New()
-	hangs.RecordSlowness(epoch, suspicion.Overdue)
-	hangs.RecordSlowness(epoch, suspicion.Overdue)
+	hangs.RecordSlowness(epoch, suspicion.OverdueWeight)
+	hangs.RecordSlowness(epoch, suspicion.OverdueWeight)
 	if !hangs.Suspected() || !hangs.MostlySlow() {
 		t.Fatal("one that hangs twice is taken for one that fails at once")
 	}
-	hangs.RecordFailure(epoch, suspicion.Broken)
+	hangs.RecordFailure(epoch, suspicion.BrokenConnectionWeight)
 	if hangs.MostlySlow() {
 		t.Fatal("one that breaks connections as well is taken for one that only hangs")
 	}
 	fails := suspicion.New()
-	fails.RecordFailure(epoch, suspicion.Failed)
-	fails.RecordFailure(epoch, suspicion.Failed)
+	fails.RecordFailure(epoch, suspicion.ErrorWeight)
+	fails.RecordFailure(epoch, suspicion.ErrorWeight)
 	if !fails.Suspected() || fails.MostlySlow() {
 		t.Fatal("one that fails at once is taken for one that hangs")
 	}
@@ -183,12 +183,12 @@
 // that must not run twice may be there to find out.
 func TestHangingDoesNotLast(t *testing.T) {
 	s := suspicion.New()
-	s.SlowRequest(epoch)
+	s.RecordSlowRequest(epoch)
 	ended := epoch.Add(3 * time.Second)
 	if !s.Hanging(ended) {
 		t.Fatal("a request that is late shows nothing")
 	}
-	s.SlowRequestEnded(ended, epoch)
+	s.RecordSlowRequestEnd(ended, epoch)
 	if !s.Hanging(ended.Add(2 * time.Second)) {
 		t.Fatal("it counts for less than it ran")
 	}
