--- a/internal/ingress/admit.go
+++ b/internal/ingress/admit.go
@@ -44,8 +44,8 @@
 // slowAfter returns how long an attempt runs before it is slow; zero if attempts are never slow.
 func (r *request) slowAfter() time.Duration { return r.latency.SlowAfter(r.latencyTarget) }
 
-// usual returns the usual latency of the request's route; zero if unknown.
-func (r *request) usual() time.Duration {
+// typicalLatency returns the typical latency of the request's route; zero if unknown.
+func (r *request) typicalLatency() time.Duration {
 	usual, _ := r.latency.Median()
 	return usual
 }
@@ -67,7 +67,7 @@
 	addForwarded(r)
 	r.Header.Del(a.state.index.Declaration.Callers.OriginHeader)
 	admitted := in.newRequest(w, r, now, a)
-	in.putSubrequestFirst(admitted)
+	in.prioritizeSubrequest(admitted)
 	in.countForLimit(admitted, now)
 	return admitted, nil
 }
@@ -75,10 +75,10 @@
 // admission determines the route, the customer and the remaining time of a request, or refuses it.
 // The customer's limit is checked last, so that it counts only requests that pass all other checks.
 func (in *Ingress) admission(r *http.Request) (a admission, e *result.Error) {
-	if a.state, e = in.ready(); e != nil {
+	if a.state, e = in.currentState(); e != nil {
 		return a, e
 	}
-	if e := in.check(r); e != nil {
+	if e := in.checkRequest(r); e != nil {
 		return a, e
 	}
 	match, ok := a.state.routes.Find(r.Host, r.URL.Path)
@@ -95,7 +95,7 @@
 	if a.timeLeft, e = timeLeft(r, a.state.index.Declaration.Callers, match); e != nil {
 		return a, e
 	}
-	return a, in.withinLimit(a.caller.name)
+	return a, in.checkCustomerLimit(a.caller.name)
 }
 
 // newRequest returns the admitted request with the declared settings that apply to it.
@@ -135,9 +135,9 @@
 	return made
 }
 
-// putSubrequestFirst gives a subrequest the highest priority in queues, and lets it wait there
+// prioritizeSubrequest gives a subrequest the highest priority in queues, and lets it wait there
 // until its deadline.
-func (in *Ingress) putSubrequestFirst(r *request) {
+func (in *Ingress) prioritizeSubrequest(r *request) {
 	if in.disabled.subrequests || !r.mayBeSubrequest || !in.subrequest.Is(r.route) {
 		return
 	}
@@ -146,8 +146,9 @@
 	r.priority = subrequestPriority
 }
 
-// ready returns the current state, or a refusal if the daemon is stopping or has no declaration.
-func (in *Ingress) ready() (*state, *result.Error) {
+// currentState returns the current state, or a refusal if the daemon is stopping or has no
+// declaration.
+func (in *Ingress) currentState() (*state, *result.Error) {
 	current := in.state.Load()
 	if in.stopping.Load() {
 		return nil, result.New(result.Stopping).WithRetryAfter(retryafter.NotReady)
--- a/internal/ingress/attempt.go
+++ b/internal/ingress/attempt.go
@@ -31,8 +31,8 @@
 	cancel      context.CancelCauseFunc // cancels the attempt
 }
 
-// finish runs the attempt and ends its retry, if it is one.
-func (a *attempt) finish(ctx context.Context) outcome {
+// execute runs the attempt and ends its retry, if it is one.
+func (a *attempt) execute(ctx context.Context) outcome {
 	o := a.runReserved(ctx)
 	reached := o.err == nil || failures.Classify(result.From(o.err).Code).Reached
 	if reached {
@@ -45,7 +45,7 @@
 // runReserved runs the attempt. A hedge runs only after a slot has been reserved for it.
 func (a *attempt) runReserved(ctx context.Context) outcome {
 	if a.isHedge {
-		if err := a.reserveSlot(ctx); err != nil {
+		if err := a.reserveForHedge(ctx); err != nil {
 			return outcome{attempt: a, err: err, hedgeRefused: true}
 		}
 	}
@@ -53,8 +53,8 @@
 	return outcome{attempt: a, response: response, err: err}
 }
 
-// reserveSlot reserves a slot at the target for the hedge. A refusal is recorded as evidence.
-func (a *attempt) reserveSlot(ctx context.Context) error {
+// reserveForHedge reserves a slot at the target for a hedge. A refusal is recorded as evidence.
+func (a *attempt) reserveForHedge(ctx context.Context) error {
 	reservation, err := a.reserve(ctx)
 	if err != nil {
 		a.learnFromFailure(result.From(err), 0)
@@ -70,7 +70,7 @@
 // run sends the request and returns the response once its header has arrived.
 func (a *attempt) run(ctx context.Context) (*http.Response, error) {
 	started := time.Now()
-	clock := a.startClock()
+	clock := a.startOverdueTimer()
 	a.Target.Begin()
 	own := *a.request.Request // parallel hedges have their own bodies
 	a.request.body.Rewind(&own)
@@ -105,7 +105,7 @@
 	}
 }
 
-// far reports whether the target is in another data centre.
-func (a *attempt) far() bool {
+// inOtherDataCentre reports whether the target is in another data centre.
+func (a *attempt) inOtherDataCentre() bool {
 	return a.Target.Placement().Host.DataCentre != a.in.config.DataCentre
 }
--- a/internal/ingress/attempt_test.go
+++ b/internal/ingress/attempt_test.go
@@ -34,9 +34,9 @@
 	return r
 }
 
-// TestAHedgeWithoutASlotEndsTheRoundOfAFailedAttempt guards against a race that never ends, or ends
+// TestRefusedHedgeEndsRaceOfFailedAttempt guards against a race that never ends, or ends
 // early, when an attempt fails while its hedge is still reserving a slot.
-func TestAHedgeWithoutASlotEndsTheRoundOfAFailedAttempt(t *testing.T) {
+func TestRefusedHedgeEndsRaceOfFailedAttempt(t *testing.T) {
 	r := newTestRace(t, 2)
 	first, looking := r.running[0], r.running[1]
 	if end := r.handle(outcome{attempt: first, err: result.New(result.ConnectionLost)}); end != nil {
@@ -51,9 +51,9 @@
 	}
 }
 
-// TestTheLastFailureEndsTheRound guards against losing an earlier failure when the last attempt
+// TestLastFailureEndsRace guards against losing an earlier failure when the last attempt
 // fails.
-func TestTheLastFailureEndsTheRound(t *testing.T) {
+func TestLastFailureEndsRace(t *testing.T) {
 	r := newTestRace(t, 2)
 	first, second := r.running[0], r.running[1]
 	r.handle(outcome{attempt: first, err: result.New(result.ConnectionLost)})
--- a/internal/ingress/attempts.go
+++ b/internal/ingress/attempts.go
@@ -19,7 +19,7 @@
 	for {
 		choice := in.choose(ctx, r, p)
 		if choice.Target == nil {
-			r.service.limit.giveBack(p.grant)
+			r.service.limit.release(p.grant)
 			return p.end(p.NoTargetFailure(len(r.service.pool.Targets()), p.passedOver.String()))
 		}
 		o := in.runRace(ctx, &attempt{in: in, request: r, Choice: choice, grant: p.grant}, p)
@@ -54,7 +54,7 @@
 	if !p.IsRetry() {
 		return true
 	}
-	p.grant = r.service.limit.takeAny(ctx)
+	p.grant = r.service.limit.takeOrBorrow(ctx)
 	if p.grant == grantNone {
 		in.metrics.limited.Inc(p.Last.Code)
 		return false
--- a/internal/ingress/avoid.go
+++ b/internal/ingress/avoid.go
@@ -15,12 +15,12 @@
 // enough for a recovery to show soon.
 const reducedShare = balance.FullShare / 8
 
-// decide evaluates every target and sets its share.
-func (j *judge) decide(now time.Time) {
+// evaluate compares all targets and sets the share of each.
+func (j *outlierDetector) evaluate(now time.Time) {
 	targets := j.pool.Targets()
 	j.group.UpdateBaselines()
 	if j.declared.AdoptionIn(j.config.DataCentre) == fleet.AdoptionSteer {
-		j.avoidSick(now, targets)
+		j.avoidUnhealthy(now, targets)
 	}
 	told := detect.NewReportedFailureRates(j.pool.FailureShares(now))
 	for _, target := range targets {
@@ -28,29 +28,29 @@
 	}
 }
 
-// avoidSick avoids as many unhealthy targets as the floor allows, the most severe first.
-func (j *judge) avoidSick(now time.Time, targets []*balance.Target) {
-	var sick []sickTarget
+// avoidUnhealthy avoids as many unhealthy targets as the floor allows, the most severe first.
+func (j *outlierDetector) avoidUnhealthy(now time.Time, targets []*balance.Target) {
+	var sick []unhealthyTarget
 	for _, target := range targets {
 		subject, ok := j.group.Subject(target.Name)
 		if !ok || subject.State(now) != detect.Serving {
 			continue
 		}
 		if verdict := subject.Verdict(now); verdict.Unhealthy && j.group.IsOutlier(target.Name) {
-			sick = append(sick, sickTarget{target, subject, verdict})
+			sick = append(sick, unhealthyTarget{target, subject, verdict})
 		}
 	}
-	slices.SortStableFunc(sick, func(a, b sickTarget) int {
+	slices.SortStableFunc(sick, func(a, b unhealthyTarget) int {
 		return cmp.Compare(b.verdict.Severity, a.verdict.Severity)
 	})
-	left := j.spare(now, targets)
+	left := j.surplus(now, targets)
 	for _, s := range sick {
 		left = j.avoid(now, s, left)
 	}
 }
 
-// sickTarget is a target that the detection rules classify as unhealthy.
-type sickTarget struct {
+// unhealthyTarget is a target that the detection rules classify as unhealthy.
+type unhealthyTarget struct {
 	target  *balance.Target
 	subject *detect.Subject
 	verdict detect.Verdict
@@ -58,7 +58,7 @@
 
 // publish sets the target's share of the requests and the baseline that requests to its sidecar
 // carry.
-func (j *judge) publish(now time.Time, target *balance.Target, told detect.ReportedFailureRates) {
+func (j *outlierDetector) publish(now time.Time, target *balance.Target, told detect.ReportedFailureRates) {
 	subject, ok := j.group.Subject(target.Name)
 	if !ok {
 		return
@@ -72,8 +72,8 @@
 	j.setShare(now, target, subject)
 }
 
-// spare returns how many more targets may be avoided without falling below the floor.
-func (j *judge) spare(now time.Time, targets []*balance.Target) int {
+// surplus returns how many more targets may be avoided without falling below the floor.
+func (j *outlierDetector) surplus(now time.Time, targets []*balance.Target) int {
 	out := 0
 	for _, target := range targets {
 		subject, ok := j.group.Subject(target.Name)
@@ -87,7 +87,7 @@
 
 // avoid avoids an unhealthy target if the floor allows it, and returns how many more may be
 // avoided. A paused target is already counted as out of use.
-func (j *judge) avoid(now time.Time, s sickTarget, left int) int {
+func (j *outlierDetector) avoid(now time.Time, s unhealthyTarget, left int) int {
 	name := s.target.Name
 	paused := j.pool.Paused(s.target, now)
 	if left <= 0 && !paused {
@@ -107,7 +107,7 @@
 }
 
 // setShare sets the target's share according to its state.
-func (j *judge) setShare(now time.Time, target *balance.Target, subject *detect.Subject) {
+func (j *outlierDetector) setShare(now time.Time, target *balance.Target, subject *detect.Subject) {
 	switch subject.State(now) {
 	case detect.Ejected:
 		target.SetShare(0)
@@ -119,7 +119,7 @@
 	}
 }
 
-func (j *judge) servingShare(now time.Time, target *balance.Target, subject *detect.Subject) uint32 {
+func (j *outlierDetector) servingShare(now time.Time, target *balance.Target, subject *detect.Subject) uint32 {
 	share := uint32(subject.TrafficShare(now) * balance.FullShare)
 	if !j.keptByFloor[target.Name] {
 		return share
--- a/internal/ingress/check.go
+++ b/internal/ingress/check.go
@@ -7,8 +7,8 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// check refuses requests that are invalid on any route.
-func (in *Ingress) check(r *http.Request) *result.Error {
+// checkRequest refuses requests that are invalid on any route.
+func (in *Ingress) checkRequest(r *http.Request) *result.Error {
 	if r.Method == http.MethodConnect || r.Header.Get("Upgrade") != "" {
 		return result.New(result.UpgradeRefused)
 	}
--- a/internal/ingress/clock.go
+++ b/internal/ingress/clock.go
@@ -7,8 +7,8 @@
 	"github.com/tideliftd/tidelift/internal/detect"
 )
 
-// overdueClock reports an attempt that is overdue, which is evidence against its target.
-type overdueClock struct {
+// overdueTimer reports an attempt that is overdue, which is evidence against its target.
+type overdueTimer struct {
 	attempt *attempt
 
 	mu      sync.Mutex
@@ -16,10 +16,10 @@
 	stopped bool // the answer's header has arrived, or the attempt has failed
 }
 
-// startClock starts the attempt's clock. It never expires if there are no other targets to compare
-// with.
-func (a *attempt) startClock() *overdueClock {
-	c := &overdueClock{attempt: a}
+// startOverdueTimer starts the attempt's timer. It never expires if there are no other targets to
+// compare with.
+func (a *attempt) startOverdueTimer() *overdueTimer {
+	c := &overdueTimer{attempt: a}
 	limit := a.request.service.overdueLimit(a.Target)
 	if limit == 0 {
 		return c
@@ -30,8 +30,8 @@
 	return c
 }
 
-// stop stops the clock. The clock does not expire after stop returns.
-func (c *overdueClock) stop() {
+// stop stops the timer. The timer does not expire after stop returns.
+func (c *overdueTimer) stop() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.stopped = true
@@ -41,7 +41,7 @@
 }
 
 // expire reports the attempt as overdue.
-func (c *overdueClock) expire() {
+func (c *overdueTimer) expire() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.stopped {
--- a/internal/ingress/customer.go
+++ b/internal/ingress/customer.go
@@ -68,9 +68,9 @@
 	return "host " + in.config.Host
 }
 
-// customersOf returns the table of the declared customers. It reuses the current table while the
+// customerTable returns the table of the declared customers. It reuses the current table while the
 // customers are unchanged, since hosts change far more often.
-func (in *Ingress) customersOf(d fleet.Declaration) *customer.Table {
+func (in *Ingress) customerTable(d fleet.Declaration) *customer.Table {
 	if len(d.Customers) == 0 {
 		return nil
 	}
@@ -84,9 +84,9 @@
 	return table
 }
 
-// withinLimit refuses a request beyond its customer's limit, before it uses a slot, a hedge or a
-// retry.
-func (in *Ingress) withinLimit(customer string) *result.Error {
+// checkCustomerLimit refuses a request beyond its customer's limit, before it uses a slot, a hedge
+// or a retry.
+func (in *Ingress) checkCustomerLimit(customer string) *result.Error {
 	if in.config.AdmitCustomer == nil || customer == "" {
 		return nil
 	}
@@ -97,8 +97,8 @@
 	return result.New(result.CustomerLimit).WithDetail("customer %q", customer).WithRetryAfter(decision.RetryAfter)
 }
 
-// giveBack refunds the customer's limit for a request that reached no backend server.
-func (in *Ingress) giveBack(r *request) {
+// refundCustomer refunds the customer's limit for a request that reached no backend server.
+func (in *Ingress) refundCustomer(r *request) {
 	if in.config.RefundCustomer != nil && r.customer != "" {
 		in.config.RefundCustomer(r.customer)
 	}
--- a/internal/ingress/customer_test.go
+++ b/internal/ingress/customer_test.go
@@ -37,8 +37,9 @@
 	return in
 }
 
-// ask returns a request to the path with the key, if not empty, and a forged customer header.
-func ask(path, key string) *http.Request {
+// newCustomerRequest returns a request to the path with the key, if not empty, and a forged
+// customer header.
+func newCustomerRequest(path, key string) *http.Request {
 	r := httptest.NewRequest(http.MethodGet, path, nil)
 	r.Header.Set(fleet.DefaultCustomerHeader, "forged")
 	if key != "" {
@@ -67,7 +68,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			r := ask(test.path, test.key)
+			r := newCustomerRequest(test.path, test.key)
 			admitted, err := in.admit(httptest.NewRecorder(), r, time.Now())
 			if test.code.Number != 0 {
 				if err == nil || result.From(err).Code != test.code {
@@ -91,13 +92,13 @@
 	}
 }
 
-// TestACustomersRequestIsNoCall guards against classifying a customer's request as a subrequest
-// because its failures coincide with those of the host's backend server.
-func TestACustomersRequestIsNoCall(t *testing.T) {
+// TestCustomerRequestIsNotSubrequest guards against classifying a customer's request as a
+// subrequest because its failures coincide with those of the host's backend server.
+func TestCustomerRequestIsNotSubrequest(t *testing.T) {
 	in := customersIngress(t, Config{Host: "csepel-1"})
 	fail := func(path, key string) *request {
 		for range 8 {
-			r, err := in.admit(httptest.NewRecorder(), ask(path, key), time.Now())
+			r, err := in.admit(httptest.NewRecorder(), newCustomerRequest(path, key), time.Now())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -105,7 +106,7 @@
 			in.ServerAnswered(false)
 			time.Sleep(120 * time.Millisecond) // so that the next failure counts separately
 		}
-		r, err := in.admit(httptest.NewRecorder(), ask(path, key), time.Now())
+		r, err := in.admit(httptest.NewRecorder(), newCustomerRequest(path, key), time.Now())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -119,9 +120,9 @@
 	}
 }
 
-// TestBeyondTheLimitNothingIsAsked guards against counting requests that reached no backend server,
+// TestCustomerLimitAndRefund guards against counting requests that reached no backend server,
 // and against applying a limit to requests without a customer.
-func TestBeyondTheLimitNothingIsAsked(t *testing.T) {
+func TestCustomerLimitAndRefund(t *testing.T) {
 	within, givenBack := true, 0
 	in := customersIngress(t, Config{
 		Host: "csepel-1",
@@ -131,18 +132,18 @@
 		RefundCustomer: func(string) { givenBack++ },
 	})
 	w := httptest.NewRecorder()
-	in.ServeHTTP(w, ask("/closed/x", "school-key")) // the service has no backend servers
+	in.ServeHTTP(w, newCustomerRequest("/closed/x", "school-key")) // the service has no backend servers
 	if w.Code != http.StatusServiceUnavailable || givenBack != 1 {
 		t.Fatalf("status %d, %d refunded", w.Code, givenBack)
 	}
 	within = false
 	w = httptest.NewRecorder()
-	in.ServeHTTP(w, ask("/closed/x", "school-key"))
+	in.ServeHTTP(w, newCustomerRequest("/closed/x", "school-key"))
 	if w.Code != http.StatusTooManyRequests || w.Header().Get("Retry-After") != "2" || givenBack != 1 {
 		t.Fatalf("status %d, Retry-After %q, %d refunded", w.Code, w.Header().Get("Retry-After"), givenBack)
 	}
 	w = httptest.NewRecorder()
-	in.ServeHTTP(w, ask("/open/x", ""))
+	in.ServeHTTP(w, newCustomerRequest("/open/x", ""))
 	if w.Code == http.StatusTooManyRequests {
 		t.Fatal("a request without a customer was limited")
 	}
--- a/internal/ingress/disabled_test.go
+++ b/internal/ingress/disabled_test.go
@@ -13,9 +13,9 @@
 	"github.com/tideliftd/tidelift/internal/route"
 )
 
-// TestWhatIsSwitchedOff guards against a setting that fails to disable its mechanism or disables
+// TestDisabledMechanisms guards against a setting that fails to disable its mechanism or disables
 // another one.
-func TestWhatIsSwitchedOff(t *testing.T) {
+func TestDisabledMechanisms(t *testing.T) {
 	for _, mechanism := range append(experiment.All(), "") {
 		in, cleanUp := New(Config{
 			Logger: slog.New(slog.DiscardHandler), Scope: tally.NoopScope, HeaderBytes: 1 << 16,
--- a/internal/ingress/failures_test.go
+++ b/internal/ingress/failures_test.go
@@ -10,9 +10,9 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// targetAfter lists, for each result code, the state of an attempt's target after a failure: in the
-// request's history, and in the pool if pings are disabled. The default is "tried".
-const targetAfter = `
+// targetStates lists, for each result code, the state of an attempt's target after a failure: in
+// the request's history, and in the pool if pings are disabled. The default is "tried".
+const targetStates = `
 2002 tried paused
 2004 tried full
 2005 tried full
@@ -41,11 +41,11 @@
 4008 tried sent may-have-run
 `
 
-// TestWhatATargetIsAfterAFailure guards against a result code that leaves its target in a wrong
+// TestTargetStateAfterFailure guards against a result code that leaves its target in a wrong
 // state.
-func TestWhatATargetIsAfterAFailure(t *testing.T) {
+func TestTargetStateAfterFailure(t *testing.T) {
 	want := make(map[string]string)
-	for line := range strings.Lines(strings.TrimSpace(targetAfter)) {
+	for line := range strings.Lines(strings.TrimSpace(targetStates)) {
 		number, state, _ := strings.Cut(strings.TrimSpace(line), " ")
 		want[number] = state
 	}
@@ -66,7 +66,7 @@
 	pool := newTestPool(t, 1)
 	a := &attempt{
 		in:      &Ingress{},
-		request: &request{service: &service{pool: pool, judge: &judge{observations: make(chan observation, 1)}}},
+		request: &request{service: &service{pool: pool, detector: &outlierDetector{observations: make(chan observation, 1)}}},
 		Choice:  attempts.Choice{Target: pool.Targets()[0]},
 	}
 	failure := result.New(code).WithRetryAfter(time.Minute)
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -20,11 +20,11 @@
 //     unknown (customer.go) or if its deadline is invalid. The customer's limit is checked last.
 //  2. newRequest (admit.go) picks the service by the route's split and sets the terms on which the
 //     request is served. Requests that a backend server of this host sent while running another
-//     request are prioritised (putSubrequestFirst; subrequest.go learns which these are).
+//     request are prioritised (prioritizeSubrequest; subrequest.go learns which these are).
 //  3. A short body is read in full so that it can be resent (package body).
 //  4. tryAll (attempts.go) sends the request to one backend server after another. Package attempts
 //     decides: Choose, which backend server gets it; MayRetry, whether a failure is retried; Failure
-//     and NoneLeft, which failure the caller gets. The ingress waits between choices, takes retries
+//     and NoTargetFailure, which failure the caller gets. The ingress waits between choices, takes retries
 //     from the service's limit (limit.go) and logs.
 //  5. runRace (race.go) runs one attempt and, if it is slow, its hedges, as attempts.Hedging decides.
 //     latencies.go learns the usual latency of each route. The first answer wins.
@@ -33,7 +33,7 @@
 //     and each hedge first get a reservation (reservation.go). A timer reports an attempt that is
 //     overdue (clock.go).
 //  7. The outcome is recorded (learn.go): it may pause the backend server, and it is evidence for the
-//     service's judge (judge.go), which avoids (avoid.go) backend servers whose path looks unhealthy.
+//     service's outlierDetector (judge.go), which avoids (avoid.go) backend servers whose path looks unhealthy.
 //     Package failures defines what each failure means. An unreachable host is pinged until it
 //     answers (reach.go).
 //  8. The answer is forwarded (serve.go), or the failure is answered with its code and Retry-After
@@ -42,7 +42,7 @@
 // # State
 //
 // For each service of the declaration, the ingress owns a balance.Pool with the state of its
-// backend servers, a judge, which runs in its own goroutine, and the retry limit (service.go). It
+// backend servers, an outlierDetector, which runs in its own goroutine, and the retry limit (service.go). It
 // also owns a latency.Estimate for each route, the connections to other daemons, the set of
 // unreachable hosts and the evidence on subrequests. Reconfigure applies a new declaration and
 // keeps what was learned. Other parts of the daemon report backend servers that are draining or
@@ -100,17 +100,17 @@
 	Logger *slog.Logger
 	// Scope receives the metrics.
 	Scope tally.Scope
-	// ShouldCompress reports whether traffic to another daemon's address is compressed because bandwidth to it
-	// is expensive; nil if none is. It is ignored with TLS.
+	// ShouldCompress reports whether traffic to another daemon's address is compressed because
+	// bandwidth to it is expensive; nil if none is. It is ignored with TLS.
 	ShouldCompress func(address string) bool
 	// Ping sends a request to another host's daemon and returns nil on any answer; nil disables
 	// pings.
 	Ping func(context.Context, fleet.Host) error
-	// OnHostUnresponsive is called for a host that has not answered any ping within the ping period. It is
-	// required if Ping is set.
+	// OnHostUnresponsive is called for a host that has not answered any ping within the ping
+	// period. It is required if Ping is set.
 	OnHostUnresponsive func(fleet.Host)
-	// OnSubrequestEvidence receives evidence on routes that the backend servers of this host may call; nil
-	// discards it.
+	// OnSubrequestEvidence receives evidence on routes that the backend servers of this host may
+	// call; nil discards it.
 	OnSubrequestEvidence func([]subrequest.Evidence)
 	// AdmitCustomer decides whether a request is within the customer's limit, and GiveBack reverts
 	// that for a request that reached no backend server; both are nil if there are no limits.
@@ -135,18 +135,18 @@
 
 // Ingress accepts callers' requests.
 type Ingress struct {
-	config    Config
-	disabled  disabled
-	transport *http.Transport
-	start     time.Time
-	metrics   metrics
-	reach     *reach
-	ended     context.Context // done when the ingress is closed
-	answering context.Context // done when pending requests must be answered
-	answerAll context.CancelFunc
-	inFlight  atomic.Int64
-	settling  atomic.Bool // a planned stop has begun
-	stopping  atomic.Bool
+	config        Config
+	disabled      disabled
+	transport     *http.Transport
+	start         time.Time
+	metrics       metrics
+	hostMonitor   *hostMonitor
+	baseCtx       context.Context // done when the ingress is closed
+	pendingCtx    context.Context // done when pending requests must be answered
+	cancelPending context.CancelFunc
+	inFlight      atomic.Int64
+	shuttingDown  atomic.Bool // a planned stop has begun
+	stopping      atomic.Bool
 
 	latencies  latencies
 	subrequest *subrequest.Tracker
@@ -177,7 +177,7 @@
 		disabled: disabledBy(config.Off),
 		start:    time.Now(),
 		transport: &http.Transport{
-			DialContext:           dialTo(config),
+			DialContext:           dialer(config),
 			TLSClientConfig:       config.TLS,
 			DisableCompression:    true,
 			MaxIdleConnsPerHost:   1024,
@@ -193,18 +193,18 @@
 		},
 	}
 	in.subrequest = subrequest.New(subrequest.Config{Changed: in.logSubrequest})
-	in.reach = &reach{in: in, away: make(map[string]bool)}
+	in.hostMonitor = &hostMonitor{in: in, unreachable: make(map[string]bool)}
 	ended, cancel := context.WithCancel(context.Background())
-	in.ended = ended
-	in.answering, in.answerAll = context.WithCancel(ended)
+	in.baseCtx = ended
+	in.pendingCtx, in.cancelPending = context.WithCancel(ended)
 	return in, func() {
 		cancel()
-		in.end()
+		in.close()
 	}
 }
 
-// dialTo returns the dial function for connections to other daemons.
-func dialTo(config Config) dial.Func {
+// dialer returns the dial function for connections to other daemons.
+func dialer(config Config) dial.Func {
 	far := config.ShouldCompress
 	if config.TLS != nil {
 		far = nil // compressed lengths leak information about encrypted content
@@ -212,12 +212,12 @@
 	return dial.Compressed(dial.New(dial.ToDaemons()), far)
 }
 
-// end stops the judges and closes idle connections.
-func (in *Ingress) end() {
+// close stops the outlier detectors and closes idle connections.
+func (in *Ingress) close() {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	if last := in.state.Load(); last != nil {
-		endRemoved(last, &state{})
+		stopRemoved(last, &state{})
 	}
 	in.transport.CloseIdleConnections()
 }
--- a/internal/ingress/judge.go
+++ b/internal/ingress/judge.go
@@ -13,30 +13,30 @@
 )
 
 const (
-	// judgeEvery is the interval between evaluations of the evidence.
-	judgeEvery = 100 * time.Millisecond
-	// idleAfter is how long after the last observation a judge keeps evaluating, so that a service
-	// without requests costs nothing.
+	// evaluationInterval is the interval between evaluations of the evidence.
+	evaluationInterval = 100 * time.Millisecond
+	// idleAfter is how long after the last observation a detector keeps evaluating, so that a
+	// service without requests costs nothing.
 	idleAfter = time.Second
-	// observationsKept is the capacity of a judge's observation queue. Requests do not block on a
-	// full queue: further observations are dropped and counted.
-	observationsKept = 512
+	// observationQueueSize is the capacity of a detector's observation queue. Requests do not block
+	// on a full queue: further observations are dropped and counted.
+	observationQueueSize = 512
 )
 
-// judge evaluates the path from this daemon to each backend server of one service. Requests report
-// what they observe; the judge sets the targets' shares.
+// outlierDetector evaluates the path from this daemon to each backend server of one service.
+// Requests report what they observe; the detector sets the targets' shares.
 //
 // It avoids a target rather than ejecting it, since the path from other daemons may be healthy. At
 // least as many targets as the floor requires stay in use; ejected and draining targets do not
 // count towards it.
-type judge struct {
-	config       Config
-	pool         *balance.Pool
-	observations chan observation
-	changes      chan fleet.Service
-	questions    chan question
-	ended        chan struct{}
-	dropped      tally.Counter
+type outlierDetector struct {
+	config          Config
+	pool            *balance.Pool
+	observations    chan observation
+	changes         chan fleet.Service
+	explainRequests chan explainRequest
+	done            chan struct{}
+	dropped         tally.Counter
 
 	declared    fleet.Service
 	group       *detect.Group
@@ -54,7 +54,7 @@
 	saw        detect.Observation
 }
 
-type question struct {
+type explainRequest struct {
 	backendServer string
 	reply         chan explanation
 }
@@ -65,34 +65,34 @@
 	known bool
 }
 
-func newJudge(config Config, pool *balance.Pool) *judge {
-	j := &judge{
-		config:       config,
-		pool:         pool,
-		observations: make(chan observation, observationsKept),
-		changes:      make(chan fleet.Service),
-		questions:    make(chan question),
-		ended:        make(chan struct{}),
-		dropped:      config.Scope.Counter("ingress_observations_dropped"),
-		group:        detect.NewGroup(detect.Careful()),
-		keptByFloor:  make(map[string]bool),
+func newOutlierDetector(config Config, pool *balance.Pool) *outlierDetector {
+	j := &outlierDetector{
+		config:          config,
+		pool:            pool,
+		observations:    make(chan observation, observationQueueSize),
+		changes:         make(chan fleet.Service),
+		explainRequests: make(chan explainRequest),
+		done:            make(chan struct{}),
+		dropped:         config.Scope.Counter("ingress_observations_dropped"),
+		group:           detect.NewGroup(detect.Careful()),
+		keptByFloor:     make(map[string]bool),
 	}
 	go j.run()
 	return j
 }
 
-func (j *judge) end() { close(j.ended) }
+func (j *outlierDetector) stop() { close(j.done) }
 
 // reconfigure applies the service's declaration.
-func (j *judge) reconfigure(declared fleet.Service) {
+func (j *outlierDetector) reconfigure(declared fleet.Service) {
 	select {
 	case j.changes <- declared:
-	case <-j.ended:
+	case <-j.done:
 	}
 }
 
 // record queues an observation without blocking.
-func (j *judge) record(o observation) {
+func (j *outlierDetector) record(o observation) {
 	select {
 	case j.observations <- o:
 	default:
@@ -101,21 +101,21 @@
 }
 
 // explain returns the evidence on a backend server and the state of its floor.
-func (j *judge) explain(backendServer string) (detect.Explanation, string, bool) {
-	q := question{backendServer: backendServer, reply: make(chan explanation, 1)}
+func (j *outlierDetector) explain(backendServer string) (detect.Explanation, string, bool) {
+	q := explainRequest{backendServer: backendServer, reply: make(chan explanation, 1)}
 	select {
-	case j.questions <- q:
+	case j.explainRequests <- q:
 		answer := <-q.reply
 		return answer.Explanation, answer.floor, answer.known
-	case <-j.ended:
+	case <-j.done:
 		return detect.Explanation{}, "", false
 	}
 }
 
 // run evaluates the evidence periodically, and stops doing so while the service has no requests and
 // all its backend servers have their full share.
-func (j *judge) run() {
-	pace := time.NewTimer(judgeEvery)
+func (j *outlierDetector) run() {
+	pace := time.NewTimer(evaluationInterval)
 	defer pace.Stop()
 	for {
 		select {
@@ -123,26 +123,26 @@
 			j.observe(time.Now(), o)
 			if j.idle {
 				j.idle = false
-				pace.Reset(judgeEvery)
+				pace.Reset(evaluationInterval)
 			}
 		case <-pace.C:
-			j.decide(time.Now())
-			j.idle = j.settled(time.Now())
+			j.evaluate(time.Now())
+			j.idle = j.canIdle(time.Now())
 			if !j.idle {
-				pace.Reset(judgeEvery)
+				pace.Reset(evaluationInterval)
 			}
 		case declared := <-j.changes:
 			j.apply(declared)
-		case q := <-j.questions:
-			q.reply <- j.answer(time.Now(), q.backendServer)
-		case <-j.ended:
+		case q := <-j.explainRequests:
+			q.reply <- j.explainNow(time.Now(), q.backendServer)
+		case <-j.done:
 			return
 		}
 	}
 }
 
 // apply applies the service's declaration.
-func (j *judge) apply(declared fleet.Service) {
+func (j *outlierDetector) apply(declared fleet.Service) {
 	j.declared = declared
 	names := make([]string, 0, len(declared.BackendServers))
 	for _, b := range declared.BackendServers {
@@ -152,7 +152,7 @@
 }
 
 // observe records an observation of a target. If the request was a probation, observe ends it.
-func (j *judge) observe(now time.Time, o observation) {
+func (j *outlierDetector) observe(now time.Time, o observation) {
 	j.lastSeen = now
 	subject, ok := j.group.Subject(o.target.Name)
 	if !ok {
@@ -173,8 +173,8 @@
 	}
 }
 
-// settled reports whether no share can change before the next observation.
-func (j *judge) settled(now time.Time) bool {
+// canIdle reports whether no share can change before the next observation.
+func (j *outlierDetector) canIdle(now time.Time) bool {
 	if now.Sub(j.lastSeen) < idleAfter || len(j.keptByFloor) > 0 {
 		return false
 	}
@@ -186,8 +186,8 @@
 	return true
 }
 
-// answer returns the evidence on a backend server and the state of its floor.
-func (j *judge) answer(now time.Time, backendServer string) explanation {
+// explainNow returns the evidence on a backend server and the state of its floor.
+func (j *outlierDetector) explainNow(now time.Time, backendServer string) explanation {
 	subject, ok := j.group.Subject(backendServer)
 	if !ok {
 		return explanation{}
@@ -199,7 +199,7 @@
 	return explanation{Explanation: subject.Explain(now), floor: floor, known: true}
 }
 
-func (j *judge) log(e event.Event, target *balance.Target, args ...any) {
+func (j *outlierDetector) log(e event.Event, target *balance.Target, args ...any) {
 	all := append([]any{"backend_server", target.Name, "service", j.declared.Name, "witness", "ingress"}, args...)
 	event.Log(j.config.Logger, e, all...)
 }
--- a/internal/ingress/learn.go
+++ b/internal/ingress/learn.go
@@ -14,10 +14,10 @@
 	// refusedPause is how long a target that takes no requests is skipped if its refusal has no
 	// Retry-After.
 	refusedPause = time.Second
-	// farStaysAway is how long ingresses of other data centres skip a suspected target unless they
-	// are notified earlier that it is trusted again. They usually have nearer targets, so the pause
-	// only matters if that notification is lost.
-	farStaysAway = 4 * time.Second
+	// remoteSuspicionPause is how long ingresses of other data centres skip a suspected target
+	// unless they are notified earlier that it is trusted again. They usually have nearer targets,
+	// so the pause only matters if that notification is lost.
+	remoteSuspicionPause = 4 * time.Second
 	// unreachablePause is how long an unreachable target is skipped. It keeps most requests from
 	// trying the target, and is short compared to the start of a backend server.
 	unreachablePause = 500 * time.Millisecond
@@ -54,23 +54,23 @@
 		pool.RecordLoad(a.Target, 1, time.Now())
 		pool.RecordSlotCheck(false)
 	case failures.Suspected:
-		pool.Suspect(a.Target, time.Now().Add(a.stayAway(failure)))
+		pool.Suspect(a.Target, time.Now().Add(a.suspicionPause(failure)))
 	case failures.NotAccepting:
 		pool.Pause(a.Target, time.Now().Add(pauseFor(failure)))
 	case failures.HostUnreachable, failures.HostUnresponsive:
-		a.passOverHost(meaning.Target)
+		a.skipHost(meaning.Target)
 	case failures.Unreachable:
 		pool.Pause(a.Target, time.Now().Add(unreachablePause))
 	case failures.Unchanged, failures.QueueFull, failures.Hanging, failures.NoRetryBudget: // nothing to remember beyond the request
 	}
 }
 
-// passOverHost skips the backend servers of the target's unreachable host until the host answers a
+// skipHost skips the backend servers of the target's unreachable host until the host answers a
 // ping. If pings are disabled, it skips only this target, for a short time, and only if no
 // connection could be made.
-func (a *attempt) passOverHost(state failures.TargetState) {
+func (a *attempt) skipHost(state failures.TargetState) {
 	if a.in.config.Ping != nil {
-		a.in.reach.recordLost(a.Target.Placement().Host)
+		a.in.hostMonitor.recordUnreachable(a.Target.Placement().Host)
 		return
 	}
 	if state == failures.HostUnreachable {
@@ -78,7 +78,7 @@
 	}
 }
 
-// report sends the attempt's observation to the service's judge.
+// report sends the attempt's observation to the service's outlier detector.
 func (a *attempt) report(saw detect.Observation, isEvidence bool) {
 	if !isEvidence && !a.Probation {
 		return
@@ -86,15 +86,15 @@
 	if a.Probation && saw.Outcome == detect.Overdue {
 		return // the end of the probation is recorded instead
 	}
-	a.request.service.judge.record(observation{target: a.Target, probation: a.Probation, isEvidence: isEvidence, saw: saw})
+	a.request.service.detector.record(observation{target: a.Target, probation: a.Probation, isEvidence: isEvidence, saw: saw})
 }
 
-// stayAway returns how long to skip a suspected target. Ingresses of its data centre try it again
-// by themselves, each after a random time to spread their requests. All ingresses that it refused
-// are notified when it is trusted again.
-func (a *attempt) stayAway(failure *result.Error) time.Duration {
-	if a.far() {
-		return farStaysAway
+// suspicionPause returns how long to skip a suspected target. Ingresses of its data centre try it
+// again by themselves, each after a random time to spread their requests. All ingresses that it
+// refused are notified when it is trusted again.
+func (a *attempt) suspicionPause(failure *result.Error) time.Duration {
+	if a.inOtherDataCentre() {
+		return remoteSuspicionPause
 	}
 	return failure.RetryAfter + rand.N(failure.RetryAfter+1)
 }
--- a/internal/ingress/limit.go
+++ b/internal/ingress/limit.go
@@ -26,17 +26,17 @@
 	borrow  func(ctx context.Context, service string) bool // nil disables borrowing
 }
 
-// likelyLeft reports whether a retry is likely to be available. It is called for every request, so
-// the far cheaper check of borrowing comes first.
-func (l *retryLimit) likelyLeft(now time.Time) bool {
+// likelyAvailable reports whether a retry is likely to be available. It is called for every
+// request, so the far cheaper check of borrowing comes first.
+func (l *retryLimit) likelyAvailable(now time.Time) bool {
 	return l.budgets.MayBorrow(now, l.service) || l.budgets.Available(now, l.service)
 }
 
 // takeOwn takes a retry from this host's budget, and reports whether one was left.
 func (l *retryLimit) takeOwn() bool { return l.budgets.Take(time.Now(), l.service) }
 
-// takeAny takes a retry from this host's budget, or else borrows one from another host.
-func (l *retryLimit) takeAny(ctx context.Context) retryGrant {
+// takeOrBorrow takes a retry from this host's budget, or else borrows one from another host.
+func (l *retryLimit) takeOrBorrow(ctx context.Context) retryGrant {
 	switch {
 	case l.takeOwn():
 		return grantOwn
@@ -47,8 +47,8 @@
 	}
 }
 
-// giveBack returns an unused retry.
-func (l *retryLimit) giveBack(r retryGrant) { l.end(r, false) }
+// release returns an unused retry.
+func (l *retryLimit) release(r retryGrant) { l.end(r, false) }
 
 // end ends the retry of an attempt. It counts against the budget if the attempt reached, or may
 // have reached, a backend server.
--- a/internal/ingress/limit_test.go
+++ b/internal/ingress/limit_test.go
@@ -33,8 +33,8 @@
 routes: [{host: a.example, service: names}]
 `
 
-// limited is an ingress whose backend servers lose every connection.
-type limited struct {
+// limitedIngress is an ingress whose backend servers lose every connection.
+type limitedIngress struct {
 	in      *Ingress
 	runs    *runs.Table
 	budgets *retry.Budgets
@@ -44,7 +44,7 @@
 }
 
 // do refuses retries with l.reject if it is set, and loses the connection of all other requests.
-func (l *limited) do(_ context.Context, call hop.Call, _ *http.Request) (sidecar.Answer, error) {
+func (l *limitedIngress) do(_ context.Context, call hop.Call, _ *http.Request) (sidecar.Answer, error) {
 	if call.Retry && l.reject != nil {
 		return sidecar.Answer{}, result.New(*l.reject)
 	}
@@ -55,9 +55,9 @@
 	return sidecar.Answer{}, result.New(result.ConnectionLost)
 }
 
-func newLimited(t *testing.T, reject *result.Code) *limited {
+func newLimitedIngress(t *testing.T, reject *result.Code) *limitedIngress {
 	t.Helper()
-	l := &limited{runs: runs.New(), budgets: retry.NewBudgets(retry.Config{StartedAt: time.Now()}), reject: reject}
+	l := &limitedIngress{runs: runs.New(), budgets: retry.NewBudgets(retry.Config{StartedAt: time.Now()}), reject: reject}
 	in, cleanUp := New(Config{
 		Host: "h1", DataCentre: "dc", Logger: slog.New(slog.DiscardHandler), Scope: tally.NoopScope, HeaderBytes: 1 << 16,
 		Local: l.do, Runs: l.runs, Retries: l.budgets,
@@ -72,8 +72,8 @@
 	return l
 }
 
-// ask sends count requests with the ID, one after the other.
-func (l *limited) ask(count int, id string) {
+// send sends count requests with the ID, one after the other.
+func (l *limitedIngress) send(count int, id string) {
 	for range count {
 		r := httptest.NewRequest(http.MethodGet, "http://a.example/x", nil)
 		r.Header.Set("Request-Id", id)
@@ -81,11 +81,11 @@
 	}
 }
 
-// TestRepeatsAreWhatRequestsEarned guards against more retries than the limit allows. Requests sent
+// TestRetryLimitBoundsRetries guards against more retries than the limit allows. Requests sent
 // in a burst earn a quarter of the retry share.
-func TestRepeatsAreWhatRequestsEarned(t *testing.T) {
-	l := newLimited(t, nil)
-	l.ask(100, "a")
+func TestRetryLimitBoundsRetries(t *testing.T) {
+	l := newLimitedIngress(t, nil)
+	l.send(100, "a")
 	if sent, retries := l.sent.Load(), l.retries.Load(); sent != 105 || retries != 5 {
 		t.Fatalf("100 requests were sent %d times, %d of them as retries", sent, retries)
 	}
@@ -94,16 +94,16 @@
 	}
 }
 
-// TestARepeatThatReachesNobodyCostsNothing guards against counting retries that found no slot or no
+// TestRetryThatReachesNoServerIsNotCounted guards against counting retries that found no slot or no
 // connection.
-func TestARepeatThatReachesNobodyCostsNothing(t *testing.T) {
+func TestRetryThatReachesNoServerIsNotCounted(t *testing.T) {
 	for _, code := range []result.Code{result.Busy, result.QueueFull, result.ServerUnreachable, result.RetryLimit} {
 		t.Run(code.Name, func(t *testing.T) {
-			l := newLimited(t, &code)
+			l := newLimitedIngress(t, &code)
 			for range 39 {
 				l.budgets.RecordRequest(time.Now(), "names")
 			}
-			l.ask(1, "a")
+			l.send(1, "a")
 			if l.sent.Load() != 1 {
 				t.Fatalf("%d requests sent", l.sent.Load())
 			}
@@ -116,28 +116,28 @@
 	}
 }
 
-// TestACallOfARepeatIsOne guards against subrequests of a retry that are not marked and counted as
-// retries, or that add to the retry budget.
-func TestACallOfARepeatIsOne(t *testing.T) {
-	l := newLimited(t, nil)
-	l.ask(199, "a") // nine retries
+// TestSubrequestOfRetryCountsAsRetry guards against subrequests of a retry that are not marked and
+// counted as retries, or that add to the retry budget.
+func TestSubrequestOfRetryCountsAsRetry(t *testing.T) {
+	l := newLimitedIngress(t, nil)
+	l.send(199, "a") // nine retries
 	l.runs.Begin(time.Now(), runs.Run{ID: "r", Service: "search", Retry: true})
-	l.ask(2, "r.1")
+	l.send(2, "r.1")
 	if sent, retries := l.sent.Load(), l.retries.Load(); sent != 199+9+2 || retries != 9+2 {
 		t.Fatalf("%d requests sent, %d of them retries", sent, retries)
 	}
-	l.ask(40, "a")
+	l.send(40, "a")
 	if retries := l.retries.Load(); retries != 11 {
 		t.Fatalf("%d retries after 239 requests and two subrequests of a retry", retries)
 	}
 }
 
-// TestACallOfARepeatThatNobodyMayRun guards against running a subrequest of a retry, or answering
+// TestRefusedSubrequestOfRetryIsNotRun guards against running a subrequest of a retry, or answering
 // it as if it may have run, when all backend servers refuse it because the services that they call
 // have no retry budget left.
-func TestACallOfARepeatThatNobodyMayRun(t *testing.T) {
+func TestRefusedSubrequestOfRetryIsNotRun(t *testing.T) {
 	code := result.RetryLimit
-	l := newLimited(t, &code)
+	l := newLimitedIngress(t, &code)
 	l.runs.Begin(time.Now(), runs.Run{ID: "r", Service: "search", Retry: true})
 	r := httptest.NewRequest(http.MethodGet, "http://a.example/x", nil)
 	r.Header.Set("Request-Id", "r.1")
--- a/internal/ingress/passedover.go
+++ b/internal/ingress/passedover.go
@@ -9,10 +9,10 @@
 
 // passedOver counts, by reason, the backend servers that were skipped for a request because they
 // had no slot or refused. Reasons are in order of first occurrence.
-type passedOver []passedOverFor
+type passedOver []passedOverCount
 
-// passedOverFor is the count for one reason.
-type passedOverFor struct {
+// passedOverCount is the count for one reason.
+type passedOverCount struct {
 	reason string
 	count  int
 }
@@ -25,7 +25,7 @@
 			return
 		}
 	}
-	*p = append(*p, passedOverFor{reason: code.Name, count: 1})
+	*p = append(*p, passedOverCount{reason: code.Name, count: 1})
 }
 
 // String returns the reasons with their counts, such as "busy 4, suspected 1".
--- a/internal/ingress/passedover_test.go
+++ b/internal/ingress/passedover_test.go
@@ -9,9 +9,9 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// TestWhatOnlySendsARequestOnIsCounted guards against a log line for each skipped backend server;
-// the next failure's line has their counts.
-func TestWhatOnlySendsARequestOnIsCounted(t *testing.T) {
+// TestSkippedBackendServersAreCountedInLog guards against a log line for each skipped backend
+// server; the next failure's line has their counts.
+func TestSkippedBackendServersAreCountedInLog(t *testing.T) {
 	var log bytes.Buffer
 	r := newTestRace(t, 1)
 	in := &Ingress{config: Config{Logger: slog.New(slog.NewJSONHandler(&log, nil))}}
--- a/internal/ingress/progress.go
+++ b/internal/ingress/progress.go
@@ -18,7 +18,7 @@
 // record records an attempt that failed or returned an error response, and returns its failure.
 func (p *progress) record(o outcome) *result.Error {
 	failure := p.failureOf(o)
-	p.Record(o.attempt.Target, failure, o.attempt.far())
+	p.Record(o.attempt.Target, failure, o.attempt.inOtherDataCentre())
 	return failure
 }
 
--- a/internal/ingress/race.go
+++ b/internal/ingress/race.go
@@ -49,7 +49,7 @@
 		done:     make(chan outcome),
 	}
 	r.start(ctx, first)
-	look := r.firstLook()
+	look := r.newHedgeTimer()
 	defer look.Stop()
 	for {
 		select {
@@ -64,8 +64,9 @@
 	}
 }
 
-// firstLook returns the timer for the next hedge. It never fires if the request may not be hedged.
-func (r *race) firstLook() *time.Timer {
+// newHedgeTimer returns the timer for the next hedge. It never fires if the request may not be
+// hedged.
+func (r *race) newHedgeTimer() *time.Timer {
 	after, ok := r.hedging.FirstCheck()
 	look := time.NewTimer(after)
 	if !ok {
@@ -87,7 +88,7 @@
 	}
 	r.recordFailed()
 	if o.isAnswer() {
-		r.cancelRest(o.attempt)
+		r.cancelRemaining(o.attempt)
 		return &o
 	}
 	if len(r.running) == 0 {
@@ -115,23 +116,23 @@
 	a.startedAt = time.Now()
 	r.running = append(r.running, a)
 	r.hedging.RecordSent(a.Target)
-	go func() { r.done <- a.finish(ctx) }()
+	go func() { r.done <- a.execute(ctx) }()
 }
 
 // tryHedge sends a hedge if one is due and this host has a retry left for it.
 func (r *race) tryHedge(ctx context.Context) {
-	choice := r.hedging.Choose(time.Now(), &r.progress.History, r.runs())
+	choice := r.hedging.Choose(time.Now(), &r.progress.History, r.inFlight())
 	if choice.Target == nil || !r.request.service.limit.takeOwn() {
 		return
 	}
 	r.start(ctx, &attempt{in: r.in, request: r.request, Choice: choice, grant: grantOwn, isHedge: true})
 }
 
-// runs returns the state of the request's running attempts.
-func (r *race) runs() attempts.InFlight {
+// inFlight returns the state of the request's running attempts.
+func (r *race) inFlight() attempts.InFlight {
 	running := attempts.InFlight{
 		Count: len(r.running), LastStartedAt: r.running[len(r.running)-1].startedAt,
-		BodyConsumed: r.request.body.Spent(), Stopping: r.in.settling.Load(),
+		BodyConsumed: r.request.body.Spent(), Stopping: r.in.shuttingDown.Load(),
 	}
 	if r.failed != nil {
 		running.Failed = 1
@@ -139,9 +140,9 @@
 	return running
 }
 
-// cancelRest cancels the attempts that are still running. Those that began before the winner are
-// overdue, which is evidence.
-func (r *race) cancelRest(winner *attempt) {
+// cancelRemaining cancels the attempts that are still running. Those that began before the winner
+// are overdue, which is evidence.
+func (r *race) cancelRemaining(winner *attempt) {
 	for _, a := range r.running {
 		if attempts.IsOvertaken(a.startedAt, winner.startedAt) {
 			a.cancel(errOverdue)
--- a/internal/ingress/race_test.go
+++ b/internal/ingress/race_test.go
@@ -33,13 +33,14 @@
   - {name: other, host: h1, address: "127.0.0.1:4", slots: 100}
 routes: [{host: a.example, service: lookup, deadline: 5s, target: 4s}]
 `
-	// slowFor is how long the slow backend server takes. It is far longer than the overdue limit
-	// next to backend servers that take a few milliseconds, and far shorter than the deadline.
-	slowFor = 1200 * time.Millisecond
-	// quickFor is long enough for several requests to run at each backend server in parallel.
-	quickFor = 20 * time.Millisecond
-	// manyOf is how many requests are sent within half a second.
-	manyOf = 120
+	// slowDuration is how long the slow backend server takes. It is far longer than the overdue
+	// limit next to backend servers that take a few milliseconds, and far shorter than the
+	// deadline.
+	slowDuration = 1200 * time.Millisecond
+	// fastDuration is long enough for several requests to run at each backend server in parallel.
+	fastDuration = 20 * time.Millisecond
+	// requestCount is how many requests are sent within half a second.
+	requestCount = 120
 )
 
 // twoBackends replaces a sidecar with two backend servers: one can be slow, the other can have no
@@ -61,13 +62,13 @@
 		}
 		return sidecar.Answer{}, result.New(result.QueueFull)
 	}
-	time.Sleep(quickFor)
+	time.Sleep(fastDuration)
 	return answered(call, r), nil
 }
 
 func (b *twoBackends) doSlowly(ctx context.Context, call hop.Call, r *http.Request) (sidecar.Answer, error) {
 	select {
-	case <-time.After(slowFor):
+	case <-time.After(slowDuration):
 		return answered(call, r), nil
 	case <-ctx.Done():
 		if b.waits.Load() {
@@ -109,7 +110,7 @@
 	}
 	in.Reconfigure(fleet.NewIndex(declaration))
 	for end := time.Now().Add(2 * time.Second); time.Now().Before(end); {
-		many(in)
+		sendMany(in)
 	}
 	return in, b
 }
@@ -122,12 +123,12 @@
 	return w.Code, w.Header().Get("Backend")
 }
 
-// many sends requests at short intervals, so that later ones find the evidence of earlier ones, and
-// returns how many of them failed and how many the slow backend server answered.
-func many(in *Ingress) (failed, bySlow int64) {
+// sendMany sends requestCount requests at short intervals, so that later ones find the evidence of
+// earlier ones, and returns how many of them failed and how many the slow backend server answered.
+func sendMany(in *Ingress) (failed, bySlow int64) {
 	var wg sync.WaitGroup
 	var failures, slowly atomic.Int64
-	for range manyOf {
+	for range requestCount {
 		time.Sleep(4 * time.Millisecond)
 		wg.Go(func() {
 			status, by := get(in)
@@ -143,31 +144,31 @@
 	return failures.Load(), slowly.Load()
 }
 
-// TestLateRequestsAreHedged guards against leaving overdue requests, running or waiting, at a slow
-// backend server once another one has free slots.
-func TestLateRequestsAreHedged(t *testing.T) {
+// TestOverdueRequestsAreHedged guards against leaving overdue requests, running or waiting, at a
+// slow backend server once another one has free slots.
+func TestOverdueRequestsAreHedged(t *testing.T) {
 	for name, waits := range map[string]bool{"running": false, "waiting": true} {
 		t.Run(name, func(t *testing.T) {
 			in, b := newTwoBackends(t)
 			b.slow.Store(true)
 			b.waits.Store(waits)
 			b.full.Store(true)
-			time.AfterFunc(slowFor/2, func() { b.full.Store(false) })
-			failed, bySlow := many(in)
-			if failed > 0 || bySlow > manyOf/2 || b.granted.Load() == 0 {
-				t.Fatalf("%d of %d failed, the slow one answered %d, %d reservations", failed, manyOf, bySlow, b.granted.Load())
+			time.AfterFunc(slowDuration/2, func() { b.full.Store(false) })
+			failed, bySlow := sendMany(in)
+			if failed > 0 || bySlow > requestCount/2 || b.granted.Load() == 0 {
+				t.Fatalf("%d of %d failed, the slow one answered %d, %d reservations", failed, requestCount, bySlow, b.granted.Load())
 			}
 		})
 	}
 }
 
-// TestAnOverdueRequestStaysWhileNobodyTakesIt guards against failing requests at a slow backend
+// TestOverdueRequestContinuesWithoutFreeSlot guards against failing requests at a slow backend
 // server while no other one has a free slot for them.
-func TestAnOverdueRequestStaysWhileNobodyTakesIt(t *testing.T) {
+func TestOverdueRequestContinuesWithoutFreeSlot(t *testing.T) {
 	in, b := newTwoBackends(t)
 	b.slow.Store(true)
 	b.full.Store(true)
-	if failed, bySlow := many(in); failed > 0 || bySlow == 0 {
-		t.Fatalf("%d of %d failed, the slow one answered %d", failed, manyOf, bySlow)
+	if failed, bySlow := sendMany(in); failed > 0 || bySlow == 0 {
+		t.Fatalf("%d of %d failed, the slow one answered %d", failed, requestCount, bySlow)
 	}
 }
--- a/internal/ingress/reach.go
+++ b/internal/ingress/reach.go
@@ -11,77 +11,77 @@
 )
 
 const (
-	// reachEvery is the pause between pings of an unreachable host.
-	reachEvery = 200 * time.Millisecond
-	// reachWithin is the timeout of a ping. It is shorter than a retransmission, since a path that
+	// pingInterval is the pause between pings of an unreachable host.
+	pingInterval = 200 * time.Millisecond
+	// pingTimeout is the timeout of a ping. It is shorter than a retransmission, since a path that
 	// loses many packets is unsuitable for requests.
-	reachWithin = 150 * time.Millisecond
-	// reachProofs is how many consecutive answers make a host reachable again. A single answer may
-	// get through on a path that loses many packets.
-	reachProofs = 3
-	// reachFor limits how long a host is pinged. A host that is still unreachable then is detected
-	// again by the next request to it.
-	reachFor = 30 * time.Second
+	pingTimeout = 150 * time.Millisecond
+	// requiredPings is how many consecutive answers make a host reachable again. A single answer
+	// may get through on a path that loses many packets.
+	requiredPings = 3
+	// maxPingPeriod limits how long a host is pinged. A host that is still unreachable then is
+	// detected again by the next request to it.
+	maxPingPeriod = 30 * time.Second
 )
 
-// reach tracks the hosts that are unreachable from this daemon, and pings their daemons until they
-// answer. No request waits for a host that is known to be unreachable.
-type reach struct {
+// hostMonitor tracks the hosts that are unreachable from this daemon, and pings their daemons until
+// they answer. No request waits for a host that is known to be unreachable.
+type hostMonitor struct {
 	in *Ingress
 
-	mu   sync.Mutex
-	away map[string]bool
+	mu          sync.Mutex
+	unreachable map[string]bool
 }
 
-// recordLost records that a request could not reach the host, and skips its targets until the host
-// has answered.
-func (x *reach) recordLost(host fleet.Host) {
+// recordUnreachable records that a request could not reach the host, and skips its targets until
+// the host has answered.
+func (x *hostMonitor) recordUnreachable(host fleet.Host) {
 	if host.Name == x.in.config.Host {
 		return
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.away[host.Name] {
+	if x.unreachable[host.Name] {
 		return
 	}
-	x.away[host.Name] = true
+	x.unreachable[host.Name] = true
 	event.Log(x.in.config.Logger, event.HostAway, "host", host.Name)
-	x.pause(host.Name, time.Now().Add(reachFor))
-	go x.awaitAnswers(host)
+	x.pauseTargets(host.Name, time.Now().Add(maxPingPeriod))
+	go x.pingUntilReachable(host)
 }
 
-// awaitAnswers pings the host's daemon until it answers reliably or the ping period ends.
-func (x *reach) awaitAnswers(host fleet.Host) {
+// pingUntilReachable pings the host's daemon until it answers reliably or the ping period ends.
+func (x *hostMonitor) pingUntilReachable(host fleet.Host) {
 	began := time.Now()
-	ctx, cancel := context.WithTimeout(x.in.ended, reachFor)
+	ctx, cancel := context.WithTimeout(x.in.baseCtx, maxPingPeriod)
 	defer cancel()
 	proofs, ever := 0, false
-	for proofs < reachProofs && wait.For(ctx, reachEvery) {
-		if !x.answers(ctx, host) {
+	for proofs < requiredPings && wait.For(ctx, pingInterval) {
+		if !x.ping(ctx, host) {
 			proofs = 0
 			continue
 		}
 		proofs++
 		ever = true
 	}
-	if !ever && x.in.ended.Err() == nil {
+	if !ever && x.in.baseCtx.Err() == nil {
 		x.in.config.OnHostUnresponsive(host)
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	delete(x.away, host.Name)
-	x.pause(host.Name, time.Now())
+	delete(x.unreachable, host.Name)
+	x.pauseTargets(host.Name, time.Now())
 	event.Log(x.in.config.Logger, event.HostBack, "host", host.Name, "away_ms", time.Since(began).Milliseconds())
 }
 
-func (x *reach) answers(ctx context.Context, host fleet.Host) bool {
-	ctx, cancel := context.WithTimeout(ctx, reachWithin)
+func (x *hostMonitor) ping(ctx context.Context, host fleet.Host) bool {
+	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
 	return x.in.config.Ping(ctx, host) == nil
 }
 
-// pause skips the host's targets until the given time.
-func (x *reach) pause(host string, until time.Time) {
+// pauseTargets skips the host's targets until the given time.
+func (x *hostMonitor) pauseTargets(host string, until time.Time) {
 	current := x.in.state.Load()
 	if current == nil {
 		return
@@ -97,7 +97,7 @@
 
 // Unreachable reports whether requests could not reach the host and it has not answered since.
 func (in *Ingress) Unreachable(host string) bool {
-	in.reach.mu.Lock()
-	defer in.reach.mu.Unlock()
-	return in.reach.away[host]
+	in.hostMonitor.mu.Lock()
+	defer in.hostMonitor.mu.Unlock()
+	return in.hostMonitor.unreachable[host]
 }
--- a/internal/ingress/refuse_test.go
+++ b/internal/ingress/refuse_test.go
@@ -13,9 +13,9 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// TestARefusalSaysWhenToComeBack guards against refusals without Retry-After. Only a quarantined
+// TestRefusalHasRetryAfter guards against refusals without Retry-After. Only a quarantined
 // request has none, since it is refused every time.
-func TestARefusalSaysWhenToComeBack(t *testing.T) {
+func TestRefusalHasRetryAfter(t *testing.T) {
 	for _, code := range result.All() {
 		if code.Ran != result.RanNo || code.Status != http.StatusServiceUnavailable && code.Status != http.StatusTooManyRequests {
 			continue
@@ -32,9 +32,9 @@
 	}
 }
 
-// TestAFailureThatMayHaveRunSaysNothingOfComingBack guards against inviting callers to repeat a
+// TestFailureThatMayHaveRunHasNoRetryAfter guards against inviting callers to repeat a
 // request that may have run.
-func TestAFailureThatMayHaveRunSaysNothingOfComingBack(t *testing.T) {
+func TestFailureThatMayHaveRunHasNoRetryAfter(t *testing.T) {
 	if got := refusal(t, result.New(result.ConnectionLost), fleet.RetryAfterSeconds).Header().Get("Retry-After"); got != "" {
 		t.Fatalf("Retry-After %q", got)
 	}
--- a/internal/ingress/reservation.go
+++ b/internal/ingress/reservation.go
@@ -16,9 +16,9 @@
 	// reservationDivisor divides the remaining time to get the timeout of a reservation that does
 	// not wait for a slot. The rest is left for trying another backend server.
 	reservationDivisor = 3
-	// reservationWithin is the maximum timeout of such a reservation. It covers the retransmission
-	// of one lost packet.
-	reservationWithin = 400 * time.Millisecond
+	// maxReservationTimeout is the maximum timeout of such a reservation. It covers the
+	// retransmission of one lost packet.
+	maxReservationTimeout = 400 * time.Millisecond
 )
 
 // reserve reserves a slot at the target's sidecar, by a function call if the target is on this
@@ -29,24 +29,24 @@
 		return "", result.New(result.DeadlineBeforeRun)
 	}
 	if address, remote := a.in.remote(a.Target); remote {
-		return a.in.askReservation(ctx, call, address)
+		return a.in.requestReservation(ctx, call, address)
 	}
 	return a.in.config.LocalReservation(ctx, call)
 }
 
-// reservationTime returns the timeout of the call's reservation. One that waits for a slot may use
-// all the remaining time; the sidecar refuses it earlier if no slot can become free in time.
-func reservationTime(call hop.Call) time.Duration {
+// reservationTimeout returns the timeout of the call's reservation. One that waits for a slot may
+// use all the remaining time; the sidecar refuses it earlier if no slot can become free in time.
+func reservationTimeout(call hop.Call) time.Duration {
 	if !call.RefuseIfBusy {
 		return call.TimeLeft
 	}
-	return min(call.TimeLeft/reservationDivisor, reservationWithin)
+	return min(call.TimeLeft/reservationDivisor, maxReservationTimeout)
 }
 
-// askReservation requests a reservation from the daemon at the address. A reservation runs nothing,
-// so if it fails in any way, the request was not run and will not be.
-func (in *Ingress) askReservation(ctx context.Context, call hop.Call, address string) (string, error) {
-	within := reservationTime(call)
+// requestReservation requests a reservation from the daemon at the address. A reservation runs
+// nothing, so if it fails in any way, the request was not run and will not be.
+func (in *Ingress) requestReservation(ctx context.Context, call hop.Call, address string) (string, error) {
+	within := reservationTimeout(call)
 	asking, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	call.WantReservation = true
--- a/internal/ingress/reservation_test.go
+++ b/internal/ingress/reservation_test.go
@@ -8,9 +8,9 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// TestAReservationThatIsNotWantedBlamesNobody guards against evidence from a reservation that was
+// TestCancelledReservationIsNoEvidence guards against evidence from a reservation that was
 // cancelled because the caller left or another attempt was answered.
-func TestAReservationThatIsNotWantedBlamesNobody(t *testing.T) {
+func TestCancelledReservationIsNoEvidence(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	failure := result.From(reservationFailure(ctx, result.New(result.CallerGone)))
@@ -22,9 +22,9 @@
 	}
 }
 
-// TestAReservationThatDoesNotComeIsEvidence guards against ignoring a host that does not answer a
+// TestUnansweredReservationIsEvidence guards against ignoring a host that does not answer a
 // reservation in time.
-func TestAReservationThatDoesNotComeIsEvidence(t *testing.T) {
+func TestUnansweredReservationIsEvidence(t *testing.T) {
 	failure := result.From(reservationFailure(context.Background(), result.New(result.DeadlineBeforeRun)))
 	if failure.Code.Number != result.ReservationUnanswered.Number || failures.Classify(failure.Code).Target != failures.HostUnresponsive {
 		t.Fatalf("got %s", failure.Code.Name)
--- a/internal/ingress/send.go
+++ b/internal/ingress/send.go
@@ -35,7 +35,7 @@
 		BackendServer:    a.Target.Name,
 		TimeLeft:         time.Until(r.deadline),
 		TargetLeft:       time.Until(r.terms.TargetAt),
-		Usual:            r.usual(),
+		Usual:            r.typicalLatency(),
 		LatencyTarget:    r.latencyTarget,
 		SlowAfter:        r.slowAfter(),
 		Customer:         r.queueCustomer,
@@ -63,7 +63,7 @@
 // gets one there first.
 func (in *Ingress) sendRemote(ctx context.Context, call hop.Call, r *http.Request, address string) (sidecar.Answer, error) {
 	if call.NonIdempotent && call.Reservation == "" {
-		reservation, err := in.askReservation(ctx, call, address)
+		reservation, err := in.requestReservation(ctx, call, address)
 		if err != nil {
 			return sidecar.Answer{}, err
 		}
--- a/internal/ingress/serve.go
+++ b/internal/ingress/serve.go
@@ -24,18 +24,18 @@
 	defer in.endRetry(request)
 	defer request.body.Finish()
 	if err := request.body.Prepare(request.deadline); err != nil {
-		in.giveBack(request)
+		in.refundCustomer(request)
 		in.fail(w, r, started, bodyFailure(err))
 		return
 	}
-	ctx, answered, cancel := in.untilAnswered(r.Context(), request.deadline)
+	ctx, answered, cancel := in.requestContext(r.Context(), request.deadline)
 	defer cancel()
 	response, err := in.tryAll(ctx, request)
 	answered()
 	if err != nil {
-		failure := lastAnswer(ctx, err)
+		failure := finalFailure(ctx, err)
 		if failure.Code.Ran == result.RanNo {
-			in.giveBack(request)
+			in.refundCustomer(request)
 		}
 		in.reportFailed(request, failure)
 		in.fail(w, r, started, failure)
--- a/internal/ingress/service.go
+++ b/internal/ingress/service.go
@@ -24,11 +24,11 @@
 
 // service is the state of one service.
 type service struct {
-	pool  *balance.Pool
-	limit *retryLimit
-	judge *judge
-	rules detect.Rules
-	calls callCounters
+	pool        *balance.Pool
+	limit       *retryLimit
+	detector    *outlierDetector
+	rules       detect.Rules
+	subrequests subrequestCounters
 	// attempts is the part of the service that package attempts reads.
 	attempts attempts.Service
 }
@@ -42,7 +42,7 @@
 		routes:   route.NewTable(index.Declaration.Routes),
 		services: make(map[string]*service, len(index.Declaration.Services)),
 	}
-	next.customers = in.customersOf(index.Declaration)
+	next.customers = in.customerTable(index.Declaration)
 	in.config.Retries.SetLimits(time.Now(), in.retrySizes(index.Declaration))
 	for _, declared := range index.Declaration.Services {
 		next.services[declared.Name] = in.reconfigureService(declared, index)
@@ -51,7 +51,7 @@
 	in.subrequest.Keep(next.routes.Has)
 	old := in.state.Swap(next)
 	if old != nil {
-		endRemoved(old, next)
+		stopRemoved(old, next)
 	}
 }
 
@@ -69,11 +69,11 @@
 	return sizes
 }
 
-// endRemoved stops the judges of services that are no longer declared.
-func endRemoved(old, next *state) {
+// stopRemoved stops the outlier detectors of services that are no longer declared.
+func stopRemoved(old, next *state) {
 	for name, s := range old.services {
 		if _, ok := next.services[name]; !ok {
-			s.judge.end()
+			s.detector.stop()
 		}
 	}
 }
@@ -82,25 +82,25 @@
 // previous declaration.
 func (in *Ingress) reconfigureService(declared fleet.Service, index *fleet.Index) *service {
 	s := &service{
-		pool:  balance.NewPool(balance.Config{DataCentre: in.config.DataCentre, Random: rand.Uint64, Start: in.start}),
-		limit: &retryLimit{budgets: in.config.Retries, service: declared.Name, borrow: in.config.BorrowRetry},
-		rules: detect.RulesOf(declared.Detection),
-		calls: newCallCounters(in.config.Scope, declared.Name),
+		pool:        balance.NewPool(balance.Config{DataCentre: in.config.DataCentre, Random: rand.Uint64, Start: in.start}),
+		limit:       &retryLimit{budgets: in.config.Retries, service: declared.Name, borrow: in.config.BorrowRetry},
+		rules:       detect.RulesOf(declared.Detection),
+		subrequests: newSubrequestCounters(in.config.Scope, declared.Name),
 	}
 	if old, ok := in.service(declared.Name); ok {
 		s.pool = old.pool
-		s.judge = old.judge
+		s.detector = old.detector
 		s.limit = old.limit
 	}
 	s.attempts = attempts.Service{
-		Pool: s.pool, RetryLeft: s.limit.likelyLeft,
+		Pool: s.pool, RetryLeft: s.limit.likelyAvailable,
 		IgnoreHanging: in.disabled.hangChecks, NoHedges: in.disabled.hedges,
 	}
 	s.pool.Reconfigure(declared, index)
-	if s.judge == nil {
-		s.judge = newJudge(in.config, s.pool)
+	if s.detector == nil {
+		s.detector = newOutlierDetector(in.config, s.pool)
 	}
-	s.judge.reconfigure(declared)
+	s.detector.reconfigure(declared)
 	return s
 }
 
--- a/internal/ingress/stop.go
+++ b/internal/ingress/stop.go
@@ -13,9 +13,9 @@
 // InFlight returns the number of callers' requests being served.
 func (in *Ingress) InFlight() int64 { return in.inFlight.Load() }
 
-// BeginShutdown records that a planned stop has begun. Requests in flight are no longer hedged, since
-// other backend servers may refuse them by now.
-func (in *Ingress) BeginShutdown() { in.settling.Store(true) }
+// BeginShutdown records that a planned stop has begun. Requests in flight are no longer hedged,
+// since other backend servers may refuse them by now.
+func (in *Ingress) BeginShutdown() { in.shuttingDown.Store(true) }
 
 // Stop refuses new requests.
 func (in *Ingress) Stop() { in.stopping.Store(true) }
@@ -24,18 +24,18 @@
 // says that the request was not run, if that is certain, or else that its outcome is unknown.
 func (in *Ingress) AnswerAll() {
 	in.Stop()
-	in.answerAll()
+	in.cancelPending()
 }
 
 // errStopped cancels the requests that are pending at the end of a planned stop.
 var errStopped = errors.New("daemon is stopping")
 
-// untilAnswered returns the context in which a request is served. It ends at the deadline or,
+// requestContext returns the context in which a request is served. It ends at the deadline or,
 // unless answered has been called, when AnswerAll is called.
-func (in *Ingress) untilAnswered(ctx context.Context, deadline time.Time) (_ context.Context, answered, end func()) {
+func (in *Ingress) requestContext(ctx context.Context, deadline time.Time) (_ context.Context, answered, end func()) {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	ctx, stop := context.WithCancelCause(ctx)
-	detach := context.AfterFunc(in.answering, func() { stop(errStopped) })
+	detach := context.AfterFunc(in.pendingCtx, func() { stop(errStopped) })
 	return ctx, func() { detach() }, func() {
 		detach()
 		stop(nil)
@@ -43,9 +43,9 @@
 	}
 }
 
-// lastAnswer returns the failure that answers a request, which says what is known if a planned stop
-// has cancelled the request.
-func lastAnswer(ctx context.Context, err error) *result.Error {
+// finalFailure returns the failure that answers a request, which says what is known if a planned
+// stop has cancelled the request.
+func finalFailure(ctx context.Context, err error) *result.Error {
 	failure := result.From(err)
 	if !errors.Is(context.Cause(ctx), errStopped) {
 		return failure
--- a/internal/ingress/subrequest.go
+++ b/internal/ingress/subrequest.go
@@ -11,15 +11,15 @@
 	"github.com/tideliftd/tidelift/internal/subrequest"
 )
 
-// callCounters count the subrequests of this host's backend servers to a service, by whether the
-// run that sent them was a retry.
-type callCounters struct{ ofFirst, ofRetry tally.Counter }
+// subrequestCounters count the subrequests of this host's backend servers to a service, by whether
+// the run that sent them was a retry.
+type subrequestCounters struct{ ofFirst, ofRetry tally.Counter }
 
-func newCallCounters(scope tally.Scope, service string) callCounters {
+func newSubrequestCounters(scope tally.Scope, service string) subrequestCounters {
 	counter := func(of string) tally.Counter {
 		return scope.Tagged(map[string]string{"service": service, "of": of}).Counter("ingress_subrequests")
 	}
-	return callCounters{ofFirst: counter("first"), ofRetry: counter("repeat")}
+	return subrequestCounters{ofFirst: counter("first"), ofRetry: counter("repeat")}
 }
 
 // countForLimit counts the request for its service's retry limit. A subrequest of a run that was a
@@ -33,10 +33,10 @@
 	r.countsAsRetry = in.config.Retries.RecordCall(now, run, r.serviceName)
 	r.sentByRetry = run.Retry
 	if run.Retry {
-		r.service.calls.ofRetry.Inc(1)
+		r.service.subrequests.ofRetry.Inc(1)
 		return
 	}
-	r.service.calls.ofFirst.Inc(1)
+	r.service.subrequests.ofFirst.Inc(1)
 }
 
 // endRetry ends a request that was counted as a retry on admission.
@@ -65,8 +65,8 @@
 	}
 }
 
-// MergeSubrequestEvidence merges the evidence of another host of the same service on routes that its backend
-// servers may call, and returns the routes that are known to be called.
+// MergeSubrequestEvidence merges the evidence of another host of the same service on routes that
+// its backend servers may call, and returns the routes that are known to be called.
 func (in *Ingress) MergeSubrequestEvidence(told []subrequest.Evidence) []route.Name {
 	var known []route.Name
 	for _, e := range told {
@@ -77,8 +77,8 @@
 	return known
 }
 
-// MarkSubrequestRoutes marks routes that, according to another host of the same service, its backend
-// servers call.
+// MarkSubrequestRoutes marks routes that, according to another host of the same service, its
+// backend servers call.
 func (in *Ingress) MarkSubrequestRoutes(routes []route.Name) {
 	for _, name := range routes {
 		in.subrequest.Learn(name)
