--- a/internal/ingress/admit.go
+++ b/internal/ingress/admit.go
@@ -107,7 +107,7 @@
 	// net/http uses its body to decide whether to send 100 Continue.
 	own := *r
 	target := min(a.match.Target, a.timeLeft)
-	made := &request{
+	admitted := &request{
 		Request:       &own,
 		service:       service,
 		serviceName:   name,
@@ -130,9 +130,9 @@
 		mayBeSubrequest: a.state.mayBeSubrequest(a.caller),
 	}
 	if in.disabled.latencyTargets {
-		made.terms.TargetAt = made.deadline
+		admitted.terms.TargetAt = admitted.deadline
 	}
-	return made
+	return admitted
 }
 
 // prioritizeSubrequest gives a subrequest the highest priority in queues, and lets it wait there
--- a/internal/ingress/attempt.go
+++ b/internal/ingress/attempt.go
@@ -70,12 +70,12 @@
 // run sends the request and returns the response once its header has arrived.
 func (a *attempt) run(ctx context.Context) (*http.Response, error) {
 	started := time.Now()
-	clock := a.startOverdueTimer()
+	timer := a.startOverdueTimer()
 	a.Target.Begin()
 	own := *a.request.Request // parallel hedges have their own bodies
 	a.request.body.Rewind(&own)
 	answer, err := a.send(ctx, &own)
-	clock.stop()
+	timer.stop()
 	if err != nil {
 		failure := a.failure(ctx, err)
 		a.cancel(nil)
--- a/internal/ingress/attempt_test.go
+++ b/internal/ingress/attempt_test.go
@@ -38,11 +38,11 @@
 // early, when an attempt fails while its hedge is still reserving a slot.
 func TestRefusedHedgeEndsRaceOfFailedAttempt(t *testing.T) {
 	r := newTestRace(t, 2)
-	first, looking := r.running[0], r.running[1]
+	first, hedge := r.running[0], r.running[1]
 	if end := r.handle(outcome{attempt: first, err: result.New(result.ConnectionLost)}); end != nil {
 		t.Fatal("the race ended while a hedge was reserving a slot")
 	}
-	end := r.handle(outcome{attempt: looking, err: result.New(result.Busy), hedgeRefused: true})
+	end := r.handle(outcome{attempt: hedge, err: result.New(result.Busy), hedgeRefused: true})
 	if end == nil || end.attempt != first {
 		t.Fatalf("ended with %+v, want the attempt that failed", end)
 	}
--- a/internal/ingress/avoid.go
+++ b/internal/ingress/avoid.go
@@ -16,36 +16,36 @@
 const reducedShare = balance.FullShare / 8
 
 // evaluate compares all targets and sets the share of each.
-func (j *outlierDetector) evaluate(now time.Time) {
-	targets := j.pool.Targets()
-	j.group.UpdateBaselines()
-	if j.declared.AdoptionIn(j.config.DataCentre) == fleet.AdoptionSteer {
-		j.avoidUnhealthy(now, targets)
+func (d *outlierDetector) evaluate(now time.Time) {
+	targets := d.pool.Targets()
+	d.group.UpdateBaselines()
+	if d.declared.AdoptionIn(d.config.DataCentre) == fleet.AdoptionSteer {
+		d.avoidUnhealthy(now, targets)
 	}
-	told := detect.NewReportedFailureRates(j.pool.FailureShares(now))
+	rates := detect.NewReportedFailureRates(d.pool.FailureShares(now))
 	for _, target := range targets {
-		j.publish(now, target, told)
+		d.publish(now, target, rates)
 	}
 }
 
 // avoidUnhealthy avoids as many unhealthy targets as the floor allows, the most severe first.
-func (j *outlierDetector) avoidUnhealthy(now time.Time, targets []*balance.Target) {
-	var sick []unhealthyTarget
+func (d *outlierDetector) avoidUnhealthy(now time.Time, targets []*balance.Target) {
+	var unhealthy []unhealthyTarget
 	for _, target := range targets {
-		subject, ok := j.group.Subject(target.Name)
+		subject, ok := d.group.Subject(target.Name)
 		if !ok || subject.State(now) != detect.Serving {
 			continue
 		}
-		if verdict := subject.Verdict(now); verdict.Unhealthy && j.group.IsOutlier(target.Name) {
-			sick = append(sick, unhealthyTarget{target, subject, verdict})
+		if verdict := subject.Verdict(now); verdict.Unhealthy && d.group.IsOutlier(target.Name) {
+			unhealthy = append(unhealthy, unhealthyTarget{target, subject, verdict})
 		}
 	}
-	slices.SortStableFunc(sick, func(a, b unhealthyTarget) int {
+	slices.SortStableFunc(unhealthy, func(a, b unhealthyTarget) int {
 		return cmp.Compare(b.verdict.Severity, a.verdict.Severity)
 	})
-	left := j.surplus(now, targets)
-	for _, s := range sick {
-		left = j.avoid(now, s, left)
+	left := d.surplus(now, targets)
+	for _, s := range unhealthy {
+		left = d.avoid(now, s, left)
 	}
 }
 
@@ -58,48 +58,48 @@
 
 // publish sets the target's share of the requests and the baseline that requests to its sidecar
 // carry.
-func (j *outlierDetector) publish(now time.Time, target *balance.Target, told detect.ReportedFailureRates) {
-	subject, ok := j.group.Subject(target.Name)
+func (d *outlierDetector) publish(now time.Time, target *balance.Target, rates detect.ReportedFailureRates) {
+	subject, ok := d.group.Subject(target.Name)
 	if !ok {
 		return
 	}
-	others := told.Complete(target.Name, j.group.Baseline(target.Name))
+	others := rates.Complete(target.Name, d.group.Baseline(target.Name))
 	target.SetBaseline(others.Encode(), others.TypicalLatency)
-	if j.declared.AdoptionIn(j.config.DataCentre) != fleet.AdoptionSteer {
+	if d.declared.AdoptionIn(d.config.DataCentre) != fleet.AdoptionSteer {
 		target.SetShare(balance.FullShare)
 		return
 	}
-	j.setShare(now, target, subject)
+	d.setShare(now, target, subject)
 }
 
 // surplus returns how many more targets may be avoided without falling below the floor.
-func (j *outlierDetector) surplus(now time.Time, targets []*balance.Target) int {
+func (d *outlierDetector) surplus(now time.Time, targets []*balance.Target) int {
 	out := 0
 	for _, target := range targets {
-		subject, ok := j.group.Subject(target.Name)
+		subject, ok := d.group.Subject(target.Name)
 		avoided := ok && subject.State(now) != detect.Serving
-		if avoided || j.pool.Paused(target, now) {
+		if avoided || d.pool.Paused(target, now) {
 			out++
 		}
 	}
-	return len(targets) - j.declared.Floor - out
+	return len(targets) - d.declared.Floor - out
 }
 
 // avoid avoids an unhealthy target if the floor allows it, and returns how many more may be
 // avoided. A paused target is already counted as out of use.
-func (j *outlierDetector) avoid(now time.Time, s unhealthyTarget, left int) int {
+func (d *outlierDetector) avoid(now time.Time, s unhealthyTarget, left int) int {
 	name := s.target.Name
-	paused := j.pool.Paused(s.target, now)
+	paused := d.pool.Paused(s.target, now)
 	if left <= 0 && !paused {
-		if !j.keptByFloor[name] {
-			j.keptByFloor[name] = true
-			j.log(event.FloorHeld, s.target, "cause", s.verdict.Cause)
+		if !d.keptByFloor[name] {
+			d.keptByFloor[name] = true
+			d.log(event.FloorHeld, s.target, "cause", s.verdict.Cause)
 		}
 		return left
 	}
 	s.subject.Eject(now)
-	delete(j.keptByFloor, name)
-	j.log(event.ServerAvoided, s.target, "cause", s.verdict.Cause)
+	delete(d.keptByFloor, name)
+	d.log(event.ServerAvoided, s.target, "cause", s.verdict.Cause)
 	if paused {
 		return left
 	}
@@ -107,7 +107,7 @@
 }
 
 // setShare sets the target's share according to its state.
-func (j *outlierDetector) setShare(now time.Time, target *balance.Target, subject *detect.Subject) {
+func (d *outlierDetector) setShare(now time.Time, target *balance.Target, subject *detect.Subject) {
 	switch subject.State(now) {
 	case detect.Ejected:
 		target.SetShare(0)
@@ -115,17 +115,17 @@
 		target.SetShare(0)
 		target.OpenProbation()
 	case detect.Serving:
-		target.SetShare(j.servingShare(now, target, subject))
+		target.SetShare(d.servingShare(now, target, subject))
 	}
 }
 
-func (j *outlierDetector) servingShare(now time.Time, target *balance.Target, subject *detect.Subject) uint32 {
+func (d *outlierDetector) servingShare(now time.Time, target *balance.Target, subject *detect.Subject) uint32 {
 	share := uint32(subject.TrafficShare(now) * balance.FullShare)
-	if !j.keptByFloor[target.Name] {
+	if !d.keptByFloor[target.Name] {
 		return share
 	}
 	if !subject.Verdict(now).Unhealthy {
-		delete(j.keptByFloor, target.Name)
+		delete(d.keptByFloor, target.Name)
 		return share
 	}
 	return min(share, reducedShare)
--- a/internal/ingress/clock.go
+++ b/internal/ingress/clock.go
@@ -31,22 +31,22 @@
 }
 
 // stop stops the timer. The timer does not expire after stop returns.
-func (c *overdueTimer) stop() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.stopped = true
-	if c.timer != nil {
-		c.timer.Stop()
+func (t *overdueTimer) stop() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.stopped = true
+	if t.timer != nil {
+		t.timer.Stop()
 	}
 }
 
 // expire reports the attempt as overdue.
-func (c *overdueTimer) expire() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.stopped {
+func (t *overdueTimer) expire() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.stopped {
 		return
 	}
-	c.attempt.overdue.Store(true)
-	c.attempt.report(detect.Observation{Outcome: detect.Overdue}, true)
+	t.attempt.overdue.Store(true)
+	t.attempt.report(detect.Observation{Outcome: detect.Overdue}, true)
 }
--- a/internal/ingress/customer.go
+++ b/internal/ingress/customer.go
@@ -25,45 +25,45 @@
 // longer valid.
 func (s *state) identify(r *http.Request, match *route.Match) (identity, *result.Error) {
 	header := s.index.Declaration.Callers.CustomerHeader
-	who := identity{priority: match.Priority}
+	caller := identity{priority: match.Priority}
 	if s.customers == nil {
-		who.name = r.Header.Get(header)
-		return who, nil
+		caller.name = r.Header.Get(header)
+		return caller, nil
 	}
 	r.Header.Del(header)
 	key, given := customer.KeyOf(r.Header)
 	if !given {
 		if match.Public {
-			return who, nil
+			return caller, nil
 		}
-		return who, result.New(result.KeyMissing)
+		return caller, result.New(result.KeyMissing)
 	}
 	r.Header.Del(customer.Header)
 	found, ok := s.customers.Find(key)
 	if !ok {
-		return who, result.New(result.KeyUnknown)
+		return caller, result.New(result.KeyUnknown)
 	}
-	who.name = found.Name
+	caller.name = found.Name
 	if found.Priority != nil {
-		who.priority = *found.Priority
+		caller.priority = *found.Priority
 	}
 	r.Header.Set(header, found.Name)
-	return who, nil
+	return caller, nil
 }
 
 // mayBeSubrequest reports whether a backend server may have sent the request. Backend servers hold
 // no customer keys, so a request with a key is never a subrequest, even if its failures coincide
 // with those of a backend server. Without this rule, high load makes most hosts classify all routes
 // as subrequests.
-func (s *state) mayBeSubrequest(who identity) bool { return s.customers == nil || who.name == "" }
+func (s *state) mayBeSubrequest(caller identity) bool { return s.customers == nil || caller.name == "" }
 
 // queueCustomer returns the customer under which a request is queued; queues serve customers in
 // turn. If customers are declared, a request without one is queued under its host: a single
 // customer for all of them would get one turn among hundreds, although most of them are
 // subrequests, whose failure fails a customer's request.
-func (in *Ingress) queueCustomer(s *state, who identity) string {
-	if who.name != "" || s.customers == nil {
-		return who.name
+func (in *Ingress) queueCustomer(s *state, caller identity) string {
+	if caller.name != "" || s.customers == nil {
+		return caller.name
 	}
 	return "host " + in.config.Host
 }
--- a/internal/ingress/judge.go
+++ b/internal/ingress/judge.go
@@ -81,86 +81,86 @@
 	return j
 }
 
-func (j *outlierDetector) stop() { close(j.done) }
+func (d *outlierDetector) stop() { close(d.done) }
 
 // reconfigure applies the service's declaration.
-func (j *outlierDetector) reconfigure(declared fleet.Service) {
+func (d *outlierDetector) reconfigure(declared fleet.Service) {
 	select {
-	case j.changes <- declared:
-	case <-j.done:
+	case d.changes <- declared:
+	case <-d.done:
 	}
 }
 
 // record queues an observation without blocking.
-func (j *outlierDetector) record(o observation) {
+func (d *outlierDetector) record(o observation) {
 	select {
-	case j.observations <- o:
+	case d.observations <- o:
 	default:
-		j.dropped.Inc(1)
+		d.dropped.Inc(1)
 	}
 }
 
 // explain returns the evidence on a backend server and the state of its floor.
-func (j *outlierDetector) explain(backendServer string) (detect.Explanation, string, bool) {
+func (d *outlierDetector) explain(backendServer string) (detect.Explanation, string, bool) {
 	q := explainRequest{backendServer: backendServer, reply: make(chan explanation, 1)}
 	select {
-	case j.explainRequests <- q:
+	case d.explainRequests <- q:
 		answer := <-q.reply
 		return answer.Explanation, answer.floor, answer.known
-	case <-j.done:
+	case <-d.done:
 		return detect.Explanation{}, "", false
 	}
 }
 
 // run evaluates the evidence periodically, and stops doing so while the service has no requests and
 // all its backend servers have their full share.
-func (j *outlierDetector) run() {
+func (d *outlierDetector) run() {
 	pace := time.NewTimer(evaluationInterval)
 	defer pace.Stop()
 	for {
 		select {
-		case o := <-j.observations:
-			j.observe(time.Now(), o)
-			if j.idle {
-				j.idle = false
+		case o := <-d.observations:
+			d.observe(time.Now(), o)
+			if d.idle {
+				d.idle = false
 				pace.Reset(evaluationInterval)
 			}
 		case <-pace.C:
-			j.evaluate(time.Now())
-			j.idle = j.canIdle(time.Now())
-			if !j.idle {
+			d.evaluate(time.Now())
+			d.idle = d.canIdle(time.Now())
+			if !d.idle {
 				pace.Reset(evaluationInterval)
 			}
-		case declared := <-j.changes:
-			j.apply(declared)
-		case q := <-j.explainRequests:
-			q.reply <- j.explainNow(time.Now(), q.backendServer)
-		case <-j.done:
+		case declared := <-d.changes:
+			d.apply(declared)
+		case q := <-d.explainRequests:
+			q.reply <- d.explainNow(time.Now(), q.backendServer)
+		case <-d.done:
 			return
 		}
 	}
 }
 
 // apply applies the service's declaration.
-func (j *outlierDetector) apply(declared fleet.Service) {
-	j.declared = declared
+func (d *outlierDetector) apply(declared fleet.Service) {
+	d.declared = declared
 	names := make([]string, 0, len(declared.BackendServers))
 	for _, b := range declared.BackendServers {
 		names = append(names, b.Name)
 	}
-	j.group.Reconfigure(detect.RulesOf(declared.Detection), names)
+	d.group.Reconfigure(detect.RulesOf(declared.Detection), names)
 }
 
 // observe records an observation of a target. If the request was a probation, observe ends it.
-func (j *outlierDetector) observe(now time.Time, o observation) {
-	j.lastSeen = now
-	subject, ok := j.group.Subject(o.target.Name)
+func (d *outlierDetector) observe(now time.Time, o observation) {
+	d.lastSeen = now
+	subject, ok := d.group.Subject(o.target.Name)
 	if !ok {
 		return
 	}
 	if !o.probation {
 		if o.isEvidence && subject.State(now) == detect.Serving {
-			subject.Observe(now, o.saw, j.group.Baseline(o.target.Name))
+			subject.Observe(now, o.saw, d.group.Baseline(o.target.Name))
 		}
 		return
 	}
@@ -168,17 +168,17 @@
 	if !o.isEvidence || subject.State(now) != detect.Probation {
 		return
 	}
-	if subject.ObserveProbation(now, o.saw, j.group.Baseline(o.target.Name)) {
-		j.log(event.ServerReturned, o.target, "why", "passed its trial on this path")
+	if subject.ObserveProbation(now, o.saw, d.group.Baseline(o.target.Name)) {
+		d.log(event.ServerReturned, o.target, "why", "passed its trial on this path")
 	}
 }
 
 // canIdle reports whether no share can change before the next observation.
-func (j *outlierDetector) canIdle(now time.Time) bool {
-	if now.Sub(j.lastSeen) < idleAfter || len(j.keptByFloor) > 0 {
+func (d *outlierDetector) canIdle(now time.Time) bool {
+	if now.Sub(d.lastSeen) < idleAfter || len(d.keptByFloor) > 0 {
 		return false
 	}
-	for _, target := range j.pool.Targets() {
+	for _, target := range d.pool.Targets() {
 		if target.Share() < balance.FullShare {
 			return false
 		}
@@ -187,19 +187,19 @@
 }
 
 // explainNow returns the evidence on a backend server and the state of its floor.
-func (j *outlierDetector) explainNow(now time.Time, backendServer string) explanation {
-	subject, ok := j.group.Subject(backendServer)
+func (d *outlierDetector) explainNow(now time.Time, backendServer string) explanation {
+	subject, ok := d.group.Subject(backendServer)
 	if !ok {
 		return explanation{}
 	}
-	floor := fmt.Sprintf("floor %d", j.declared.Floor)
-	if j.keptByFloor[backendServer] {
+	floor := fmt.Sprintf("floor %d", d.declared.Floor)
+	if d.keptByFloor[backendServer] {
 		floor += ": kept in use with a reduced share"
 	}
 	return explanation{Explanation: subject.Explain(now), floor: floor, known: true}
 }
 
-func (j *outlierDetector) log(e event.Event, target *balance.Target, args ...any) {
-	all := append([]any{"backend_server", target.Name, "service", j.declared.Name, "witness", "ingress"}, args...)
-	event.Log(j.config.Logger, e, all...)
+func (d *outlierDetector) log(e event.Event, target *balance.Target, args ...any) {
+	all := append([]any{"backend_server", target.Name, "service", d.declared.Name, "witness", "ingress"}, args...)
+	event.Log(d.config.Logger, e, all...)
 }
--- a/internal/ingress/race.go
+++ b/internal/ingress/race.go
@@ -49,17 +49,17 @@
 		done:     make(chan outcome),
 	}
 	r.start(ctx, first)
-	look := r.newHedgeTimer()
-	defer look.Stop()
+	hedgeTimer := r.newHedgeTimer()
+	defer hedgeTimer.Stop()
 	for {
 		select {
 		case o := <-r.done:
 			if end := r.handle(o); end != nil {
 				return *end
 			}
-		case <-look.C:
+		case <-hedgeTimer.C:
 			r.tryHedge(ctx)
-			look.Reset(r.hedging.CheckInterval())
+			hedgeTimer.Reset(r.hedging.CheckInterval())
 		}
 	}
 }
@@ -68,11 +68,11 @@
 // hedged.
 func (r *race) newHedgeTimer() *time.Timer {
 	after, ok := r.hedging.FirstCheck()
-	look := time.NewTimer(after)
+	timer := time.NewTimer(after)
 	if !ok {
-		look.Stop()
+		timer.Stop()
 	}
-	return look
+	return timer
 }
 
 // handle records the outcome of an attempt. It returns the outcome that ends the race, or nil if
--- a/internal/ingress/reach.go
+++ b/internal/ingress/reach.go
@@ -35,54 +35,54 @@
 
 // recordUnreachable records that a request could not reach the host, and skips its targets until
 // the host has answered.
-func (x *hostMonitor) recordUnreachable(host fleet.Host) {
-	if host.Name == x.in.config.Host {
+func (m *hostMonitor) recordUnreachable(host fleet.Host) {
+	if host.Name == m.in.config.Host {
 		return
 	}
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	if x.unreachable[host.Name] {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.unreachable[host.Name] {
 		return
 	}
-	x.unreachable[host.Name] = true
-	event.Log(x.in.config.Logger, event.HostAway, "host", host.Name)
-	x.pauseTargets(host.Name, time.Now().Add(maxPingPeriod))
-	go x.pingUntilReachable(host)
+	m.unreachable[host.Name] = true
+	event.Log(m.in.config.Logger, event.HostAway, "host", host.Name)
+	m.pauseTargets(host.Name, time.Now().Add(maxPingPeriod))
+	go m.pingUntilReachable(host)
 }
 
 // pingUntilReachable pings the host's daemon until it answers reliably or the ping period ends.
-func (x *hostMonitor) pingUntilReachable(host fleet.Host) {
+func (m *hostMonitor) pingUntilReachable(host fleet.Host) {
 	began := time.Now()
-	ctx, cancel := context.WithTimeout(x.in.baseCtx, maxPingPeriod)
+	ctx, cancel := context.WithTimeout(m.in.baseCtx, maxPingPeriod)
 	defer cancel()
-	proofs, ever := 0, false
-	for proofs < requiredPings && wait.For(ctx, pingInterval) {
-		if !x.ping(ctx, host) {
-			proofs = 0
+	consecutive, answered := 0, false
+	for consecutive < requiredPings && wait.For(ctx, pingInterval) {
+		if !m.ping(ctx, host) {
+			consecutive = 0
 			continue
 		}
-		proofs++
-		ever = true
+		consecutive++
+		answered = true
 	}
-	if !ever && x.in.baseCtx.Err() == nil {
-		x.in.config.OnHostUnresponsive(host)
+	if !answered && m.in.baseCtx.Err() == nil {
+		m.in.config.OnHostUnresponsive(host)
 	}
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	delete(x.unreachable, host.Name)
-	x.pauseTargets(host.Name, time.Now())
-	event.Log(x.in.config.Logger, event.HostBack, "host", host.Name, "away_ms", time.Since(began).Milliseconds())
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	delete(m.unreachable, host.Name)
+	m.pauseTargets(host.Name, time.Now())
+	event.Log(m.in.config.Logger, event.HostBack, "host", host.Name, "away_ms", time.Since(began).Milliseconds())
 }
 
-func (x *hostMonitor) ping(ctx context.Context, host fleet.Host) bool {
+func (m *hostMonitor) ping(ctx context.Context, host fleet.Host) bool {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
-	return x.in.config.Ping(ctx, host) == nil
+	return m.in.config.Ping(ctx, host) == nil
 }
 
 // pauseTargets skips the host's targets until the given time.
-func (x *hostMonitor) pauseTargets(host string, until time.Time) {
-	current := x.in.state.Load()
+func (m *hostMonitor) pauseTargets(host string, until time.Time) {
+	current := m.in.state.Load()
 	if current == nil {
 		return
 	}
--- a/internal/ingress/reservation.go
+++ b/internal/ingress/reservation.go
@@ -46,14 +46,14 @@
 // requestReservation requests a reservation from the daemon at the address. A reservation runs
 // nothing, so if it fails in any way, the request was not run and will not be.
 func (in *Ingress) requestReservation(ctx context.Context, call hop.Call, address string) (string, error) {
-	within := reservationTimeout(call)
-	asking, cancel := context.WithTimeout(ctx, within)
+	timeout := reservationTimeout(call)
+	reserveCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	call.WantReservation = true
-	call.TimeLeft = within
+	call.TimeLeft = timeout
 	call.Baseline = "" // only the request itself needs it
-	ask := &http.Request{Method: http.MethodGet, URL: &url.URL{Path: "/"}, Host: address, Header: http.Header{}}
-	response, err := in.hop(asking, call, ask, address)
+	request := &http.Request{Method: http.MethodGet, URL: &url.URL{Path: "/"}, Host: address, Header: http.Header{}}
+	response, err := in.hop(reserveCtx, call, request, address)
 	if err != nil {
 		return "", reservationFailure(ctx, result.From(err))
 	}
--- a/internal/ingress/subrequest.go
+++ b/internal/ingress/subrequest.go
@@ -67,9 +67,9 @@
 
 // MergeSubrequestEvidence merges the evidence of another host of the same service on routes that
 // its backend servers may call, and returns the routes that are known to be called.
-func (in *Ingress) MergeSubrequestEvidence(told []subrequest.Evidence) []route.Name {
+func (in *Ingress) MergeSubrequestEvidence(evidence []subrequest.Evidence) []route.Name {
 	var known []route.Name
-	for _, e := range told {
+	for _, e := range evidence {
 		if in.subrequest.Hear(e) {
 			known = append(known, e.Route)
 		}
