--- a/internal/ingress/admit.go
+++ b/internal/ingress/admit.go
@@ -46,8 +46,8 @@
 
 // typicalLatency returns the typical latency of the request's route; zero if unknown.
 func (r *request) typicalLatency() time.Duration {
-	usual, _ := r.latency.Median()
-	return usual
+	typicalLatency, _ := r.latency.Median()
+	return typicalLatency
 }
 
 // admission is the result of the admission checks of a request.
--- a/internal/ingress/failures_test.go
+++ b/internal/ingress/failures_test.go
@@ -66,7 +66,7 @@
 	pool := newTestPool(t, 1)
 	a := &attempt{
 		in:      &Ingress{},
-		request: &request{service: &service{pool: pool, detector: &outlierDetector{observations: make(chan observation, 1)}}},
+		request: &request{service: &service{pool: pool, outlierDetector: &outlierDetector{observations: make(chan observation, 1)}}},
 		Choice:  attempts.Choice{Target: pool.Targets()[0]},
 	}
 	failure := result.New(code).WithRetryAfter(time.Minute)
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -112,8 +112,9 @@
 	// OnSubrequestEvidence receives evidence on routes that the backend servers of this host may
 	// call; nil discards it.
 	OnSubrequestEvidence func([]subrequest.Evidence)
-	// AdmitCustomer decides whether a request is within the customer's limit, and GiveBack reverts
-	// that for a request that reached no backend server; both are nil if there are no limits.
+	// AdmitCustomer decides whether a request is within the customer's limit, and RefundCustomer
+	// reverts that for a request that reached no backend server; both are nil if there are no
+	// limits.
 	AdmitCustomer  func(customer string) quota.Decision
 	RefundCustomer func(customer string)
 	// Runs tracks the requests that the backend servers of this host are running; nil uses an empty
@@ -194,9 +195,9 @@
 	}
 	in.subrequest = subrequest.New(subrequest.Config{Changed: in.logSubrequest})
 	in.hostMonitor = &hostMonitor{in: in, unreachable: make(map[string]bool)}
-	ended, cancel := context.WithCancel(context.Background())
-	in.baseCtx = ended
-	in.pendingCtx, in.cancelPending = context.WithCancel(ended)
+	baseCtx, cancel := context.WithCancel(context.Background())
+	in.baseCtx = baseCtx
+	in.pendingCtx, in.cancelPending = context.WithCancel(baseCtx)
 	return in, func() {
 		cancel()
 		in.close()
--- a/internal/ingress/learn.go
+++ b/internal/ingress/learn.go
@@ -86,7 +86,7 @@
 	if a.Probation && saw.Outcome == detect.Overdue {
 		return // the end of the probation is recorded instead
 	}
-	a.request.service.detector.record(observation{target: a.Target, probation: a.Probation, isEvidence: isEvidence, saw: saw})
+	a.request.service.outlierDetector.record(observation{target: a.Target, probation: a.Probation, isEvidence: isEvidence, saw: saw})
 }
 
 // suspicionPause returns how long to skip a suspected target. Ingresses of its data centre try it
--- a/internal/ingress/service.go
+++ b/internal/ingress/service.go
@@ -24,11 +24,11 @@
 
 // service is the state of one service.
 type service struct {
-	pool        *balance.Pool
-	limit       *retryLimit
-	detector    *outlierDetector
-	rules       detect.Rules
-	subrequests subrequestCounters
+	pool            *balance.Pool
+	limit           *retryLimit
+	outlierDetector *outlierDetector
+	rules           detect.Rules
+	subrequests     subrequestCounters
 	// attempts is the part of the service that package attempts reads.
 	attempts attempts.Service
 }
@@ -73,7 +73,7 @@
 func stopRemoved(old, next *state) {
 	for name, s := range old.services {
 		if _, ok := next.services[name]; !ok {
-			s.detector.stop()
+			s.outlierDetector.stop()
 		}
 	}
 }
@@ -89,7 +89,7 @@
 	}
 	if old, ok := in.service(declared.Name); ok {
 		s.pool = old.pool
-		s.detector = old.detector
+		s.outlierDetector = old.outlierDetector
 		s.limit = old.limit
 	}
 	s.attempts = attempts.Service{
@@ -97,10 +97,10 @@
 		IgnoreHanging: in.disabled.hangChecks, NoHedges: in.disabled.hedges,
 	}
 	s.pool.Reconfigure(declared, index)
-	if s.detector == nil {
-		s.detector = newOutlierDetector(in.config, s.pool)
+	if s.outlierDetector == nil {
+		s.outlierDetector = newOutlierDetector(in.config, s.pool)
 	}
-	s.detector.reconfigure(declared)
+	s.outlierDetector.reconfigure(declared)
 	return s
 }
 
--- a/internal/ingress/targets.go
+++ b/internal/ingress/targets.go
@@ -27,7 +27,7 @@
 	if !ok {
 		return detect.Explanation{}, "", false
 	}
-	return s.detector.explain(backendServer)
+	return s.outlierDetector.explain(backendServer)
 }
 
 // Pool returns the pool of the service's backend servers.
