--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -24,8 +24,8 @@
 //  3. A short body is read in full so that it can be resent (package body).
 //  4. tryAll (attempts.go) sends the request to one backend server after another. Package attempts
 //     decides: Choose, which backend server gets it; MayRetry, whether a failure is retried; Failure
-//     and NoTargetFailure, which failure the caller gets. The ingress waits between choices, takes retries
-//     from the service's limit (limit.go) and logs.
+//     and NoTargetFailure, which failure the caller gets. The ingress waits between choices, takes
+//     retries from the service's limit (limit.go) and logs.
 //  5. runRace (race.go) runs one attempt and, if it is slow, its hedges, as attempts.Hedging decides.
 //     latencies.go learns the usual latency of each route. The first answer wins.
 //  6. An attempt (attempt.go) sends the request once, to the sidecar of the backend server's host
@@ -33,8 +33,8 @@
 //     and each hedge first get a reservation (reservation.go). A timer reports an attempt that is
 //     overdue (clock.go).
 //  7. The outcome is recorded (learn.go): it may pause the backend server, and it is evidence for the
-//     service's outlierDetector (judge.go), which avoids (avoid.go) backend servers whose path looks unhealthy.
-//     Package failures defines what each failure means. An unreachable host is pinged until it
+//     service's outlierDetector (judge.go), which avoids (avoid.go) backend servers whose path looks
+//     unhealthy. Package failures defines what each failure means. An unreachable host is pinged until it
 //     answers (reach.go).
 //  8. The answer is forwarded (serve.go), or the failure is answered with its code and Retry-After
 //     (refuse.go). In a planned stop, callers that still wait get a final answer (stop.go).
@@ -42,8 +42,8 @@
 // # State
 //
 // For each service of the declaration, the ingress owns a balance.Pool with the state of its
-// backend servers, an outlierDetector, which runs in its own goroutine, and the retry limit (service.go). It
-// also owns a latency.Estimate for each route, the connections to other daemons, the set of
+// backend servers, an outlierDetector, which runs in its own goroutine, and the retry limit
+// (service.go). It also owns a latency.Estimate for each route, the connections to other daemons, the set of
 // unreachable hosts and the evidence on subrequests. Reconfigure applies a new declaration and
 // keeps what was learned. Other parts of the daemon report backend servers that are draining or
 // trusted again, and query the evidence (targets.go).
