--- a/internal/cli/daemon.go
+++ b/internal/cli/daemon.go
@@ -127,7 +127,7 @@
 	return declaration.Stored{
 		Key:    platform.DesiredKey,
 		Number: platform.DesiredVersion,
-		Hide:   platform.HideKeys,
+		Redact: platform.HideKeys,
 		Parse: func(data []byte, s settings.Source) (fleet.Declaration, error) {
 			return platform.ParseDesired(data, platform.Defaults{
 				FloorShare:  s.FloorShare,
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -56,8 +56,8 @@
 	MethodLend Method = "retries.lend"
 	// MethodQuarantine tells of suspected and quarantined requests.
 	MethodQuarantine Method = "quarantine.told"
-	// MethodCounted tells what was counted of customers' requests, and asks for the verdict.
-	MethodCounted Method = "customers.counted"
+	// MethodReportCounts tells what was counted of customers' requests, and asks for the verdict.
+	MethodReportCounts Method = "customers.counted"
 	// MethodAsk asks a backend server for a lease to keep serving.
 	MethodAsk Method = "floor.ask"
 	// MethodRelease gives such a lease back.
@@ -165,8 +165,8 @@
 	Granted bool `json:"granted"`
 }
 
-// Counted is the parameter of MethodCounted.
-type Counted struct {
+// CountReport is the parameter of MethodCounted.
+type CountReport struct {
 	Report quota.Report `json:"report"`
 	// Fleet says that it is a data centre's, for the ledger, not a daemon's for its
 	// collector.
--- a/internal/daemon/build.go
+++ b/internal/daemon/build.go
@@ -91,7 +91,7 @@
 		Plan:     func() *gossip.Plan { return d.declarations.Plan() },
 		Services: func() ([]fleet.Service, bool) { return d.declarations.Services() },
 		Reapply:  func() { d.declarations.Reapply() },
-		Ask:      func(ctx context.Context, address string) bool { return d.declarations.Ask(ctx, address) },
+		Sync:     func(ctx context.Context, address string) bool { return d.declarations.Sync(ctx, address) },
 	})
 }
 
@@ -104,8 +104,8 @@
 	d.ledger = revision.New(revision.Config{
 		Store:    d.config.Store,
 		Prefix:   d.config.Settings.Platform.Prefix,
-		OnError:  d.health.Failed,
-		OnAnswer: d.health.Answered,
+		OnError:  d.health.RecordFailure,
+		OnAnswer: d.health.RecordSuccess,
 	})
 }
 
@@ -118,8 +118,8 @@
 		Index:    func() (*fleet.Index, bool) { return d.declarations.Index() },
 		Draining: func(draining bool) { d.sidecar.HostDraining(draining) },
 		Logger:   d.config.Logger,
-		OnError:  d.health.Failed,
-		OnAnswer: d.health.Answered,
+		OnError:  d.health.RecordFailure,
+		OnAnswer: d.health.RecordSuccess,
 	})
 }
 
@@ -133,7 +133,7 @@
 		Logger:      d.config.Logger,
 		Health:      d.health,
 		Peers:       d.peers,
-		Away:        d.isAway,
+		Unreachable: d.isAway,
 		Members:     d.members,
 		Quarantines: d.quarantines,
 		Source:      d.source(),
@@ -198,7 +198,7 @@
 		Off:         d.config.Settings.Experiments.Off,
 		Logger:      d.config.Logger,
 		Scope:       d.metrics.Scope,
-		Answered:    func(good bool) { d.ingress.ServerAnswered(good) },
+		OnAnswer:    func(good bool) { d.ingress.ServerAnswered(good) },
 		Peer:        d.sidecarPeer(),
 		Runs:        d.runs,
 		Retries:     d.budgets,
@@ -223,7 +223,7 @@
 		Runs:                 d.runs,
 		Retries:              d.budgets,
 		BorrowRetry:          d.lender.Borrow,
-		HostsCounted:         d.members.HostsCounted,
+		HostsCounted:         d.members.ShareUsable,
 		Local:                d.sidecar.Do,
 		LocalReservation:     d.sidecar.Reserve,
 		ShouldCompress:       d.isFar,
--- a/internal/daemon/calls.go
+++ b/internal/daemon/calls.go
@@ -10,21 +10,21 @@
 // handlers returns who answers each control call.
 func (d *daemon) handlers() control.Handlers {
 	return control.Handlers{
-		control.MethodReport:     d.callReport,
-		control.MethodDrain:      d.callDrain,
-		control.MethodDraining:   d.callDraining,
-		control.MethodPing:       d.callPing,
-		control.MethodTrusted:    d.callTrusted,
-		control.MethodSubrequest: d.callSubrequest,
-		control.MethodHost:       d.hostList.HandleHost,
-		control.MethodNotice:     d.declarations.HandleNotice,
-		control.MethodTold:       d.members.HandleTold,
-		control.MethodRevision:   d.declarations.HandleRevision,
-		control.MethodQuarantine: d.callQuarantine,
-		control.MethodLend:       d.lender.HandleLend,
-		control.MethodCounted:    d.limits.HandleCounted,
-		control.MethodAsk:        d.callAsk,
-		control.MethodRelease:    d.callRelease,
+		control.MethodReport:       d.callReport,
+		control.MethodDrain:        d.callDrain,
+		control.MethodDraining:     d.callDraining,
+		control.MethodPing:         d.callPing,
+		control.MethodTrusted:      d.callTrusted,
+		control.MethodSubrequest:   d.callSubrequest,
+		control.MethodHost:         d.hostList.HandleHost,
+		control.MethodNotice:       d.declarations.HandleNotice,
+		control.MethodTold:         d.members.HandleUpdates,
+		control.MethodRevision:     d.declarations.HandleRevision,
+		control.MethodQuarantine:   d.callQuarantine,
+		control.MethodLend:         d.lender.HandleLend,
+		control.MethodReportCounts: d.limits.HandleCounted,
+		control.MethodAsk:          d.callAsk,
+		control.MethodRelease:      d.callRelease,
 	}
 }
 
@@ -72,7 +72,7 @@
 	if err := control.Decode(params, &ask); err != nil {
 		return nil, err
 	}
-	return d.sidecar.Ask(ask.Name, ask.Request)
+	return d.sidecar.GrantLease(ask.Name, ask.Request)
 }
 
 func (d *daemon) callRelease(_ context.Context, params json.RawMessage) (any, error) {
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -14,7 +14,7 @@
 // sidecarPeer carries the floor's calls, without a connection where the other
 // backend server is on this host.
 func (d *daemon) sidecarPeer() sidecar.Peer {
-	return sidecar.Peer{Ask: d.askPeer, Release: d.releasePeer, Trusted: d.tellTrusted}
+	return sidecar.Peer{RequestLease: d.askPeer, Release: d.releasePeer, ClearSuspicion: d.tellTrusted}
 }
 
 // tellTrusted tells the ingresses of the hosts that a backend server of this one
@@ -45,7 +45,7 @@
 func (d *daemon) askPeer(ctx context.Context, other fleet.Placement, r floor.Request) (sidecar.LeaseAnswer, error) {
 	name := other.BackendServer.Name
 	if other.Host.Name == d.config.Settings.Name {
-		return d.sidecar.Ask(name, r)
+		return d.sidecar.GrantLease(name, r)
 	}
 	var lease sidecar.LeaseAnswer
 	err := d.peers.CallHost(ctx, other.Host, control.MethodAsk, control.Ask{Name: name, Request: r}, &lease)
--- a/internal/daemon/quarantine.go
+++ b/internal/daemon/quarantine.go
@@ -17,8 +17,8 @@
 		Watches:       d.watchesQuarantines,
 		Logger:        d.config.Logger,
 		Scope:         d.metrics.Scope,
-		OnError:       d.health.Failed,
-		OnAnswer:      d.health.Answered,
+		OnError:       d.health.RecordFailure,
+		OnAnswer:      d.health.RecordSuccess,
 	})
 }
 
@@ -40,5 +40,5 @@
 	if plan == nil {
 		return // whoever is found later reads it in the store
 	}
-	d.peers.Tell(plan.Notify(), control.MethodQuarantine, control.Quarantine{Records: records})
+	d.peers.Tell(plan.NotifyTargets(), control.MethodQuarantine, control.Quarantine{Records: records})
 }
--- a/internal/declaration/ask.go
+++ b/internal/declaration/ask.go
@@ -18,12 +18,12 @@
 // the one here.
 func (f *Follower) fetch(ctx context.Context, address string) bool {
 	before := f.Revision()
-	return f.Ask(ctx, address) && f.Revision() > before
+	return f.Sync(ctx, address) && f.Revision() > before
 }
 
-// Ask asks the daemon at the address for its revision and for what it knows of hosts,
+// Sync asks the daemon at the address for its revision and for what it knows of hosts,
 // applies what is new here, and reports whether it answered.
-func (f *Follower) Ask(ctx context.Context, address string) bool {
+func (f *Follower) Sync(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	above := control.Above{Revision: f.Revision(), Hosts: f.config.Members.Sum(), Quarantines: f.config.Quarantines.Sum()}
@@ -33,7 +33,7 @@
 	}
 	f.config.Members.Exchange(ctx, address, held)
 	f.recordQuarantines(held)
-	f.config.Health.Seen(time.Now().Add(-time.Duration(held.SilentMs) * time.Millisecond))
+	f.config.Health.RecordSeen(time.Now().Add(-time.Duration(held.SilentMs) * time.Millisecond))
 	if held.Revision.Number > above.Revision {
 		f.apply(revision.Revision(held.Revision))
 	}
--- a/internal/declaration/declaration.go
+++ b/internal/declaration/declaration.go
@@ -56,8 +56,8 @@
 	Health *storehealth.Health
 	// Peers calls other daemons.
 	Peers *control.Client
-	// Away reports whether the host of that name does not answer.
-	Away func(host string) bool
+	// Unreachable reports whether the host of that name does not answer.
+	Unreachable func(host string) bool
 	// Members keeps what is known of hosts, Quarantines the suspected and quarantined requests.
 	Members     *membership.Membership
 	Quarantines *quarantinesync.Syncer
--- a/internal/declaration/poll.go
+++ b/internal/declaration/poll.go
@@ -27,7 +27,7 @@
 		} else {
 			f.pollSeeds(ctx)
 		}
-		wait.For(ctx, gossip.PollEvery/2+rand.N(gossip.PollEvery))
+		wait.For(ctx, gossip.PollInterval/2+rand.N(gossip.PollInterval))
 	}
 }
 
@@ -45,12 +45,12 @@
 	if plan == nil {
 		return "", false
 	}
-	host, ok := plan.Poll()
+	host, ok := plan.PollTarget()
 	for range maxDraws {
-		if !ok || !f.config.Away(host.Name) {
+		if !ok || !f.config.Unreachable(host.Name) {
 			break
 		}
-		host, ok = plan.Poll()
+		host, ok = plan.PollTarget()
 	}
 	return f.config.Peers.Address(host), ok
 }
--- a/internal/declaration/source.go
+++ b/internal/declaration/source.go
@@ -18,7 +18,7 @@
 	Key string
 	// Number reads its revision, Hide takes out what must not be kept, and Parse reads the rest.
 	Number func(data []byte) (int64, error)
-	Hide   func(data []byte) ([]byte, error)
+	Redact func(data []byte) ([]byte, error)
 	Parse  func(data []byte, s settings.Source) (fleet.Declaration, error)
 }
 
@@ -55,10 +55,10 @@
 		Store:    config.Store,
 		Key:      config.Stored.Key,
 		Number:   config.Stored.Number,
-		Hide:     config.Stored.Hide,
+		Hide:     config.Stored.Redact,
 		OnBad:    func(err error) { event.Log(config.Logger, event.DeclarationRefused, "error", err) },
-		OnError:  config.Health.Failed,
-		OnAnswer: config.Health.Answered,
+		OnError:  config.Health.RecordFailure,
+		OnAnswer: config.Health.RecordSuccess,
 	}
 	return Source{
 		Follow: func(ctx context.Context, above int64, apply func(revision.Revision)) {
--- a/internal/fleet/complete.go
+++ b/internal/fleet/complete.go
@@ -20,11 +20,11 @@
 	BackendServer BackendServer
 }
 
-// With returns the declaration with hosts and backend servers that registered themselves
+// WithRegistered returns the declaration with hosts and backend servers that registered themselves
 // beside those that are declared. The floor of a service with a floor share is that share of
 // its backend servers, rounded up. Backend servers of services that are not declared are left
 // out.
-func (d Declaration) With(hosts []Host, servers []Registered) Declaration {
+func (d Declaration) WithRegistered(hosts []Host, servers []Registered) Declaration {
 	byService := make(map[string][]BackendServer)
 	for _, r := range servers {
 		r.BackendServer.Queue = queueForSlot * r.BackendServer.Slots
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -51,8 +51,8 @@
 	NotifyNear = 4
 	// NotifyFar is how many of other data centres.
 	NotifyFar = 2
-	// PollEvery is how often a daemon asks another for its revision.
-	PollEvery = 500 * time.Millisecond
+	// PollInterval is how often a daemon asks another for its revision.
+	PollInterval = 500 * time.Millisecond
 	// StaleAfter is how long a daemon relies on others' watching. Source: all
 	// watchers may be lost at once, and a change has to be in force within seconds.
 	StaleAfter = 5 * time.Second
@@ -122,17 +122,17 @@
 // IsWatcher reports whether the daemon is one of those that always watch.
 func (p *Plan) IsWatcher() bool { return p.watcher }
 
-// Notify returns the hosts to notify of a new revision.
-func (p *Plan) Notify() []fleet.Host {
+// NotifyTargets returns the hosts to notify of a new revision.
+func (p *Plan) NotifyTargets() []fleet.Host {
 	return append(p.some(p.near, NotifyNear), p.some(p.far, NotifyFar)...)
 }
 
-// Near returns the hosts of the own data centre to tell of updates of hosts.
-func (p *Plan) Near() []fleet.Host { return p.some(p.near, updatesNear) }
+// UpdateTargets returns the hosts of the own data centre to tell of updates of hosts.
+func (p *Plan) UpdateTargets() []fleet.Host { return p.some(p.near, updatesNear) }
 
-// OneOfEach returns one host of each of a few other data centres, which a host
+// RemoteUpdateTargets returns one host of each of a few other data centres, which a host
 // tells its own updates. They tell them on to those near them.
-func (p *Plan) OneOfEach() []fleet.Host {
+func (p *Plan) RemoteUpdateTargets() []fleet.Host {
 	byDataCentre := make(map[string][]fleet.Host)
 	for _, h := range p.far {
 		byDataCentre[h.DataCentre] = append(byDataCentre[h.DataCentre], h)
@@ -163,8 +163,8 @@
 	return chosen
 }
 
-// Poll returns one other to ask for its revision. It returns false if there is none.
-func (p *Plan) Poll() (fleet.Host, bool) {
+// PollTarget returns one other to ask for its revision. It returns false if there is none.
+func (p *Plan) PollTarget() (fleet.Host, bool) {
 	from := p.near
 	if len(from) == 0 || len(p.far) > 0 && p.below(farOneIn) == 0 {
 		from = p.far
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -60,7 +60,7 @@
 		for ; len(frontier) > 0; steps++ {
 			var next []string
 			for _, name := range frontier {
-				for _, other := range made[name].Notify() {
+				for _, other := range made[name].NotifyTargets() {
 					if random.IntN(5) > 0 && !known[other.Name] {
 						known[other.Name] = true
 						next = append(next, other.Name)
@@ -76,7 +76,7 @@
 		rounds := 0
 		for ; len(known) < len(all) && rounds < 10; rounds++ {
 			for _, h := range all {
-				if other, ok := made[h.Name].Poll(); ok && known[other.Name] {
+				if other, ok := made[h.Name].PollTarget(); ok && known[other.Name] {
 					known[h.Name] = true
 				}
 			}
@@ -89,7 +89,7 @@
 
 func TestAloneThereIsNobody(t *testing.T) {
 	plan := plans(hosts(1, 1), 1)["dc0-0"]
-	if _, ok := plan.Poll(); ok || len(plan.Notify()) != 0 || !plan.Watches(epoch, epoch) {
+	if _, ok := plan.PollTarget(); ok || len(plan.NotifyTargets()) != 0 || !plan.Watches(epoch, epoch) {
 		t.Fatal("a lone daemon has others to talk to, or does not watch")
 	}
 }
--- a/internal/hop/call.go
+++ b/internal/hop/call.go
@@ -21,8 +21,8 @@
 	// SlowAfter is how long a request of the route runs before it has outlasted nearly all
 	// others; zero if that is not known.
 	SlowAfter time.Duration
-	// Usual is how long an answer of the route usually takes; zero if it is not known.
-	Usual time.Duration
+	// TypicalLatency is how long an answer of the route usually takes; zero if it is not known.
+	TypicalLatency time.Duration
 	// Customer is who the request is for; it may be empty.
 	Customer string
 	// NonIdempotent says that the request must not run more than once.
--- a/internal/hop/hold.go
+++ b/internal/hop/hold.go
@@ -13,11 +13,11 @@
 // daemon's 256 MB.
 const maxHeld = 64 << 10
 
-// Hold reads a short answer whole, so that one that breaks off can still be
+// BufferShort reads a short answer whole, so that one that breaks off can still be
 // answered with a failure or tried elsewhere. Longer ones and those that come in
 // chunks, piece by piece, are left to be passed on as they come. An answer
 // without a length is whole if its connection ends in order.
-func Hold(response *http.Response) error {
+func BufferShort(response *http.Response) error {
 	if response.ContentLength > maxHeld || len(response.TransferEncoding) > 0 || response.Body == http.NoBody {
 		return nil
 	}
--- a/internal/hop/hop.go
+++ b/internal/hop/hop.go
@@ -80,9 +80,9 @@
 	return share
 }
 
-// Undated keeps net/http from writing the date of this daemon on an answer to another
+// SuppressDate keeps net/http from writing the date of this daemon on an answer to another
 // daemon, which does not look at it.
-func Undated(h http.Header) { h["Date"] = nil }
+func SuppressDate(h http.Header) { h["Date"] = nil }
 
 // CopyEndToEnd copies the headers that travel from end to end: neither those
 // of one connection, nor those that Connection names, nor those of a hop. The
--- a/internal/hop/trip.go
+++ b/internal/hop/trip.go
@@ -10,8 +10,8 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// Trip is one sending of a request to one address.
-type Trip struct {
+// Sender is one sending of a request to one address.
+type Sender struct {
 	// Transport sends it.
 	Transport *http.Transport
 	// TLS says that the receiver proves itself by a certificate.
@@ -28,7 +28,7 @@
 // Send sends the request once and returns the head of the answer, whose body
 // must be closed. The error is a *result.Error; one whose code says RanNo is
 // proof that nothing was sent.
-func (t Trip) Send(ctx context.Context, in *http.Request) (*http.Response, error) {
+func (t Sender) Send(ctx context.Context, in *http.Request) (*http.Response, error) {
 	connected := false
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }}
 	out := Outgoing(httptrace.WithClientTrace(ctx, trace), in, t.Address)
--- a/internal/hop/trip_test.go
+++ b/internal/hop/trip_test.go
@@ -17,13 +17,13 @@
 var farAway = time.Now().Add(time.Hour)
 
 // newTrip returns a trip to a server that answers each request in one way.
-func newTrip(t testing.TB, answer http.HandlerFunc) hop.Trip {
+func newTrip(t testing.TB, answer http.HandlerFunc) hop.Sender {
 	t.Helper()
 	server := httptest.NewServer(answer)
 	t.Cleanup(server.Close)
 	transport := &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 4}
 	t.Cleanup(transport.CloseIdleConnections)
-	return hop.Trip{Transport: transport, Address: server.Listener.Addr().String(), Unreachable: result.PeerUnreachable}
+	return hop.Sender{Transport: transport, Address: server.Listener.Addr().String(), Unreachable: result.PeerUnreachable}
 }
 
 // TestABodyArrivesAsItIs sends none, an announced one and one in chunks.
--- a/internal/ingress/admit.go
+++ b/internal/ingress/admit.go
@@ -138,7 +138,7 @@
 // prioritizeSubrequest gives a subrequest the highest priority in queues, and lets it wait there
 // until its deadline.
 func (in *Ingress) prioritizeSubrequest(r *request) {
-	if in.disabled.subrequests || !r.mayBeSubrequest || !in.subrequest.Is(r.route) {
+	if in.disabled.subrequests || !r.mayBeSubrequest || !in.subrequest.IsSubrequest(r.route) {
 		return
 	}
 	r.terms.Subrequest = true
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -193,7 +193,7 @@
 			seconds:  config.Scope.Histogram("ingress_seconds", tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 15)),
 		},
 	}
-	in.subrequest = subrequest.New(subrequest.Config{Changed: in.logSubrequest})
+	in.subrequest = subrequest.New(subrequest.Config{OnChange: in.logSubrequest})
 	in.hostMonitor = &hostMonitor{in: in, unreachable: make(map[string]bool)}
 	baseCtx, cancel := context.WithCancel(context.Background())
 	in.baseCtx = baseCtx
--- a/internal/ingress/send.go
+++ b/internal/ingress/send.go
@@ -35,7 +35,7 @@
 		BackendServer:    a.Target.Name,
 		TimeLeft:         time.Until(r.deadline),
 		TargetLeft:       time.Until(r.terms.TargetAt),
-		Usual:            r.typicalLatency(),
+		TypicalLatency:   r.typicalLatency(),
 		LatencyTarget:    r.latencyTarget,
 		SlowAfter:        r.slowAfter(),
 		Customer:         r.queueCustomer,
@@ -73,7 +73,7 @@
 	if err != nil {
 		return sidecar.Answer{}, err
 	}
-	if err := hop.Hold(response); err != nil {
+	if err := hop.BufferShort(response); err != nil {
 		return sidecar.Answer{}, hop.Classify(ctx, true, result.PeerUnreachable, err)
 	}
 	load, waited := hop.DecodeServed(response.Header)
@@ -82,7 +82,7 @@
 
 // hop sends one request to another daemon. A refusal is returned as an error.
 func (in *Ingress) hop(ctx context.Context, call hop.Call, r *http.Request, address string) (*http.Response, error) {
-	trip := hop.Trip{
+	trip := hop.Sender{
 		Transport:   in.transport,
 		TLS:         in.config.TLS != nil,
 		Address:     address,
--- a/internal/ingress/service.go
+++ b/internal/ingress/service.go
@@ -48,7 +48,7 @@
 		next.services[declared.Name] = in.reconfigureService(declared, index)
 	}
 	in.latencies.retain(next.routes.Has)
-	in.subrequest.Keep(next.routes.Has)
+	in.subrequest.Retain(next.routes.Has)
 	old := in.state.Swap(next)
 	if old != nil {
 		stopRemoved(old, next)
--- a/internal/ingress/subrequest.go
+++ b/internal/ingress/subrequest.go
@@ -70,7 +70,7 @@
 func (in *Ingress) MergeSubrequestEvidence(evidence []subrequest.Evidence) []route.Name {
 	var known []route.Name
 	for _, e := range evidence {
-		if in.subrequest.Hear(e) {
+		if in.subrequest.AddRemoteEvidence(e) {
 			known = append(known, e.Route)
 		}
 	}
@@ -81,7 +81,7 @@
 // backend servers call.
 func (in *Ingress) MarkSubrequestRoutes(routes []route.Name) {
 	for _, name := range routes {
-		in.subrequest.Learn(name)
+		in.subrequest.MarkCalled(name)
 	}
 }
 
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -15,7 +15,7 @@
 //	go l.Run(ctx)
 //	l.Reconfigure(declaration)
 //	if decision := l.Admit(customer); !decision.Admitted { ... }
-//	handlers[control.MethodCounted] = l.HandleCounted
+//	handlers[control.MethodReportCounts] = l.HandleCounted
 package limits
 
 import (
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -51,7 +51,7 @@
 	collector := quota.NewCollector()
 	collector.SetVerdict(time.Now(), quota.Verdict{Known: true, Allowances: []quota.Allowance{{Customer: "county-1", Share: 0.5, Level: -3}, {Customer: "county-2", Share: 0.7, Level: 1}}})
 	cleanUp := control.Serve(control.ServerConfig{Listener: listener, Handle: func(_ context.Context, _ control.Method, params json.RawMessage) (any, error) {
-		var counted control.Counted
+		var counted control.CountReport
 		if err := control.Decode(params, &counted); err != nil {
 			return nil, err
 		}
@@ -60,14 +60,14 @@
 	defer cleanUp()
 	client, cleanUp := control.NewClient(control.ClientConfig{})
 	defer cleanUp()
-	counted := control.Counted{Report: quota.Report{From: "csepel-17", Hosts: 1}}
+	counted := control.CountReport{Report: quota.Report{From: "csepel-17", Hosts: 1}}
 	for i := range 12 {
 		counted.Report.Counts = append(counted.Report.Counts, quota.Count{Customer: fmt.Sprintf("county-%d", i), Requested: 2, Admitted: 1})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
 		var verdict quota.Verdict
-		if err := client.Call(context.Background(), listener.Addr().String(), control.MethodCounted, counted, &verdict); err != nil {
+		if err := client.Call(context.Background(), listener.Addr().String(), control.MethodReportCounts, counted, &verdict); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/limits/report.go
+++ b/internal/limits/report.go
@@ -55,7 +55,7 @@
 		l.mu.Unlock()
 		return
 	}
-	counted := control.Counted{Urgent: l.gate.AwaitsVerdict()}
+	counted := control.CountReport{Urgent: l.gate.AwaitsVerdict()}
 	counted.Report = quota.Report{From: l.config.Host, Hosts: 1, Counts: l.gate.Drain(now), HadVerdict: l.gate.HasVerdict()}
 	to, remote := l.firstPresent(l.collectors, now)
 	l.mu.Unlock()
@@ -77,7 +77,7 @@
 
 // collect counts a daemon's report and returns the ledger's last verdict. An urgent one is
 // forwarded before.
-func (l *Limits) collect(ctx context.Context, counted control.Counted) quota.Verdict {
+func (l *Limits) collect(ctx context.Context, counted control.CountReport) quota.Verdict {
 	l.mu.Lock()
 	verdict := l.collector.Add(time.Now(), counted.Report)
 	l.mu.Unlock()
@@ -120,7 +120,7 @@
 		return
 	}
 	l.mu.Unlock()
-	verdict, ok := l.send(ctx, to, control.Counted{Report: counted, Fleet: true})
+	verdict, ok := l.send(ctx, to, control.CountReport{Report: counted, Fleet: true})
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !ok {
@@ -145,11 +145,11 @@
 }
 
 // send sends a report, and passes the host over for a while if it does not answer.
-func (l *Limits) send(ctx context.Context, to fleet.Host, counted control.Counted) (quota.Verdict, bool) {
+func (l *Limits) send(ctx context.Context, to fleet.Host, counted control.CountReport) (quota.Verdict, bool) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	var verdict quota.Verdict
-	err := l.config.Peers.CallLogged(ctx, l.config.Peers.Address(to), control.MethodCounted, counted, &verdict)
+	err := l.config.Peers.CallLogged(ctx, l.config.Peers.Address(to), control.MethodReportCounts, counted, &verdict)
 	if err == nil {
 		return verdict, true
 	}
@@ -161,7 +161,7 @@
 
 // HandleCounted answers another daemon's report.
 func (l *Limits) HandleCounted(ctx context.Context, params json.RawMessage) (any, error) {
-	var counted control.Counted
+	var counted control.CountReport
 	if err := control.Decode(params, &counted); err != nil {
 		return nil, err
 	}
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -223,9 +223,9 @@
 // second: made anew it took 62 us at 93 hosts and grew with them (BenchmarkSum).
 func (t *Table) Sum() uint64 { return t.sum }
 
-// Missing returns the hosts of the buckets that differ from the digest, whatever
+// Diff returns the hosts of the buckets that differ from the digest, whatever
 // number of buckets that has.
-func (t *Table) Missing(digest []byte) []Host {
+func (t *Table) Diff(digest []byte) []Host {
 	buckets := len(digest) / partSize
 	if buckets == 0 {
 		return t.Hosts()
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -15,7 +15,7 @@
 }
 
 // told brings everything that one table knows to another, as a peer would.
-func told(from, to *member.Table) { to.Merge(from.Missing(to.Digest())) }
+func told(from, to *member.Table) { to.Merge(from.Diff(to.Digest())) }
 
 func TestNewsReplacesWhatIsOlder(t *testing.T) {
 	table := newTable("a", "1")
--- a/internal/membership/known.go
+++ b/internal/membership/known.go
@@ -40,14 +40,14 @@
 func (k *known) missing(digest []byte) []member.Host {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.table.Missing(digest)
+	return k.table.Diff(digest)
 }
 
 // compare returns the same and the digest of what is known here at that moment.
 func (k *known) compare(digest []byte) ([]member.Host, []byte) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.table.Missing(digest), k.table.Digest()
+	return k.table.Diff(digest), k.table.Digest()
 }
 
 // self returns what is told of the own host.
@@ -150,7 +150,7 @@
 		k.changed = time.Now()
 	}
 	for _, h := range told {
-		if h.Name == k.table.Self().Name && k.registry.Forbid(h.Left) {
+		if h.Name == k.table.Self().Name && k.registry.RestoreLeft(h.Left) {
 			k.publish()
 			updates = append(updates, k.table.Self())
 			forbidden = append(forbidden, h.Left...)
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -63,8 +63,8 @@
 	Services func() ([]fleet.Service, bool)
 	// Reapply puts the declaration in force again with the hosts and backend servers known now.
 	Reapply func()
-	// Ask asks the daemon at the address for what it knows, and reports whether it answered.
-	Ask func(ctx context.Context, address string) bool
+	// Sync asks the daemon at the address for what it knows, and reports whether it answered.
+	Sync func(ctx context.Context, address string) bool
 }
 
 // Membership keeps what is known of hosts and tells others.
@@ -109,7 +109,7 @@
 	go m.tellUpdates(ctx)
 	lease := m.record.Write(ctx)
 	m.record.ReadAll(ctx)
-	m.config.Record.Health.Seen(time.Now())
+	m.config.Record.Health.RecordSeen(time.Now())
 	m.askSomeone(ctx)
 	close(m.joined)
 	m.tell("", []member.Host{m.known.self()})
@@ -126,7 +126,7 @@
 	})
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
 	for _, h := range others[:min(maxAskedToJoin, len(others))] {
-		if m.config.Ask(ctx, h.Control) {
+		if m.config.Sync(ctx, h.Control) {
 			return
 		}
 	}
@@ -142,9 +142,9 @@
 	}
 }
 
-// HostsCounted reports whether this daemon may use its part of what the hosts share. Declared hosts
+// ShareUsable reports whether this daemon may use its part of what the hosts share. Declared hosts
 // are known by their number.
-func (m *Membership) HostsCounted() bool { return !m.config.Registers || m.record.ShareUsable() }
+func (m *Membership) ShareUsable() bool { return !m.config.Registers || m.record.ShareUsable() }
 
 // Hosts returns every host that was ever told of, this one among them.
 func (m *Membership) Hosts() []member.Host { return m.known.all() }
@@ -175,5 +175,5 @@
 			})
 		}
 	}
-	return declared.With(hosts, servers)
+	return declared.WithRegistered(hosts, servers)
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -17,7 +17,7 @@
 func TestDeclaredHostsAreCountedAtOnce(t *testing.T) {
 	for _, registers := range []bool{false, true} {
 		m := membership.New(membership.Config{Self: member.Host{Name: "csepel-1"}, Registers: registers})
-		if got := m.HostsCounted(); got == registers {
+		if got := m.ShareUsable(); got == registers {
 			t.Errorf("hosts register themselves: %t; counted: %t", registers, got)
 		}
 	}
--- a/internal/membership/updates.go
+++ b/internal/membership/updates.go
@@ -105,15 +105,15 @@
 		return // whoever is found later is told all
 	}
 	told := control.Told{Host: m.config.Self.Name, Hosts: slices.Collect(maps.Values(batch.hosts))}
-	to := plan.Near()
+	to := plan.UpdateTargets()
 	if batch.own {
-		to = append(to, plan.OneOfEach()...)
+		to = append(to, plan.RemoteUpdateTargets()...)
 	}
 	m.config.Peers.Tell(to, control.MethodTold, told)
 }
 
-// HandleTold answers another daemon that tells of hosts, with what it does not know.
-func (m *Membership) HandleTold(_ context.Context, params json.RawMessage) (any, error) {
+// HandleUpdates answers another daemon that tells of hosts, with what it does not know.
+func (m *Membership) HandleUpdates(_ context.Context, params json.RawMessage) (any, error) {
 	var told control.Told
 	if err := control.Decode(params, &told); err != nil {
 		return nil, err
--- a/internal/quarantinesync/follow.go
+++ b/internal/quarantinesync/follow.go
@@ -39,13 +39,13 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	go store.Follow(ctx, store.FollowConfig{
-		Store:        s.config.Store,
-		Prefix:       s.heldPrefix(),
-		Wait:         watchWait,
-		LongestPause: longestPause,
-		Take:         s.mergeItems,
-		OnError:      s.config.OnError,
-		OnAnswer:     s.config.OnAnswer,
+		Store:      s.config.Store,
+		Prefix:     s.heldPrefix(),
+		Wait:       watchWait,
+		MaxBackoff: longestPause,
+		Apply:      s.mergeItems,
+		OnError:    s.config.OnError,
+		OnAnswer:   s.config.OnAnswer,
 	})
 	for s.config.Watches() && wait.For(ctx, watchesEvery) {
 	}
--- a/internal/quarantinesync/task.go
+++ b/internal/quarantinesync/task.go
@@ -30,7 +30,7 @@
 		table:  quarantine.New(),
 		due:    make(map[string]dueWrite),
 		retry:  time.NewTimer(time.Hour),
-		pause:  store.NewPause(),
+		pause:  store.NewBackoff(),
 	}
 	t.retry.Stop()
 	return t
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -122,7 +122,7 @@
 		if !lapsed {
 			r.confirmedAt.Store(&asked)
 		}
-		r.config.Health.Answered()
+		r.config.Health.RecordSuccess()
 	}
 }
 
@@ -206,7 +206,7 @@
 	defer cancel()
 	item, err := r.config.Store.Get(ctx, r.key(host))
 	if err != nil {
-		r.config.Health.Failed(err)
+		r.config.Health.RecordFailure(err)
 		return false
 	}
 	return item.Data == nil
--- a/internal/record/share.go
+++ b/internal/record/share.go
@@ -68,6 +68,6 @@
 	case err == nil:
 		r.config.OnShareUnused(neverUsed)
 	case !errors.Is(err, store.ErrConflict):
-		r.config.Health.Failed(err) // a start that cannot tell waits like a later one
+		r.config.Health.RecordFailure(err) // a start that cannot tell waits like a later one
 	}
 }
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -153,8 +153,8 @@
 	return true
 }
 
-// Forbid records names that left in an earlier incarnation of the daemon, and reports whether one was not known.
-func (r *Registry) Forbid(names []string) bool {
+// RestoreLeft records names that left in an earlier incarnation of the daemon, and reports whether one was not known.
+func (r *Registry) RestoreLeft(names []string) bool {
 	changed := false
 	for _, name := range names {
 		changed = r.Leave(name) || changed
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -69,7 +69,7 @@
 
 func TestWhatAnEarlierLifeConfirmedBinds(t *testing.T) {
 	r := registry.New()
-	if !r.Forbid([]string{"a"}) || r.Forbid([]string{"a"}) {
+	if !r.RestoreLeft([]string{"a"}) || r.RestoreLeft([]string{"a"}) {
 		t.Fatal("the news is not told once")
 	}
 	if r.Register(registration("a", "x", 1)); len(r.Serving()) != 0 {
--- a/internal/revision/follow.go
+++ b/internal/revision/follow.go
@@ -17,7 +17,7 @@
 		Wait:     watchWait,
 		OnError:  l.config.OnError,
 		OnAnswer: l.config.OnAnswer,
-		Take: func(ctx context.Context, items []store.Item) error {
+		Apply: func(ctx context.Context, items []store.Item) error {
 			next, err := l.newest(ctx, items, above)
 			if err != nil || next.Number <= above {
 				return err
--- a/internal/revision/key.go
+++ b/internal/revision/key.go
@@ -33,7 +33,7 @@
 		Wait:     watchWait,
 		OnError:  config.OnError,
 		OnAnswer: config.OnAnswer,
-		Take: func(_ context.Context, items []store.Item) error {
+		Apply: func(_ context.Context, items []store.Item) error {
 			item, ok := lastOf(items, config.Key)
 			if !ok {
 				return nil
--- a/internal/revision/parts.go
+++ b/internal/revision/parts.go
@@ -53,7 +53,7 @@
 // is there.
 func (l *Ledger) writePart(ctx context.Context, p part) error {
 	_, err := l.write(ctx, l.partKey(p.hash), p.data, 0)
-	if err == nil || errors.Is(err, store.ErrNotDone) {
+	if err == nil || errors.Is(err, store.ErrNotApplied) {
 		return err
 	}
 	value, readErr := l.config.Store.Get(ctx, l.partKey(p.hash))
--- a/internal/revision/publish.go
+++ b/internal/revision/publish.go
@@ -67,10 +67,10 @@
 // that the root had moved, so the change is either there or lost the race; with
 // one the answer was lost, and the write may still be on its way.
 func (l *Ledger) lookUp(ctx context.Context, change Change, cause error) (Accepted, error) {
-	if errors.Is(cause, store.ErrNotDone) {
+	if errors.Is(cause, store.ErrNotApplied) {
 		return Accepted{}, result.Wrap(result.PlatformDown, cause)
 	}
-	pause := store.NewPause()
+	pause := store.NewBackoff()
 	for range lookups {
 		current, _, err := l.readRoot(ctx)
 		if err == nil {
--- a/internal/sidecar/acquire.go
+++ b/internal/sidecar/acquire.go
@@ -18,7 +18,7 @@
 		Customer:       call.Customer,
 		Priority:       call.Priority,
 		TargetAt:       deadline.Add(call.TargetLeft - call.TimeLeft),
-		TypicalLatency: call.Usual,
+		TypicalLatency: call.TypicalLatency,
 		Deadline:       deadline,
 	}
 }
--- a/internal/sidecar/admit.go
+++ b/internal/sidecar/admit.go
@@ -58,7 +58,7 @@
 		Suspected:             true,
 		MostlySlow:            t.suspicion.MostlySlow(),
 		MayProbe:              t.suspicion.MayProbe(now),
-		MayProbeNonIdempotent: t.suspicion.MayProbeWithAny(now),
+		MayProbeNonIdempotent: t.suspicion.MayProbeNonIdempotent(now),
 		RetryAfter:            t.suspicion.RetryAfter(now),
 	}
 }
--- a/internal/sidecar/do.go
+++ b/internal/sidecar/do.go
@@ -68,8 +68,8 @@
 
 // reportAnswered calls Config.Answered.
 func (s *Sidecar) reportAnswered(response *http.Response) {
-	if s.config.Answered != nil {
-		s.config.Answered(response.StatusCode < http.StatusInternalServerError)
+	if s.config.OnAnswer != nil {
+		s.config.OnAnswer(response.StatusCode < http.StatusInternalServerError)
 	}
 }
 
--- a/internal/sidecar/exchange.go
+++ b/internal/sidecar/exchange.go
@@ -37,7 +37,7 @@
 		_ = response.Body.Close()
 		return nil, failure
 	}
-	if err := hop.Hold(response); err != nil {
+	if err := hop.BufferShort(response); err != nil {
 		return nil, hop.Classify(ctx, true, result.ServerUnreachable, err)
 	}
 	return response, nil
--- a/internal/sidecar/handler.go
+++ b/internal/sidecar/handler.go
@@ -20,7 +20,7 @@
 // serve reads what another daemon asks and the body, and then grants a reservation or runs
 // the request.
 func (s *Sidecar) serve(w http.ResponseWriter, r *http.Request) {
-	hop.Undated(w.Header())
+	hop.SuppressDate(w.Header())
 	call, err := hop.Decode(r.Header)
 	if err != nil {
 		result.Write(w, result.Wrap(result.MalformedRequest, err).WithDetail("%s", err))
--- a/internal/sidecar/lease.go
+++ b/internal/sidecar/lease.go
@@ -12,11 +12,11 @@
 // Peer carries the calls that keep the floor to the sidecar of another backend
 // server of the service.
 type Peer struct {
-	// Ask asks for a lease.
-	Ask func(ctx context.Context, other fleet.Placement, r floor.Request) (LeaseAnswer, error)
-	// Trusted tells ingresses that a backend server of this host is no longer
+	// RequestLease asks for a lease.
+	RequestLease func(ctx context.Context, other fleet.Placement, r floor.Request) (LeaseAnswer, error)
+	// ClearSuspicion tells ingresses that a backend server of this host is no longer
 	// suspected.
-	Trusted func(hosts []string, backendServer string)
+	ClearSuspicion func(hosts []string, backendServer string)
 	// Release gives a lease back.
 	Release func(ctx context.Context, other fleet.Placement, r floor.Release) error
 }
@@ -71,7 +71,7 @@
 func (t *task) askOne(other fleet.Placement, request floor.Request, asked time.Time) {
 	ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
 	defer cancel()
-	lease, err := t.config.Peer.Ask(ctx, other, request)
+	lease, err := t.config.Peer.RequestLease(ctx, other, request)
 	if err != nil {
 		lease = LeaseAnswer{Refusal: floor.RefusedUnable}
 	}
@@ -134,8 +134,8 @@
 	return LeaseAnswer{Refusal: t.ledger.Answer(now, r), Summary: t.subject.Summary(since)}
 }
 
-// Ask answers a request for a lease to a backend server of this host.
-func (s *Sidecar) Ask(name string, r floor.Request) (LeaseAnswer, error) {
+// GrantLease answers a request for a lease to a backend server of this host.
+func (s *Sidecar) GrantLease(name string, r floor.Request) (LeaseAnswer, error) {
 	server, err := s.server(name)
 	if err != nil {
 		return LeaseAnswer{}, err
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -76,9 +76,9 @@
 	Logger *slog.Logger
 	// Scope receives the metrics.
 	Scope tally.Scope
-	// Answered is called for each answer of a backend server of this host, with whether it is
+	// OnAnswer is called for each answer of a backend server of this host, with whether it is
 	// good or says that it failed; nil if nobody needs that.
-	Answered func(good bool)
+	OnAnswer func(good bool)
 	// Runs learns what the backend servers of this host run; nil keeps it to the sidecar.
 	Runs *runs.Table
 	// Retries is the host's budgets of retries; nil allows those that call nothing.
--- a/internal/sidecar/suspicion.go
+++ b/internal/sidecar/suspicion.go
@@ -75,7 +75,7 @@
 // servers that fail for nine seconds lasted up to twenty-two without that.
 func (t *task) trust(now time.Time) {
 	t.log(event.ServerTrusted)
-	t.config.Peer.Trusted(slices.Collect(maps.Keys(t.refusedHosts)), t.declared.BackendServer.Name)
+	t.config.Peer.ClearSuspicion(slices.Collect(maps.Keys(t.refusedHosts)), t.declared.BackendServer.Name)
 	clear(t.refusedHosts)
 	if t.subject.State(now) != detect.Serving {
 		t.subject.ReinstateFully(now)
--- a/internal/sidecar/suspicion_test.go
+++ b/internal/sidecar/suspicion_test.go
@@ -18,7 +18,7 @@
 	}
 	config := Config{
 		Logger: slog.New(slog.DiscardHandler),
-		Peer:   Peer{Trusted: func([]string, string) {}},
+		Peer:   Peer{ClearSuspicion: func([]string, string) {}},
 	}
 	return newTask(config, &server{}, &declared{Placement: placement, rules: detect.Swift()})
 }
--- a/internal/store/follow.go
+++ b/internal/store/follow.go
@@ -28,13 +28,13 @@
 	// that watchers do not keep in step. A cut is silent, so that a watch on a
 	// lost path is noticed only after it.
 	Wait time.Duration
-	// Take is given the items that are there, once at the start and again when
+	// Apply is given the items that are there, once at the start and again when
 	// the store has forgotten its history, and then each change. An error makes
 	// it be given them again.
-	Take func(context.Context, []Item) error
-	// LongestPause is how long the pauses between calls to a store that does not answer become at most;
+	Apply func(context.Context, []Item) error
+	// MaxBackoff is how long the pauses between calls to a store that does not answer become at most;
 	// zero leaves it at what a change of the declaration needs.
-	LongestPause time.Duration
+	MaxBackoff time.Duration
 	// OnError is told of each failed call, OnAnswer of each answered one.
 	OnError  func(error)
 	OnAnswer func()
@@ -42,15 +42,15 @@
 
 // Follow follows keys until ctx ends.
 func Follow(ctx context.Context, config FollowConfig) {
-	pause := NewPause()
-	pause.MaxInterval = max(pause.MaxInterval, config.LongestPause)
+	pause := NewBackoff()
+	pause.MaxInterval = max(pause.MaxInterval, config.MaxBackoff)
 	after := int64(0)
 	for ctx.Err() == nil {
 		next, err := followOnce(ctx, config, after)
 		if ctx.Err() != nil {
 			return
 		}
-		if errors.Is(err, ErrHistoryGone) {
+		if errors.Is(err, ErrCompacted) {
 			after = 0
 		}
 		if err != nil {
@@ -76,15 +76,15 @@
 	if err != nil {
 		return after, err
 	}
-	if err := config.Take(ctx, batch.Items); err != nil {
+	if err := config.Apply(ctx, batch.Items); err != nil {
 		return after, err
 	}
 	return max(batch.Revision, after), nil
 }
 
-// NewPause returns the growing pauses between calls to a store that does not
+// NewBackoff returns the growing pauses between calls to a store that does not
 // answer.
-func NewPause() *backoff.ExponentialBackOff {
+func NewBackoff() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval = firstPause
 	b.MaxInterval = longestPause
--- a/internal/store/follow_test.go
+++ b/internal/store/follow_test.go
@@ -27,7 +27,7 @@
 		Store:  kv,
 		Prefix: "key",
 		Wait:   time.Second,
-		Take: func(_ context.Context, items []store.Item) error {
+		Apply: func(_ context.Context, items []store.Item) error {
 			if err := fail(); err != nil {
 				return err
 			}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -29,15 +29,15 @@
 // What a call may fail with. Any other error of a write leaves its outcome
 // unknown: it may have been done, or may be done later if its condition holds.
 var (
-	// ErrNotDone means that the call did nothing and will do nothing.
-	ErrNotDone = errors.New("store did nothing")
+	// ErrNotApplied means that the call did nothing and will do nothing.
+	ErrNotApplied = errors.New("store did nothing")
 	// ErrConflict means that an expected revision is not the present one.
 	ErrConflict = errors.New("store holds another revision")
 	// ErrNoLease means that the lease has ended.
 	ErrNoLease = errors.New("lease has ended")
-	// ErrHistoryGone means that the changes after a revision are forgotten, so
+	// ErrCompacted means that the changes after a revision are forgotten, so
 	// that the keys have to be read anew.
-	ErrHistoryGone = errors.New("store has forgotten the history")
+	ErrCompacted = errors.New("store has forgotten the history")
 )
 
 // Lease names a lease; NoLease is none.
--- a/internal/storehealth/storehealth.go
+++ b/internal/storehealth/storehealth.go
@@ -70,23 +70,23 @@
 	return *old
 }
 
-// Failed records that a call was not answered.
-func (h *Health) Failed(err error) {
-	h.Seen(h.LastSeen())
+// RecordFailure records that a call was not answered.
+func (h *Health) RecordFailure(err error) {
+	h.RecordSeen(h.LastSeen())
 	if h.set(Down) != Down {
 		event.Log(h.config.Logger, event.PlatformUnreachable, "error", err)
 	}
 }
 
-// Answered records that a call was answered.
-func (h *Health) Answered() {
+// RecordSuccess records that a call was answered.
+func (h *Health) RecordSuccess() {
 	if h.set(Up) == Down {
 		event.Log(h.config.Logger, event.PlatformReachable)
 	}
 }
 
-// Seen records that the store was known to answer then, here or elsewhere.
-func (h *Health) Seen(at time.Time) {
+// RecordSeen records that the store was known to answer then, here or elsewhere.
+func (h *Health) RecordSeen(at time.Time) {
 	for {
 		known := h.lastSeen.Load()
 		if !at.After(*known) || h.lastSeen.CompareAndSwap(known, &at) {
@@ -109,7 +109,7 @@
 
 // EndWatch records that it no longer does.
 func (h *Health) EndWatch() {
-	h.Seen(h.LastSeen())
+	h.RecordSeen(h.LastSeen())
 	h.watching.Store(false)
 }
 
@@ -134,20 +134,20 @@
 	if !h.Retry(ctx, call) {
 		return false
 	}
-	h.Answered()
+	h.RecordSuccess()
 	return true
 }
 
 // Retry is UntilAnswered for a call whose answer may yet mean that another has to follow: only
 // failures are recorded.
 func (h *Health) Retry(ctx context.Context, call func() error) bool {
-	pause := store.NewPause()
+	pause := store.NewBackoff()
 	for ctx.Err() == nil {
 		err := call()
 		if err == nil {
 			return true
 		}
-		h.Failed(err)
+		h.RecordFailure(err)
 		wait.For(ctx, pause.NextBackOff())
 	}
 	return false
--- a/internal/storehealth/storehealth_test.go
+++ b/internal/storehealth/storehealth_test.go
@@ -48,7 +48,7 @@
 // TestRetryRecordsFailuresAlone repeats a call that may have to be followed by another.
 func TestRetryRecordsFailuresAlone(t *testing.T) {
 	health := newHealth()
-	health.Failed(errAway)
+	health.RecordFailure(errAway)
 	if !health.Retry(context.Background(), func() error { return nil }) || health.Answers() {
 		t.Fatal("the answer was recorded")
 	}
@@ -60,11 +60,11 @@
 		want   storehealth.State
 	}{
 		"nothing is known":                    {func(*storehealth.Health) {}, storehealth.Unknown},
-		"another daemon knew it to answer":    {func(h *storehealth.Health) { h.Seen(time.Now()) }, storehealth.Up},
-		"another daemon did long ago":         {func(h *storehealth.Health) { h.Seen(time.Now().Add(-time.Hour)) }, storehealth.Unknown},
-		"its watch was answered":              {func(h *storehealth.Health) { h.BeginWatch(); h.Answered() }, storehealth.Up},
-		"its watch fails, whatever others do": {func(h *storehealth.Health) { h.BeginWatch(); h.Failed(errAway); h.Seen(time.Now()) }, storehealth.Down},
-		"its watch has just ended":            {func(h *storehealth.Health) { h.BeginWatch(); h.Answered(); h.EndWatch() }, storehealth.Up},
+		"another daemon knew it to answer":    {func(h *storehealth.Health) { h.RecordSeen(time.Now()) }, storehealth.Up},
+		"another daemon did long ago":         {func(h *storehealth.Health) { h.RecordSeen(time.Now().Add(-time.Hour)) }, storehealth.Unknown},
+		"its watch was answered":              {func(h *storehealth.Health) { h.BeginWatch(); h.RecordSuccess() }, storehealth.Up},
+		"its watch fails, whatever others do": {func(h *storehealth.Health) { h.BeginWatch(); h.RecordFailure(errAway); h.RecordSeen(time.Now()) }, storehealth.Down},
+		"its watch has just ended":            {func(h *storehealth.Health) { h.BeginWatch(); h.RecordSuccess(); h.EndWatch() }, storehealth.Up},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -81,8 +81,8 @@
 func TestSeenOnlyRises(t *testing.T) {
 	health := newHealth()
 	now := time.Now()
-	health.Seen(now)
-	health.Seen(now.Add(-time.Minute))
+	health.RecordSeen(now)
+	health.RecordSeen(now.Add(-time.Minute))
 	if got := health.LastSeen(); !got.Equal(now) {
 		t.Fatalf("last seen %s, want %s", got, now)
 	}
@@ -92,7 +92,7 @@
 // stepped back: what another daemon said of it long ago stays as old as it is.
 func TestAStepBackMakesNothingFresh(t *testing.T) {
 	health := newHealth()
-	health.Seen(wallclock.ReadBeforeStepBack(time.Now().Add(-time.Minute), time.Hour))
+	health.RecordSeen(wallclock.ReadBeforeStepBack(time.Now().Add(-time.Minute), time.Hour))
 	if age := time.Since(health.LastSeen()); age < time.Minute {
 		t.Errorf("the answer of a minute ago is %s old", age)
 	}
@@ -100,7 +100,7 @@
 		t.Errorf("state is %s, want %s", got, storehealth.Unknown)
 	}
 	now := time.Now()
-	health.Seen(now)
+	health.RecordSeen(now)
 	if got := health.LastSeen(); !got.Equal(now) {
 		t.Errorf("an answer after the step is not taken: last seen %s, want %s", got, now)
 	}
--- a/internal/subrequest/subrequest.go
+++ b/internal/subrequest/subrequest.go
@@ -68,9 +68,9 @@
 
 // Config holds who is told.
 type Config struct {
-	// Changed is told of a route that is considered called from now on, or no longer. It must
+	// OnChange is told of a route that is considered called from now on, or no longer. It must
 	// not call the tracker.
-	Changed func(name route.Name, called bool)
+	OnChange func(name route.Name, called bool)
 }
 
 // Tracker is what is known of one host's calls.
@@ -174,7 +174,7 @@
 		r.known = false
 	}
 	if r.known != known {
-		t.config.Changed(r.name, r.known)
+		t.config.OnChange(r.name, r.known)
 	}
 }
 
@@ -216,9 +216,9 @@
 	return []Evidence{{Route: r.name, Weight: untold}}
 }
 
-// Hear adds what another host of the same service saw, and reports whether the route is known
+// AddRemoteEvidence adds what another host of the same service saw, and reports whether the route is known
 // to be called.
-func (t *Tracker) Hear(e Evidence) bool {
+func (t *Tracker) AddRemoteEvidence(e Evidence) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.recordOf(e.Route)
@@ -226,23 +226,23 @@
 	return r.known
 }
 
-// Learn records that another host of the same service knows the route to be called.
-func (t *Tracker) Learn(name route.Name) {
+// MarkCalled records that another host of the same service knows the route to be called.
+func (t *Tracker) MarkCalled(name route.Name) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.add(t.recordOf(name), 2*enough)
 }
 
-// Is reports whether the route is known to be called by the host's backend servers.
-func (t *Tracker) Is(name route.Name) bool {
+// IsSubrequest reports whether the route is known to be called by the host's backend servers.
+func (t *Tracker) IsSubrequest(name route.Name) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r, ok := t.routes[name]
 	return ok && r.known
 }
 
-// Keep forgets the routes for which the function returns false.
-func (t *Tracker) Keep(declared func(route.Name) bool) {
+// Retain forgets the routes for which the function returns false.
+func (t *Tracker) Retain(declared func(route.Name) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for name := range t.routes {
--- a/internal/subrequest/subrequest_test.go
+++ b/internal/subrequest/subrequest_test.go
@@ -18,7 +18,7 @@
 
 // newTracker returns the tracker of a host of which nothing is known.
 func newTracker() *subrequest.Tracker {
-	return subrequest.New(subrequest.Config{Changed: func(route.Name, bool) {}})
+	return subrequest.New(subrequest.Config{OnChange: func(route.Name, bool) {}})
 }
 
 // newCalm returns the tracker of a host whose backend servers have not failed for long.
@@ -45,12 +45,12 @@
 		if len(updates) != 1 || updates[0] != seenOnce() {
 			t.Fatalf("failure %d is told as %v", i+1, updates)
 		}
-		if tracker.Is(called) != (i == 2) {
-			t.Fatalf("after %d failures: known %t", i+1, tracker.Is(called))
+		if tracker.IsSubrequest(called) != (i == 2) {
+			t.Fatalf("after %d failures: known %t", i+1, tracker.IsSubrequest(called))
 		}
 	}
-	tracker.Keep(func(route.Name) bool { return false })
-	if tracker.Is(called) {
+	tracker.Retain(func(route.Name) bool { return false })
+	if tracker.IsSubrequest(called) {
 		t.Fatal("a route that is gone is kept")
 	}
 }
@@ -59,24 +59,24 @@
 func TestHostsTeachEachOther(t *testing.T) {
 	tracker := newCalm()
 	for range 2 {
-		if tracker.Hear(seenOnce()) {
+		if tracker.AddRemoteEvidence(seenOnce()) {
 			t.Fatal("two failures are enough")
 		}
 	}
 	tracker.Failed(epoch, called)
 	tracker.Answered(epoch.Add(time.Millisecond), false)
-	if !tracker.Is(called) || !tracker.Hear(seenOnce()) {
+	if !tracker.IsSubrequest(called) || !tracker.AddRemoteEvidence(seenOnce()) {
 		t.Fatal("a third, seen here, teaches nothing")
 	}
 	other := newTracker()
-	other.Learn(outside)
-	if !other.Is(outside) {
+	other.MarkCalled(outside)
+	if !other.IsSubrequest(outside) {
 		t.Fatal("what another host knows is not taken")
 	}
 	for range 5 {
-		other.Hear(subrequest.Evidence{Route: outside, Weight: -2})
+		other.AddRemoteEvidence(subrequest.Evidence{Route: outside, Weight: -2})
 	}
-	if other.Is(outside) {
+	if other.IsSubrequest(outside) {
 		t.Fatal("what is seldom followed is taken for called")
 	}
 }
@@ -89,7 +89,7 @@
 		tracker.Failed(epoch.Add(time.Duration(i)*time.Millisecond), outside)
 	}
 	tracker.Answered(epoch.Add(60*time.Millisecond), false)
-	if tracker.Is(outside) {
+	if tracker.IsSubrequest(outside) {
 		t.Fatal("one answer speaks for fifty failures")
 	}
 }
@@ -98,12 +98,12 @@
 // followed by nothing.
 func TestWhatWasLearnedWronglyIsUnlearned(t *testing.T) {
 	tracker := newTracker()
-	tracker.Learn(outside)
+	tracker.MarkCalled(outside)
 	now := epoch
 	for i := range 10 {
 		now = now.Add(time.Second)
 		tracker.Failed(now, outside)
-		if i > 5 && tracker.Is(outside) {
+		if i > 5 && tracker.IsSubrequest(outside) {
 			t.Fatalf("still taken for called after %d failures that nothing followed", i)
 		}
 	}
@@ -117,7 +117,7 @@
 	tracker.Answered(epoch.Add(time.Millisecond), false)
 	tracker.Answered(epoch.Add(2*time.Millisecond), false)
 	tracker.Answered(epoch.Add(3*time.Millisecond), false)
-	if tracker.Is(called) {
+	if tracker.IsSubrequest(called) {
 		t.Fatal("one failure was counted three times")
 	}
 }
@@ -157,7 +157,7 @@
 			tracker.Failed(epoch.Add(failure), outside)
 			failure += next(2 * rate)
 		}
-		if tracker.Is(outside) {
+		if tracker.IsSubrequest(outside) {
 			return true
 		}
 	}
@@ -173,7 +173,7 @@
 		tracker.Answered(now.Add(time.Millisecond), true)
 		tracker.Answered(now.Add(500*time.Millisecond), false)
 	}
-	if tracker.Is(outside) {
+	if tracker.IsSubrequest(outside) {
 		t.Fatal("learned from good or late answers")
 	}
 }
@@ -181,7 +181,7 @@
 // TestEachChangeIsToldOnce learns a route, sees it fail on, and unlearns it.
 func TestEachChangeIsToldOnce(t *testing.T) {
 	var changes []bool
-	tracker := subrequest.New(subrequest.Config{Changed: func(name route.Name, is bool) {
+	tracker := subrequest.New(subrequest.Config{OnChange: func(name route.Name, is bool) {
 		if name == called {
 			changes = append(changes, is)
 		}
--- a/internal/suspicion/suspicion.go
+++ b/internal/suspicion/suspicion.go
@@ -206,9 +206,9 @@
 // MayProbe reports whether an idempotent request may be sent as a probe.
 func (s *Suspicion) MayProbe(now time.Time) bool { return !now.Before(s.probeAt) }
 
-// MayProbeWithAny reports whether no idempotent request has come for so long that any other may
+// MayProbeNonIdempotent reports whether no idempotent request has come for so long that any other may
 // be the probe.
-func (s *Suspicion) MayProbeWithAny(now time.Time) bool {
+func (s *Suspicion) MayProbeNonIdempotent(now time.Time) bool {
 	after := anyProbeAfter
 	if s.good > 0 {
 		after = anyProbeAgain
--- a/internal/suspicion/suspicion_test.go
+++ b/internal/suspicion/suspicion_test.go
@@ -142,13 +142,13 @@
 func TestWithoutRepeatableRequestsOthersFindOut(t *testing.T) {
 	s := suspicion.New()
 	s.RecordFailure(epoch, suspicion.BrokenConnectionWeight)
-	if s.MayProbeWithAny(epoch.Add(time.Second)) {
+	if s.MayProbeNonIdempotent(epoch.Add(time.Second)) {
 		t.Fatal("the first second is not for them")
 	}
 	now := epoch
 	for range 3 {
 		now = now.Add(5 * time.Second)
-		if !s.MayProbeWithAny(now) {
+		if !s.MayProbeNonIdempotent(now) {
 			t.Fatal("nobody may find out")
 		}
 		s.RecordProbe(now)
