--- a/internal/ingress/reach.go
+++ b/internal/ingress/reach.go
@@ -45,7 +45,7 @@
 		return
 	}
 	m.unreachable[host.Name] = true
-	event.Log(m.in.config.Logger, event.HostAway, "host", host.Name)
+	event.Log(m.in.config.Logger, event.HostUnreachable, "host", host.Name)
 	m.pauseTargets(host.Name, time.Now().Add(maxPingPeriod))
 	go m.pingUntilReachable(host)
 }
