--- a/internal/ingress/clock.go
+++ b/internal/ingress/clock.go
@@ -7,20 +7,19 @@
 	"github.com/tideliftd/tidelift/internal/detect"
 )
 
-// overdueClock watches one attempt for being overdue, which is evidence against its
-// target.
-type overdueClock struct {
+// overdueTimer reports an attempt that is overdue, which is evidence against its target.
+type overdueTimer struct {
 	attempt *attempt
 
 	mu      sync.Mutex
 	timer   *time.Timer
-	stopped bool // the head of the answer is here, or the attempt has failed
+	stopped bool // the answer's header has arrived, or the attempt has failed
 }
 
-// startClock starts the attempt's clock. Without others to compare with it
-// never expires.
-func (a *attempt) startClock() *overdueClock {
-	c := &overdueClock{attempt: a}
+// startOverdueTimer starts the attempt's timer. It never expires if there are no other targets to
+// compare with.
+func (a *attempt) startOverdueTimer() *overdueTimer {
+	c := &overdueTimer{attempt: a}
 	limit := a.request.service.overdueLimit(a.Target)
 	if limit == 0 {
 		return c
@@ -31,23 +30,23 @@
 	return c
 }
 
-// stop ends the watch. After it the clock does not expire any more.
-func (c *overdueClock) stop() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.stopped = true
-	if c.timer != nil {
-		c.timer.Stop()
+// stop stops the timer. The timer does not expire after stop returns.
+func (t *overdueTimer) stop() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.stopped = true
+	if t.timer != nil {
+		t.timer.Stop()
 	}
 }
 
-// expire reports that the attempt is overdue, which is evidence.
-func (c *overdueClock) expire() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.stopped {
+// expire reports the attempt as overdue.
+func (t *overdueTimer) expire() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.stopped {
 		return
 	}
-	c.attempt.overdue.Store(true)
-	c.attempt.report(detect.Observation{Outcome: detect.Overdue}, true)
+	t.attempt.overdue.Store(true)
+	t.attempt.report(detect.Observation{Outcome: detect.Overdue}, true)
 }
--- a/internal/ingress/judge.go
+++ b/internal/ingress/judge.go
@@ -13,49 +13,48 @@
 )
 
 const (
-	// judgeEvery is how often the verdicts are looked at. Not measured: a fraction of the time in
-	// which evidence gathers.
-	judgeEvery = 100 * time.Millisecond
-	// idleAfter is how long after the last request a judge goes on deciding. Not measured: a
-	// service without requests is to cost nothing.
+	// evaluationInterval is the interval between evaluations of the evidence.
+	evaluationInterval = 100 * time.Millisecond
+	// idleAfter is how long after the last observation a detector keeps evaluating, so that a
+	// service without requests costs nothing.
 	idleAfter = time.Second
-	// observationsKept is how many observations may wait for the judge; more are dropped and
-	// counted, since requests do not wait for it. Not measured.
-	observationsKept = 512
+	// observationQueueSize is the capacity of a detector's observation queue. Requests do not block
+	// on a full queue: further observations are dropped and counted.
+	observationQueueSize = 512
 )
 
-// judge owns what this daemon believes of the path to each backend server of
-// one service. Requests tell it what they saw; it sets the targets' shares.
+// outlierDetector evaluates the path from this daemon to each backend server of one service.
+// Requests report what they observe; the detector sets the targets' shares.
 //
-// It avoids a target, which is not to eject it: others may see it as fine.
-// As many targets as the floor says stay in use, counting out those that are
-// ejected or draining.
-type judge struct {
-	config       Config
-	pool         *balance.Pool
-	observations chan observation
-	changes      chan fleet.Service
-	questions    chan question
-	ended        chan struct{}
-	dropped      tally.Counter
+// It avoids a target rather than ejecting it, since the path from other daemons may be healthy. At
+// least as many targets as the floor requires stay in use; ejected and draining targets do not
+// count towards it.
+type outlierDetector struct {
+	config          Config
+	pool            *balance.Pool
+	observations    chan observation
+	changes         chan fleet.Service
+	explainRequests chan explainRequest
+	done            chan struct{}
+	dropped         tally.Counter
 
 	declared    fleet.Service
 	group       *detect.Group
-	keptByFloor map[string]bool // sick, and kept by the floor
+	keptByFloor map[string]bool // unhealthy, but kept in use by the floor
 	idle        bool
 	lastSeen    time.Time // of the last observation
 }
 
-// observation is what a request saw of a target. A probation is the request that
-// an avoided target is given to show that it has recovered.
+// observation is what a request observed of a target. A probation is a request that an avoided
+// target gets to show that it has recovered.
 type observation struct {
 	target     *balance.Target
 	probation  bool
-	isEvidence bool // false if the request says nothing of the target
+	isEvidence bool // false if the request says nothing about the target's health
 	saw        detect.Observation
 }
 
-type question struct {
+type explainRequest struct {
 	backendServer string
 	reply         chan explanation
 }
@@ -66,102 +65,102 @@
 	known bool
 }
 
-func newJudge(config Config, pool *balance.Pool) *judge {
-	j := &judge{
-		config:       config,
-		pool:         pool,
-		observations: make(chan observation, observationsKept),
-		changes:      make(chan fleet.Service),
-		questions:    make(chan question),
-		ended:        make(chan struct{}),
-		dropped:      config.Scope.Counter("ingress_observations_dropped"),
-		group:        detect.NewGroup(detect.Careful()),
-		keptByFloor:  make(map[string]bool),
+func newOutlierDetector(config Config, pool *balance.Pool) *outlierDetector {
+	j := &outlierDetector{
+		config:          config,
+		pool:            pool,
+		observations:    make(chan observation, observationQueueSize),
+		changes:         make(chan fleet.Service),
+		explainRequests: make(chan explainRequest),
+		done:            make(chan struct{}),
+		dropped:         config.Scope.Counter("ingress_observations_dropped"),
+		group:           detect.NewGroup(detect.Careful()),
+		keptByFloor:     make(map[string]bool),
 	}
 	go j.run()
 	return j
 }
 
-func (j *judge) end() { close(j.ended) }
+func (d *outlierDetector) stop() { close(d.done) }
 
-// reconfigure puts what is declared of the service in force.
-func (j *judge) reconfigure(declared fleet.Service) {
+// reconfigure applies the service's declaration.
+func (d *outlierDetector) reconfigure(declared fleet.Service) {
 	select {
-	case j.changes <- declared:
-	case <-j.ended:
+	case d.changes <- declared:
+	case <-d.done:
 	}
 }
 
-// record gives the judge an observation without waiting for it.
-func (j *judge) record(o observation) {
+// record queues an observation without blocking.
+func (d *outlierDetector) record(o observation) {
 	select {
-	case j.observations <- o:
+	case d.observations <- o:
 	default:
-		j.dropped.Inc(1)
+		d.dropped.Inc(1)
 	}
 }
 
-// explain returns the evidence on a backend server.
-func (j *judge) explain(backendServer string) (detect.Explanation, string, bool) {
-	q := question{backendServer: backendServer, reply: make(chan explanation, 1)}
+// explain returns the evidence on a backend server and the state of its floor.
+func (d *outlierDetector) explain(backendServer string) (detect.Explanation, string, bool) {
+	q := explainRequest{backendServer: backendServer, reply: make(chan explanation, 1)}
 	select {
-	case j.questions <- q:
+	case d.explainRequests <- q:
 		answer := <-q.reply
 		return answer.Explanation, answer.floor, answer.known
-	case <-j.ended:
+	case <-d.done:
 		return detect.Explanation{}, "", false
 	}
 }
 
-// run decides at a steady pace while there is something to decide on. A service
-// without requests, whose backend servers all serve, costs nothing.
-func (j *judge) run() {
-	pace := time.NewTimer(judgeEvery)
+// run evaluates the evidence periodically, and stops doing so while the service has no requests and
+// all its backend servers have their full share.
+func (d *outlierDetector) run() {
+	pace := time.NewTimer(evaluationInterval)
 	defer pace.Stop()
 	for {
 		select {
-		case o := <-j.observations:
-			j.observe(time.Now(), o)
-			if j.idle {
-				j.idle = false
-				pace.Reset(judgeEvery)
+		case o := <-d.observations:
+			d.observe(time.Now(), o)
+			if d.idle {
+				d.idle = false
+				pace.Reset(evaluationInterval)
 			}
 		case <-pace.C:
-			j.decide(time.Now())
-			j.idle = j.settled(time.Now())
-			if !j.idle {
-				pace.Reset(judgeEvery)
+			d.evaluate(time.Now())
+			d.idle = d.canIdle(time.Now())
+			if !d.idle {
+				pace.Reset(evaluationInterval)
 			}
-		case declared := <-j.changes:
-			j.apply(declared)
-		case q := <-j.questions:
-			q.reply <- j.answer(time.Now(), q.backendServer)
-		case <-j.ended:
+		case declared := <-d.changes:
+			d.apply(declared)
+		case q := <-d.explainRequests:
+			q.reply <- d.explainNow(time.Now(), q.backendServer)
+		case <-d.done:
 			return
 		}
 	}
 }
 
-// apply puts what is declared of the service in force.
-func (j *judge) apply(declared fleet.Service) {
-	j.declared = declared
+// apply applies the service's declaration.
+func (d *outlierDetector) apply(declared fleet.Service) {
+	d.declared = declared
 	names := make([]string, 0, len(declared.BackendServers))
 	for _, b := range declared.BackendServers {
 		names = append(names, b.Name)
 	}
-	j.group.Reconfigure(detect.RulesOf(declared.Detection), names)
+	d.group.Reconfigure(detect.RulesOf(declared.Detection), names)
 }
 
-// observe enters what a request showed of a target, and ends the probation that it was.
-func (j *judge) observe(now time.Time, o observation) {
-	j.lastSeen = now
-	subject, ok := j.group.Subject(o.target.Name)
+// observe records an observation of a target. If the request was a probation, observe ends it.
+func (d *outlierDetector) observe(now time.Time, o observation) {
+	d.lastSeen = now
+	subject, ok := d.group.Subject(o.target.Name)
 	if !ok {
 		return
 	}
 	if !o.probation {
 		if o.isEvidence && subject.State(now) == detect.Serving {
-			subject.Observe(now, o.saw, j.group.Baseline(o.target.Name))
+			subject.Observe(now, o.saw, d.group.Baseline(o.target.Name))
 		}
 		return
 	}
@@ -169,17 +168,17 @@
 	if !o.isEvidence || subject.State(now) != detect.Probation {
 		return
 	}
-	if subject.ObserveProbation(now, o.saw, j.group.Baseline(o.target.Name)) {
-		j.log(event.ServerReturned, o.target, "why", "passed its trial on this path")
+	if subject.ObserveProbation(now, o.saw, d.group.Baseline(o.target.Name)) {
+		d.log(event.ServerReturned, o.target, "why", "passed its trial on this path")
 	}
 }
 
-// settled reports whether nothing will change without a request.
-func (j *judge) settled(now time.Time) bool {
-	if now.Sub(j.lastSeen) < idleAfter || len(j.keptByFloor) > 0 {
+// canIdle reports whether no share can change before the next observation.
+func (d *outlierDetector) canIdle(now time.Time) bool {
+	if now.Sub(d.lastSeen) < idleAfter || len(d.keptByFloor) > 0 {
 		return false
 	}
-	for _, target := range j.pool.Targets() {
+	for _, target := range d.pool.Targets() {
 		if target.Share() < balance.FullShare {
 			return false
 		}
@@ -187,20 +186,20 @@
 	return true
 }
 
-// answer returns the evidence on a backend server, and what the floor does for it.
-func (j *judge) answer(now time.Time, backendServer string) explanation {
-	subject, ok := j.group.Subject(backendServer)
+// explainNow returns the evidence on a backend server and the state of its floor.
+func (d *outlierDetector) explainNow(now time.Time, backendServer string) explanation {
+	subject, ok := d.group.Subject(backendServer)
 	if !ok {
 		return explanation{}
 	}
-	floor := fmt.Sprintf("floor %d", j.declared.Floor)
-	if j.keptByFloor[backendServer] {
+	floor := fmt.Sprintf("floor %d", d.declared.Floor)
+	if d.keptByFloor[backendServer] {
 		floor += ": kept in use with a reduced share"
 	}
 	return explanation{Explanation: subject.Explain(now), floor: floor, known: true}
 }
 
-func (j *judge) log(e event.Event, target *balance.Target, args ...any) {
-	all := append([]any{"backend_server", target.Name, "service", j.declared.Name, "witness", "ingress"}, args...)
-	event.Log(j.config.Logger, e, all...)
+func (d *outlierDetector) log(e event.Event, target *balance.Target, args ...any) {
+	all := append([]any{"backend_server", target.Name, "service", d.declared.Name, "witness", "ingress"}, args...)
+	event.Log(d.config.Logger, e, all...)
 }
--- a/internal/ingress/limit_test.go
+++ b/internal/ingress/limit_test.go
@@ -33,18 +33,18 @@
 routes: [{host: a.example, service: names}]
 `
 
-// limited is an ingress before backend servers that answer as told.
-type limited struct {
+// limitedIngress is an ingress whose backend servers lose every connection.
+type limitedIngress struct {
 	in      *Ingress
 	runs    *runs.Table
 	budgets *retry.Budgets
-	sent    atomic.Int64 // that reached a backend server
-	retries atomic.Int64 // of them, those that say that they are retries
-	reject  *result.Code // what a retry meets in place of a backend server, if that is not nil
+	sent    atomic.Int64 // requests that reached a backend server
+	retries atomic.Int64 // of these, requests marked as retries
+	reject  *result.Code // refusal of each retry; nil if retries reach a backend server
 }
 
-// do breaks each connection.
-func (l *limited) do(_ context.Context, call hop.Call, _ *http.Request) (sidecar.Answer, error) {
+// do refuses retries with l.reject if it is set, and loses the connection of all other requests.
+func (l *limitedIngress) do(_ context.Context, call hop.Call, _ *http.Request) (sidecar.Answer, error) {
 	if call.Retry && l.reject != nil {
 		return sidecar.Answer{}, result.New(*l.reject)
 	}
@@ -55,9 +55,9 @@
 	return sidecar.Answer{}, result.New(result.ConnectionLost)
 }
 
-func newLimited(t *testing.T, reject *result.Code) *limited {
+func newLimitedIngress(t *testing.T, reject *result.Code) *limitedIngress {
 	t.Helper()
-	l := &limited{runs: runs.New(), budgets: retry.NewBudgets(retry.Config{StartedAt: time.Now()}), reject: reject}
+	l := &limitedIngress{runs: runs.New(), budgets: retry.NewBudgets(retry.Config{StartedAt: time.Now()}), reject: reject}
 	in, cleanUp := New(Config{
 		Host: "h1", DataCentre: "dc", Logger: slog.New(slog.DiscardHandler), Scope: tally.NoopScope, HeaderBytes: 1 << 16,
 		Local: l.do, Runs: l.runs, Retries: l.budgets,
@@ -72,8 +72,8 @@
 	return l
 }
 
-// ask sends so many requests with that id, one after the other.
-func (l *limited) ask(count int, id string) {
+// send sends count requests with the ID, one after the other.
+func (l *limitedIngress) send(count int, id string) {
 	for range count {
 		r := httptest.NewRequest(http.MethodGet, "http://a.example/x", nil)
 		r.Header.Set("Request-Id", id)
@@ -81,67 +81,69 @@
 	}
 }
 
-// TestRepeatsAreWhatRequestsEarned breaks all connections: of a hundred requests that come at once, a
-// quarter of the share are sent again, and no more.
-func TestRepeatsAreWhatRequestsEarned(t *testing.T) {
-	l := newLimited(t, nil)
-	l.ask(100, "a")
+// TestRetryLimitBoundsRetries guards against more retries than the limit allows. Requests sent
+// in a burst earn a quarter of the retry share.
+func TestRetryLimitBoundsRetries(t *testing.T) {
+	l := newLimitedIngress(t, nil)
+	l.send(100, "a")
 	if sent, retries := l.sent.Load(), l.retries.Load(); sent != 105 || retries != 5 {
-		t.Fatalf("%d sendings of 100 requests, %d of them repeats", sent, retries)
+		t.Fatalf("100 requests were sent %d times, %d of them as retries", sent, retries)
 	}
 	if l.budgets.Available(time.Now(), "names") {
-		t.Fatal("repeats are left")
+		t.Fatal("retries are left")
 	}
 }
 
-// TestARepeatThatReachesNobodyCostsNothing lets retries find no slot or no connection.
-func TestARepeatThatReachesNobodyCostsNothing(t *testing.T) {
+// TestRetryThatReachesNoServerIsNotCounted guards against counting retries that found no slot or no
+// connection.
+func TestRetryThatReachesNoServerIsNotCounted(t *testing.T) {
 	for _, code := range []result.Code{result.Busy, result.QueueFull, result.ServerUnreachable, result.RetryLimit} {
 		t.Run(code.Name, func(t *testing.T) {
-			l := newLimited(t, &code)
+			l := newLimitedIngress(t, &code)
 			for range 39 {
 				l.budgets.RecordRequest(time.Now(), "names")
 			}
-			l.ask(1, "a")
+			l.send(1, "a")
 			if l.sent.Load() != 1 {
-				t.Fatalf("%d sendings", l.sent.Load())
+				t.Fatalf("%d requests sent", l.sent.Load())
 			}
 			for n := range 2 {
 				if !l.budgets.Take(time.Now(), "names") {
-					t.Fatalf("%d of two repeats are left", n)
+					t.Fatalf("%d of two retries are left", n)
 				}
 			}
 		})
 	}
 }
 
-// TestACallOfARepeatIsOne lets a backend server of the host call for a run that was a retry: each
-// call says that it is one, counts as one and earns nothing.
-func TestACallOfARepeatIsOne(t *testing.T) {
-	l := newLimited(t, nil)
-	l.ask(199, "a") // nine retries
+// TestSubrequestOfRetryCountsAsRetry guards against subrequests of a retry that are not marked and
+// counted as retries, or that add to the retry budget.
+func TestSubrequestOfRetryCountsAsRetry(t *testing.T) {
+	l := newLimitedIngress(t, nil)
+	l.send(199, "a") // nine retries
 	l.runs.Begin(time.Now(), runs.Run{ID: "r", Service: "search", Retry: true})
-	l.ask(2, "r.1")
+	l.send(2, "r.1")
 	if sent, retries := l.sent.Load(), l.retries.Load(); sent != 199+9+2 || retries != 9+2 {
-		t.Fatalf("%d sendings, %d of them repeats", sent, retries)
+		t.Fatalf("%d requests sent, %d of them retries", sent, retries)
 	}
-	l.ask(40, "a")
+	l.send(40, "a")
 	if retries := l.retries.Load(); retries != 11 {
-		t.Fatalf("%d repeats after 239 requests and two calls of a repeat", retries)
+		t.Fatalf("%d retries after 239 requests and two subrequests of a retry", retries)
 	}
 }
 
-// TestACallOfARepeatThatNobodyMayRun lets every backend server refuse a call of a retry for want of
-// room for what it would call itself: it was not run, and its caller hears that.
-func TestACallOfARepeatThatNobodyMayRun(t *testing.T) {
+// TestRefusedSubrequestOfRetryIsNotRun guards against running a subrequest of a retry, or answering
+// it as if it may have run, when all backend servers refuse it because the services that they call
+// have no retry budget left.
+func TestRefusedSubrequestOfRetryIsNotRun(t *testing.T) {
 	code := result.RetryLimit
-	l := newLimited(t, &code)
+	l := newLimitedIngress(t, &code)
 	l.runs.Begin(time.Now(), runs.Run{ID: "r", Service: "search", Retry: true})
 	r := httptest.NewRequest(http.MethodGet, "http://a.example/x", nil)
 	r.Header.Set("Request-Id", "r.1")
 	w := httptest.NewRecorder()
 	l.in.ServeHTTP(w, r)
 	if w.Code != http.StatusServiceUnavailable || l.sent.Load() != 0 {
-		t.Fatalf("status %d, %d sendings", w.Code, l.sent.Load())
+		t.Fatalf("status %d, %d requests sent", w.Code, l.sent.Load())
 	}
 }
--- a/internal/ingress/reach.go
+++ b/internal/ingress/reach.go
@@ -11,80 +11,78 @@
 )
 
 const (
-	// reachEvery is the pause between two looks whether a host can be reached
-	// again. Source: a daemon that was killed is back in a second.
-	reachEvery = 200 * time.Millisecond
-	// reachWithin is how long the answer may take. Source: twenty round trips
-	// between data centres; a lost packet is sent again only after 200 ms, and a
-	// path that loses many is no path for requests.
-	reachWithin = 150 * time.Millisecond
-	// reachProofs is how many answers in a row bring the host back. Source: of a
-	// path that loses three packets in ten, three pass once in eight times.
-	reachProofs = 3
-	// reachFor bounds how long one look goes on; a host that is longer away is
-	// met again by a request.
-	reachFor = 30 * time.Second
+	// pingInterval is the pause between pings of an unreachable host.
+	pingInterval = 200 * time.Millisecond
+	// pingTimeout is the timeout of a ping. It is shorter than a retransmission, since a path that
+	// loses many packets is unsuitable for requests.
+	pingTimeout = 150 * time.Millisecond
+	// requiredPings is how many consecutive answers make a host reachable again. A single answer
+	// may get through on a path that loses many packets.
+	requiredPings = 3
+	// maxPingPeriod limits how long a host is pinged. A host that is still unreachable then is
+	// detected again by the next request to it.
+	maxPingPeriod = 30 * time.Second
 )
 
-// reach knows which hosts cannot be reached from here, and asks their daemons
-// until they can. No request waits for a host that is known to be away.
-type reach struct {
+// hostMonitor tracks the hosts that are unreachable from this daemon, and pings their daemons until
+// they answer. No request waits for a host that is known to be unreachable.
+type hostMonitor struct {
 	in *Ingress
 
-	mu   sync.Mutex
-	away map[string]bool
+	mu          sync.Mutex
+	unreachable map[string]bool
 }
 
-// recordLost records that a request could not reach the host. Its targets are passed
-// over until the host has answered.
-func (x *reach) recordLost(host fleet.Host) {
-	if host.Name == x.in.config.Host {
+// recordUnreachable records that a request could not reach the host, and skips its targets until
+// the host has answered.
+func (m *hostMonitor) recordUnreachable(host fleet.Host) {
+	if host.Name == m.in.config.Host {
 		return
 	}
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	if x.away[host.Name] {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.unreachable[host.Name] {
 		return
 	}
-	x.away[host.Name] = true
-	event.Log(x.in.config.Logger, event.HostUnreachable, "host", host.Name)
-	x.pause(host.Name, time.Now().Add(reachFor))
-	go x.awaitAnswers(host)
+	m.unreachable[host.Name] = true
+	event.Log(m.in.config.Logger, event.HostUnreachable, "host", host.Name)
+	m.pauseTargets(host.Name, time.Now().Add(maxPingPeriod))
+	go m.pingUntilReachable(host)
 }
 
-// awaitAnswers asks the host's daemon until it answers in good time.
-func (x *reach) awaitAnswers(host fleet.Host) {
+// pingUntilReachable pings the host's daemon until it answers reliably or the ping period ends.
+func (m *hostMonitor) pingUntilReachable(host fleet.Host) {
 	began := time.Now()
-	ctx, cancel := context.WithTimeout(x.in.ended, reachFor)
+	ctx, cancel := context.WithTimeout(m.in.baseCtx, maxPingPeriod)
 	defer cancel()
-	proofs, ever := 0, false
-	for proofs < reachProofs && wait.For(ctx, reachEvery) {
-		if !x.answers(ctx, host) {
-			proofs = 0
+	consecutive, answered := 0, false
+	for consecutive < requiredPings && wait.For(ctx, pingInterval) {
+		if !m.ping(ctx, host) {
+			consecutive = 0
 			continue
 		}
-		proofs++
-		ever = true
+		consecutive++
+		answered = true
 	}
-	if !ever && x.in.ended.Err() == nil {
-		x.in.config.OnHostUnresponsive(host)
+	if !answered && m.in.baseCtx.Err() == nil {
+		m.in.config.OnHostUnresponsive(host)
 	}
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	delete(x.away, host.Name)
-	x.pause(host.Name, time.Now())
-	event.Log(x.in.config.Logger, event.HostBack, "host", host.Name, "away_ms", time.Since(began).Milliseconds())
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	delete(m.unreachable, host.Name)
+	m.pauseTargets(host.Name, time.Now())
+	event.Log(m.in.config.Logger, event.HostBack, "host", host.Name, "away_ms", time.Since(began).Milliseconds())
 }
 
-func (x *reach) answers(ctx context.Context, host fleet.Host) bool {
-	ctx, cancel := context.WithTimeout(ctx, reachWithin)
+func (m *hostMonitor) ping(ctx context.Context, host fleet.Host) bool {
+	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
-	return x.in.config.Ping(ctx, host) == nil
+	return m.in.config.Ping(ctx, host) == nil
 }
 
-// pause passes the host's targets over until then.
-func (x *reach) pause(host string, until time.Time) {
-	current := x.in.state.Load()
+// pauseTargets skips the host's targets until the given time.
+func (m *hostMonitor) pauseTargets(host string, until time.Time) {
+	current := m.in.state.Load()
 	if current == nil {
 		return
 	}
@@ -97,10 +95,9 @@
 	}
 }
 
-// Unreachable reports whether requests could not reach the host and it has not answered
-// since.
+// Unreachable reports whether requests could not reach the host and it has not answered since.
 func (in *Ingress) Unreachable(host string) bool {
-	in.reach.mu.Lock()
-	defer in.reach.mu.Unlock()
-	return in.reach.away[host]
+	in.hostMonitor.mu.Lock()
+	defer in.hostMonitor.mu.Unlock()
+	return in.hostMonitor.unreachable[host]
 }
--- a/internal/ingress/reservation_test.go
+++ b/internal/ingress/reservation_test.go
@@ -8,9 +8,9 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// TestAReservationThatIsNotWantedBlamesNobody ends the question for a reservation, since the caller
-// left or the answer came meanwhile: that is no evidence against who was asked.
-func TestAReservationThatIsNotWantedBlamesNobody(t *testing.T) {
+// TestCancelledReservationIsNoEvidence guards against evidence from a reservation that was
+// cancelled because the caller left or another attempt was answered.
+func TestCancelledReservationIsNoEvidence(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	failure := result.From(reservationFailure(ctx, result.New(result.CallerGone)))
@@ -18,12 +18,13 @@
 		t.Fatalf("got %s", failure.Code.Name)
 	}
 	if _, seen := failures.Evidence(failure.Code); seen || failures.Classify(failure.Code).Target != failures.Unchanged {
-		t.Fatal("the host that was asked is blamed")
+		t.Fatal("a cancelled reservation counts as evidence against the host")
 	}
 }
 
-// TestAReservationThatDoesNotComeIsEvidence keeps what a silent host shows.
-func TestAReservationThatDoesNotComeIsEvidence(t *testing.T) {
+// TestUnansweredReservationIsEvidence guards against ignoring a host that does not answer a
+// reservation in time.
+func TestUnansweredReservationIsEvidence(t *testing.T) {
 	failure := result.From(reservationFailure(context.Background(), result.New(result.DeadlineBeforeRun)))
 	if failure.Code.Number != result.ReservationUnanswered.Number || failures.Classify(failure.Code).Target != failures.HostUnresponsive {
 		t.Fatalf("got %s", failure.Code.Name)
--- a/internal/ingress/serve.go
+++ b/internal/ingress/serve.go
@@ -8,7 +8,7 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// ServeHTTP serves one caller's request.
+// ServeHTTP serves a caller's request.
 func (in *Ingress) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	in.inFlight.Add(1)
 	defer in.inFlight.Add(-1)
@@ -24,18 +24,18 @@
 	defer in.endRetry(request)
 	defer request.body.Finish()
 	if err := request.body.Prepare(request.deadline); err != nil {
-		in.giveBack(request)
+		in.refundCustomer(request)
 		in.fail(w, r, started, bodyFailure(err))
 		return
 	}
-	ctx, answered, cancel := in.untilAnswered(r.Context(), request.deadline)
+	ctx, answered, cancel := in.requestContext(r.Context(), request.deadline)
 	defer cancel()
 	response, err := in.tryAll(ctx, request)
 	answered()
 	if err != nil {
-		failure := lastAnswer(ctx, err)
+		failure := finalFailure(ctx, err)
 		if failure.Code.Ran == result.RanNo {
-			in.giveBack(request)
+			in.refundCustomer(request)
 		}
 		in.reportFailed(request, failure)
 		in.fail(w, r, started, failure)
@@ -44,6 +44,6 @@
 	defer func() { _ = response.Body.Close() }()
 	if err := hop.WriteAnswer(w, response); err != nil {
 		in.metrics.refused.Inc(result.AnswerCut)
-		panic(http.ErrAbortHandler) // closes the connection, so that the answer does not look whole
+		panic(http.ErrAbortHandler) // closes the connection, so that the caller detects the truncated answer
 	}
 }
--- a/internal/ingress/service.go
+++ b/internal/ingress/service.go
@@ -13,7 +13,7 @@
 	"github.com/tideliftd/tidelift/internal/route"
 )
 
-// state is what requests read; it does not change once stored.
+// state is the configuration that requests read. It is immutable once stored.
 type state struct {
 	index    *fleet.Index
 	routes   *route.Table
@@ -22,19 +22,18 @@
 	customers *customer.Table
 }
 
-// service is what the ingress keeps of one service.
+// service is the state of one service.
 type service struct {
-	pool  *balance.Pool
-	limit *retryLimit
-	judge *judge
-	rules detect.Rules
-	calls callCounters
-	// attempts is what the decisions on requests know of it.
+	pool            *balance.Pool
+	limit           *retryLimit
+	outlierDetector *outlierDetector
+	rules           detect.Rules
+	subrequests     subrequestCounters
+	// attempts is the part of the service that package attempts reads.
 	attempts attempts.Service
 }
 
-// Reconfigure puts a declaration in force. Requests that have begun go on
-// under the one before.
+// Reconfigure applies a declaration. Requests in flight continue under the previous one.
 func (in *Ingress) Reconfigure(index *fleet.Index) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -43,7 +42,7 @@
 		routes:   route.NewTable(index.Declaration.Routes),
 		services: make(map[string]*service, len(index.Declaration.Services)),
 	}
-	next.customers = in.customersOf(index.Declaration)
+	next.customers = in.customerTable(index.Declaration)
 	in.config.Retries.SetLimits(time.Now(), in.retrySizes(index.Declaration))
 	for _, declared := range index.Declaration.Services {
 		next.services[declared.Name] = in.reconfigureService(declared, index)
@@ -52,12 +51,12 @@
 	in.subrequest.Retain(next.routes.Has)
 	old := in.state.Swap(next)
 	if old != nil {
-		endRemoved(old, next)
+		stopRemoved(old, next)
 	}
 }
 
-// retrySizes returns the limits of the services' retries, whose slack all hosts share once they have
-// been counted.
+// retrySizes returns the retry limits of the services. Their slack is divided among all hosts once
+// these have been counted.
 func (in *Ingress) retrySizes(d fleet.Declaration) map[string]retry.Limit {
 	hosts := len(d.Hosts)
 	if in.config.HostsCounted != nil && !in.config.HostsCounted() {
@@ -70,43 +69,43 @@
 	return sizes
 }
 
-// endRemoved ends the judges of services that are no longer declared.
-func endRemoved(old, next *state) {
+// stopRemoved stops the outlier detectors of services that are no longer declared.
+func stopRemoved(old, next *state) {
 	for name, s := range old.services {
 		if _, ok := next.services[name]; !ok {
-			s.judge.end()
+			s.outlierDetector.stop()
 		}
 	}
 }
 
-// reconfigureService returns the service as it is declared now, with what was
-// learned of it before.
+// reconfigureService returns the service as declared, with the state that was learned under the
+// previous declaration.
 func (in *Ingress) reconfigureService(declared fleet.Service, index *fleet.Index) *service {
 	s := &service{
-		pool:  balance.NewPool(balance.Config{DataCentre: in.config.DataCentre, Random: rand.Uint64, Start: in.start}),
-		limit: &retryLimit{budgets: in.config.Retries, service: declared.Name, borrow: in.config.BorrowRetry},
-		rules: detect.RulesOf(declared.Detection),
-		calls: newCallCounters(in.config.Scope, declared.Name),
+		pool:        balance.NewPool(balance.Config{DataCentre: in.config.DataCentre, Random: rand.Uint64, Start: in.start}),
+		limit:       &retryLimit{budgets: in.config.Retries, service: declared.Name, borrow: in.config.BorrowRetry},
+		rules:       detect.RulesOf(declared.Detection),
+		subrequests: newSubrequestCounters(in.config.Scope, declared.Name),
 	}
 	if old, ok := in.service(declared.Name); ok {
 		s.pool = old.pool
-		s.judge = old.judge
+		s.outlierDetector = old.outlierDetector
 		s.limit = old.limit
 	}
 	s.attempts = attempts.Service{
-		Pool: s.pool, RetryLeft: s.limit.likelyLeft,
+		Pool: s.pool, RetryLeft: s.limit.likelyAvailable,
 		IgnoreHanging: in.disabled.hangChecks, NoHedges: in.disabled.hedges,
 	}
 	s.pool.Reconfigure(declared, index)
-	if s.judge == nil {
-		s.judge = newJudge(in.config, s.pool)
+	if s.outlierDetector == nil {
+		s.outlierDetector = newOutlierDetector(in.config, s.pool)
 	}
-	s.judge.reconfigure(declared)
+	s.outlierDetector.reconfigure(declared)
 	return s
 }
 
-// overdueLimit is how long an attempt at the target may take before it counts
-// as overdue; zero without others to compare with.
+// overdueLimit returns how long an attempt at the target may take before it is overdue; zero if
+// there are no other targets to compare it with.
 func (s *service) overdueLimit(target *balance.Target) time.Duration {
 	return s.rules.OverdueLimit(target.TypicalLatency())
 }
