--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -1,27 +1,29 @@
-// Package member keeps what a daemon knows of the daemons of all hosts and of
-// the backend servers that registered with them.
+// Package member tracks the daemons of all hosts and the backend servers
+// registered with them, as known to one daemon.
 //
-// A Table is the aggregate. It merges what daemons tell each other and what the
-// store holds, and returns what changed; it has no clock, goroutine or socket.
+// A Table is the aggregate. It merges records received from other daemons and
+// from the store, and returns what changed. It has no clock, goroutine or socket.
 //
 // # Usage
 //
 //	t := member.NewTable(member.Host{Name: "csepel-1", DataCentre: "csepel"})
 //	t.SetServers(servers, left)
-//	changed := t.Merge(told)           // from a peer or the store
-//	digest := t.Digest()               // to a peer, which answers with t.Missing(digest)
+//	changed := t.Merge(received)       // from a peer or the store
+//	digest := t.Digest()               // to a peer, which answers with t.Diff(digest)
 //	hosts := t.Hosts()
 //
 // # Rules
 //
-//   - Only a host's own daemon changes what is told of it. A record of a higher
-//     incarnation replaces one of a lower, and within an incarnation the higher version does.
-//   - A daemon that starts anew takes incarnation 1, and one above any that it hears
-//     told of itself by an earlier start, so that it needs no clock and no disk.
-//   - Others may say that a host is gone. That counts against the same version,
-//     and the host takes it back by telling a higher one.
-//   - Two tables are compared by the hashes of their buckets, so that telling a
-//     peer what it lacks costs as much as what differs and not as all there is.
+//   - Only a host's own daemon changes the host's record. A record of a higher
+//     incarnation replaces one of a lower incarnation; within an incarnation, the
+//     higher version wins.
+//   - A daemon starts with incarnation 1. When it receives a record of itself from
+//     an earlier start, it takes the next higher incarnation, so it needs neither
+//     a clock nor a disk.
+//   - Other daemons may report that a host is gone. The report overrides a record
+//     of the same version; the host refutes it with a higher incarnation.
+//   - Two tables are compared by the hashes of their buckets, so that the cost of
+//     synchronization depends on the difference and not on the number of hosts.
 package member
 
 import (
@@ -36,13 +38,12 @@
 )
 
 const (
-	// leastBuckets and mostBuckets bound the parts of a digest. Source: with as many
-	// as there are hosts a difference costs a record or two; 4,096 parts are 16 KB.
-	leastBuckets = 64
-	mostBuckets  = 4096
-	// partSize is the bytes of a part. Source: of 4,096 parts that differ one looks
-	// equal by chance in a million digests.
-	partSize = 4
+	// minBuckets and maxBuckets bound the buckets of a digest. With about one per
+	// host, a difference costs one or two records; 4,096 buckets take 16 KB.
+	minBuckets = 64
+	maxBuckets = 4096
+	// bucketHashSize is the size of a bucket's hash in bytes.
+	bucketHashSize = 4
 )
 
 // Server is a backend server that registered with its host's daemon.
@@ -53,26 +54,27 @@
 	Slots   int    `json:"slots"`
 }
 
-// Host is what is told of a host.
+// Host is the record of a host and its daemon.
 type Host struct {
 	Name       string `json:"name"`
 	DataCentre string `json:"data_centre"`
 	// Peers and Control are the daemon's addresses for other daemons.
 	Peers   string `json:"peers"`
 	Control string `json:"control"`
-	// Start is a random name of the daemon's start. It tells two incarnations of the
-	// same number apart until the later one has heard of the earlier.
+	// Start is a random identifier of the daemon's start. It distinguishes two
+	// incarnations of the same number until the later one receives the earlier one's
+	// record.
 	Start string `json:"start"`
-	// Incarnation rises with each start of the daemon, Version with each change in one.
+	// Incarnation increases with each start of the daemon, Version with each change in one.
 	Incarnation int64 `json:"life"`
 	Version     int64 `json:"version"`
-	// Stopping says that the daemon is in a planned stop.
+	// Stopping reports that the daemon is in a planned stop.
 	Stopping bool `json:"stopping,omitempty"`
-	// Gone says that another daemon found the host gone.
+	// Gone reports that another daemon found the host gone.
 	Gone bool `json:"gone,omitempty"`
-	// Servers are those that serve.
+	// Servers are the backend servers in service.
 	Servers []Server `json:"servers,omitempty"`
-	// Left names those that have left.
+	// Left holds the names of backend servers that have left.
 	Left []string `json:"left,omitempty"`
 }
 
@@ -90,14 +92,14 @@
 	return h.Gone && !other.Gone
 }
 
-// Table is what one daemon knows.
+// Table holds the records of all hosts known to one daemon.
 type Table struct {
 	self  string
 	hosts map[string]Host
-	sum   uint64 // of the hosts' hashes
+	sum   uint64 // XOR of the hosts' hashes
 }
 
-// NewTable returns a table that knows the daemon's own host.
+// NewTable returns a table that holds only the daemon's own host.
 func NewTable(self Host) *Table {
 	self.Incarnation, self.Version = 1, 1
 	t := &Table{self: self.Name, hosts: make(map[string]Host)}
@@ -105,7 +107,7 @@
 	return t
 }
 
-// put stores a host's record in place of the one before.
+// put stores a host's record, replacing any previous one.
 func (t *Table) put(h Host) {
 	if known, ok := t.hosts[h.Name]; ok {
 		t.sum ^= known.hash()
@@ -114,36 +116,37 @@
 	t.sum ^= h.hash()
 }
 
-// Self returns what is told of the daemon's own host.
+// Self returns the record of the daemon's own host.
 func (t *Table) Self() Host { return t.hosts[t.self] }
 
-// SetServers sets the backend servers of the own host.
+// SetServers sets the backend servers of the daemon's own host.
 func (t *Table) SetServers(servers []Server, left []string) {
 	self := t.Self()
 	self.Servers, self.Left = servers, left
 	t.setSelf(self)
 }
 
-// SetStopping records that the own daemon is stopping.
+// SetStopping records that the daemon is stopping.
 func (t *Table) SetStopping() {
 	self := t.Self()
 	self.Stopping = true
 	t.setSelf(self)
 }
 
-// setSelf stores a new version of the own host's record.
+// setSelf stores a new version of the daemon's own record.
 func (t *Table) setSelf(self Host) {
 	self.Version++
 	t.put(self)
 }
 
-// Merge takes what was told and returns what is new. Of the own host it
-// returns the new record if what was told had to be answered with one.
-func (t *Table) Merge(told []Host) []Host {
+// Merge merges the received records and returns those that changed the table. If
+// a received record of the daemon's own host has to be refuted, the result
+// includes the new record.
+func (t *Table) Merge(received []Host) []Host {
 	var updates []Host
-	for _, h := range told {
+	for _, h := range received {
 		if h.Name == t.self {
-			if self, ok := t.answer(h); ok {
+			if self, ok := t.refute(h); ok {
 				updates = append(updates, self)
 			}
 			continue
@@ -157,23 +160,23 @@
 	return updates
 }
 
-// answer replaces a record of the own host that an earlier start of the daemon
-// told, or by which another daemon says that the host is gone.
-func (t *Table) answer(told Host) (Host, bool) {
+// refute replaces a record of the daemon's own host that comes from an earlier
+// start or reports the host gone, by one of a higher incarnation.
+func (t *Table) refute(received Host) (Host, bool) {
 	self := t.Self()
-	earlierStart := told.Start != self.Start && told.Incarnation >= self.Incarnation
-	saidGone := told.Gone && told.Incarnation == self.Incarnation && told.Version >= self.Version
-	if !earlierStart && !saidGone {
+	earlierStart := received.Start != self.Start && received.Incarnation >= self.Incarnation
+	reportedGone := received.Gone && received.Incarnation == self.Incarnation && received.Version >= self.Version
+	if !earlierStart && !reportedGone {
 		return Host{}, false
 	}
-	self.Incarnation = told.Incarnation + 1
+	self.Incarnation = received.Incarnation + 1
 	self.Version = 1
 	t.put(self)
 	return self, true
 }
 
-// SetGone records that a host was found gone. It returns the record to tell, or
-// false if a newer one is known.
+// SetGone records that a host is gone and returns the record to send to others. It
+// returns false if the table holds a newer record.
 func (t *Table) SetGone(name string, incarnation, version int64) (Host, bool) {
 	h, ok := t.hosts[name]
 	if !ok || name == t.self || h.Gone || h.Incarnation != incarnation || h.Version != version {
@@ -184,13 +187,13 @@
 	return h, true
 }
 
-// Host returns what is known of a host.
+// Host returns the record of a host.
 func (t *Table) Host(name string) (Host, bool) {
 	h, ok := t.hosts[name]
 	return h, ok
 }
 
-// Hosts returns every host, the gone ones too, in the order of their names.
+// Hosts returns all hosts, including those that are gone, sorted by name.
 func (t *Table) Hosts() []Host {
 	all := make([]Host, 0, len(t.hosts))
 	for _, h := range t.hosts {
@@ -200,53 +203,53 @@
 	return all
 }
 
-// Digest returns a hash of each bucket of hosts, four bytes each. It has about as
-// many buckets as there are hosts.
+// Digest returns the hash of each bucket of hosts, four bytes each. The number of
+// buckets grows with the number of hosts, within bounds.
 func (t *Table) Digest() []byte {
-	buckets := leastBuckets
-	for buckets < len(t.hosts) && buckets < mostBuckets {
+	buckets := minBuckets
+	for buckets < len(t.hosts) && buckets < maxBuckets {
 		buckets *= 2
 	}
 	return t.digest(buckets)
 }
 
 func (t *Table) digest(buckets int) []byte {
-	digest := make([]byte, buckets*partSize)
+	digest := make([]byte, buckets*bucketHashSize)
 	for _, h := range t.hosts {
-		part := digest[bucketOf(h.Name, buckets)*partSize:]
+		part := digest[bucketOf(h.Name, buckets)*bucketHashSize:]
 		binary.LittleEndian.PutUint32(part, binary.LittleEndian.Uint32(part)^uint32(h.hash()&math.MaxUint32))
 	}
 	return digest
 }
 
-// Sum returns one hash of every host. It is kept, since daemons compare theirs several times a
-// second: made anew it took 62 us at 93 hosts and grew with them (BenchmarkSum).
+// Sum returns a hash over all hosts. It is maintained incrementally, since daemons
+// compare sums several times per second.
 func (t *Table) Sum() uint64 { return t.sum }
 
-// Diff returns the hosts of the buckets that differ from the digest, whatever
-// number of buckets that has.
+// Diff returns the hosts whose buckets differ from those of the digest, which may
+// have any number of buckets.
 func (t *Table) Diff(digest []byte) []Host {
-	buckets := len(digest) / partSize
+	buckets := len(digest) / bucketHashSize
 	if buckets == 0 {
 		return t.Hosts()
 	}
 	own := t.digest(buckets)
-	var missing []Host
+	var differing []Host
 	for _, h := range t.Hosts() {
-		at := bucketOf(h.Name, buckets) * partSize
-		if !bytes.Equal(digest[at:at+partSize], own[at:at+partSize]) {
-			missing = append(missing, h)
+		at := bucketOf(h.Name, buckets) * bucketHashSize
+		if !bytes.Equal(digest[at:at+bucketHashSize], own[at:at+bucketHashSize]) {
+			differing = append(differing, h)
 		}
 	}
-	return missing
+	return differing
 }
 
-// bucketOf returns the bucket of a host.
+// bucketOf returns the bucket index of a host.
 func bucketOf(name string, buckets int) int {
 	return int(xxhash.Sum64String(name) % uint64(buckets)) //nolint:gosec // there is at least one bucket
 }
 
-// hash is of what orders records; the rest follows from it.
+// hash covers the fields that order records; the other fields change only with them.
 func (h Host) hash() uint64 {
 	text, _ := json.Marshal([]any{h.Name, h.Start, h.Incarnation, h.Version, h.Gone}) // strings, numbers and a flag always encode
 	return xxhash.Sum64(text)
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -14,76 +14,76 @@
 	return member.NewTable(member.Host{Name: name, DataCentre: "csepel", Start: start})
 }
 
-// told brings everything that one table knows to another, as a peer would.
-func told(from, to *member.Table) { to.Merge(from.Diff(to.Digest())) }
+// syncTables sends the records by which two tables differ from one to the other.
+func syncTables(from, to *member.Table) { to.Merge(from.Diff(to.Digest())) }
 
-func TestNewsReplacesWhatIsOlder(t *testing.T) {
+func TestMergeKeepsNewerRecord(t *testing.T) {
 	table := newTable("a", "1")
 	b := member.Host{Name: "b", Start: "1", Incarnation: 2, Version: 5}
 	older := member.Host{Name: "b", Start: "0", Incarnation: 1, Version: 9}
 	gone := b
 	gone.Gone = true
 	steps := []struct {
-		name    string
-		told    member.Host
-		updates bool
+		name     string
+		received member.Host
+		updates  bool
 	}{
 		{"a host not known", b, true},
 		{"the same again", b, false},
-		{"an earlier life", older, false},
-		{"that it is gone", gone, true},
-		{"the same without that", b, false},
-		{"its answer", member.Host{Name: "b", Start: "1", Incarnation: 3, Version: 1}, true},
+		{"an earlier incarnation", older, false},
+		{"a report that it is gone", gone, true},
+		{"the same version, not gone", b, false},
+		{"its refutation", member.Host{Name: "b", Start: "1", Incarnation: 3, Version: 1}, true},
 	}
 	for _, step := range steps {
-		if updates := table.Merge([]member.Host{step.told}); (len(updates) > 0) != step.updates {
-			t.Fatalf("%s: news %t, want %t", step.name, len(updates) > 0, step.updates)
+		if updates := table.Merge([]member.Host{step.received}); (len(updates) > 0) != step.updates {
+			t.Fatalf("%s: updates %t, want %t", step.name, len(updates) > 0, step.updates)
 		}
 	}
 }
 
-// TestAStartTakesALifeAboveTheEarlier lets a daemon that starts anew hear of its
-// earlier incarnation, at every point at which their numbers may meet.
-func TestAStartTakesALifeAboveTheEarlier(t *testing.T) {
+// TestRestartTakesHigherIncarnation guards against a restarted daemon whose records
+// lose against those of its earlier start, at any version of either.
+func TestRestartTakesHigherIncarnation(t *testing.T) {
 	for changes := range 4 {
 		peer := newTable("peer", "p")
 		before := newTable("a", "old")
 		for range 2 {
 			before.SetServers([]member.Server{{Name: "i-old"}}, nil)
 		}
-		told(before, peer)
+		syncTables(before, peer)
 		after := newTable("a", "new")
 		for range changes {
 			after.SetServers(nil, nil)
 		}
-		told(peer, after)
-		told(after, peer)
+		syncTables(peer, after)
+		syncTables(after, peer)
 		got, _ := peer.Host("a")
 		if got.Start != "new" || len(got.Servers) != 0 {
-			t.Fatalf("after %d changes the peer believes %+v", changes, got)
+			t.Fatalf("after %d changes the peer has the record %+v", changes, got)
 		}
 	}
 }
 
-func TestAHostThatLivesTakesBackThatItIsGone(t *testing.T) {
+func TestLiveHostRefutesGone(t *testing.T) {
 	a, b := newTable("a", "1"), newTable("b", "1")
-	told(a, b)
+	syncTables(a, b)
 	known, _ := b.Host("a")
 	if _, ok := b.SetGone("a", known.Incarnation, known.Version+1); ok {
-		t.Fatal("a record that nobody told was found gone")
+		t.Fatal("an unknown version was marked gone")
 	}
 	if _, ok := b.SetGone("a", known.Incarnation, known.Version); !ok {
-		t.Fatal("a silent host was not found gone")
+		t.Fatal("an unresponsive host was not marked gone")
 	}
-	told(b, a)
-	told(a, b)
+	syncTables(b, a)
+	syncTables(a, b)
 	if got, _ := b.Host("a"); got.Gone {
-		t.Fatal("it stays gone")
+		t.Fatal("a live host is still marked gone")
 	}
 }
 
-// TestTablesAgree changes, starts anew, finds gone and tells at random; once each
-// has told each other, all believe the same, and of each host what it says itself.
+// TestTablesAgree checks that tables converge to each host's own record after
+// random changes, restarts, reports of gone hosts and exchanges.
 func TestTablesAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []string{"a", "b", "c", "d"}
@@ -103,7 +103,7 @@
 				tables[name.Draw(t, "name")].SetServers([]member.Server{server}, nil)
 			},
 			"start anew": func(t *rapid.T) { start(name.Draw(t, "name")) },
-			"tell":       func(t *rapid.T) { told(tables[name.Draw(t, "from")], tables[name.Draw(t, "to")]) },
+			"tell":       func(t *rapid.T) { syncTables(tables[name.Draw(t, "from")], tables[name.Draw(t, "to")]) },
 			"gone": func(t *rapid.T) {
 				table := tables[name.Draw(t, "by")]
 				if h, ok := table.Host(name.Draw(t, "name")); ok {
@@ -115,14 +115,14 @@
 		for range 3 {
 			for _, from := range names {
 				for _, to := range names {
-					told(tables[from], tables[to])
+					syncTables(tables[from], tables[to])
 				}
 			}
 		}
 		for _, of := range names {
 			for _, by := range names {
 				if got, _ := tables[by].Host(of); !reflect.DeepEqual(got, tables[of].Self()) {
-					t.Fatalf("%s believes %+v of %s, which says %+v", by, got, of, tables[of].Self())
+					t.Fatalf("%s has the record %+v of %s, whose own is %+v", by, got, of, tables[of].Self())
 				}
 			}
 			if tables[of].Sum() != tables["a"].Sum() {
@@ -132,15 +132,14 @@
 	})
 }
 
-// BenchmarkSum compares what two daemons know of 93 hosts: 1 ns, and 62 us beside load
-// while each hash was made anew.
+// BenchmarkSum measures Sum with 93 hosts.
 func BenchmarkSum(b *testing.B) {
 	table := member.NewTable(member.Host{Name: "csepel-0"})
-	told := make([]member.Host, 0, 92)
-	for i := range cap(told) {
-		told = append(told, member.Host{Name: fmt.Sprintf("csepel-%d", i+1), Start: "3f2a9c", Incarnation: 1, Version: 2})
+	received := make([]member.Host, 0, 92)
+	for i := range cap(received) {
+		received = append(received, member.Host{Name: fmt.Sprintf("csepel-%d", i+1), Start: "3f2a9c", Incarnation: 1, Version: 2})
 	}
-	table.Merge(told)
+	table.Merge(received)
 	for b.Loop() {
 		table.Sum()
 	}
