--- a/internal/membership/exchange.go
+++ b/internal/membership/exchange.go
@@ -7,7 +7,7 @@
 	"github.com/tideliftd/tidelift/internal/control"
 )
 
-// Sum returns a hash of what is known of hosts; 0 if they are declared.
+// Sum returns a hash over all known hosts, or 0 if hosts are declared.
 func (m *Membership) Sum() uint64 {
 	if !m.config.Registers {
 		return 0
@@ -15,8 +15,8 @@
 	return m.known.sum()
 }
 
-// AddDigest adds the digest of what is known here if the asking daemon does not
-// know the same.
+// AddDigest adds the local digest to the answer if the requesting daemon's state
+// differs.
 func (m *Membership) AddDigest(asked control.Above, held *control.Held) {
 	if asked.Hosts == 0 || !m.config.Registers || asked.Hosts == m.Sum() {
 		return
@@ -24,16 +24,16 @@
 	held.Digest = m.known.digest()
 }
 
-// Exchange tells the peer what it does not know of hosts, and records what
-// it answers.
+// Exchange sends the peer the hosts by which the peer's digest differs, and
+// merges the records that it returns.
 func (m *Membership) Exchange(ctx context.Context, address string, held control.Held) {
 	if held.Digest == nil || !m.known.beginExchange(time.Now()) {
 		return
 	}
-	told := control.Told{Host: m.config.Self.Name}
-	told.Hosts, told.Digest = m.known.compare(held.Digest)
+	updates := control.Told{Host: m.config.Self.Name}
+	updates.Hosts, updates.Digest = m.known.diffAndDigest(held.Digest)
 	var rest control.Rest
-	if err := m.config.Peers.CallLogged(ctx, address, control.MethodTold, told, &rest); err != nil {
+	if err := m.config.Peers.CallLogged(ctx, address, control.MethodTold, updates, &rest); err != nil {
 		return
 	}
 	m.Learn(address, rest.Hosts)
--- a/internal/membership/gone.go
+++ b/internal/membership/gone.go
@@ -6,10 +6,10 @@
 	"github.com/tideliftd/tidelift/internal/member"
 )
 
-// CheckGone records that a silent host is gone if its record in the store is, too.
-// The store may take the record of a host that lives, and a host that lives may
-// not be reached from here; both together are rare, and the host then says so. Few
-// daemons check, since each check is a call.
+// CheckGone records that an unresponsive host is gone if its record in the store
+// is gone, too. The store may lose the record of a live host, and a live host may
+// be unreachable from here; in the rare case of both, the host refutes the report.
+// Only watchers check, since each check is a call to the store.
 func (m *Membership) CheckGone(host fleet.Host) {
 	plan := m.config.Plan()
 	if !m.config.Registers || plan == nil || !plan.IsWatcher() {
@@ -25,6 +25,6 @@
 	if gone, ok := m.known.setGone(known); ok {
 		event.Log(m.config.Logger, event.HostGone, "host", host.Name, "life", known.Incarnation, "version", known.Version)
 		m.config.Reapply()
-		m.tell("", []member.Host{gone})
+		m.enqueue("", []member.Host{gone})
 	}
 }
--- a/internal/membership/known.go
+++ b/internal/membership/known.go
@@ -8,11 +8,11 @@
 	"github.com/tideliftd/tidelift/internal/registry"
 )
 
-// known guards what the daemon knows of all hosts and of its own backend servers.
+// known guards the table of all hosts and the registry of local backend servers.
 type known struct {
 	mu        sync.Mutex
-	changed   time.Time // when something was last learned
-	exchanged time.Time // when this daemon last exchanged what it knows
+	changed   time.Time // last time that merge changed the table
+	exchanged time.Time // last exchange with another daemon
 	table     *member.Table
 	registry  *registry.Registry
 }
@@ -21,50 +21,50 @@
 	return &known{table: member.NewTable(self), registry: registry.New()}
 }
 
-// sum returns a hash of what is known of all hosts.
+// sum returns a hash over all known hosts.
 func (k *known) sum() uint64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.table.Sum()
 }
 
-// digest returns hashes by which two daemons find where they differ.
+// digest returns the bucket hashes by which two daemons find their differences.
 func (k *known) digest() []byte {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.table.Digest()
 }
 
-// missing returns the hosts that a daemon with that digest may not know as they are
-// known here.
-func (k *known) missing(digest []byte) []member.Host {
+// diff returns the hosts that may differ from those of the daemon that sent the digest.
+func (k *known) diff(digest []byte) []member.Host {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.table.Diff(digest)
 }
 
-// compare returns the same and the digest of what is known here at that moment.
-func (k *known) compare(digest []byte) ([]member.Host, []byte) {
+// diffAndDigest returns the hosts that differ from the digest, and the local digest of
+// the same state.
+func (k *known) diffAndDigest(digest []byte) ([]member.Host, []byte) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.table.Diff(digest), k.table.Digest()
 }
 
-// self returns what is told of the own host.
+// self returns the record of the local host.
 func (k *known) self() member.Host {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.table.Self()
 }
 
-// all returns every host that was ever told of.
+// all returns all known hosts, including those that are gone.
 func (k *known) all() []member.Host {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.table.Hosts()
 }
 
-// host returns what is known of a host.
+// host returns the record of a host.
 func (k *known) host(name string) (member.Host, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -72,27 +72,26 @@
 }
 
 const (
-	// quietFor is how long nothing was learned before a daemon exchanges what it
-	// knows with another. Source: updates are told within some hundred milliseconds, and
-	// while it is under way any two daemons differ.
-	quietFor = 500 * time.Millisecond
-	// exchangeEvery is how long a daemon waits for such a time at most.
-	exchangeEvery = 3 * time.Second
+	// quietPeriod is how long the table must be unchanged before the daemon
+	// exchanges with another. While updates spread, any two daemons differ.
+	quietPeriod = 500 * time.Millisecond
+	// maxExchangeDelay bounds how long an exchange is postponed by changes.
+	maxExchangeDelay = 3 * time.Second
 )
 
-// beginExchange reports whether it is time to exchange what is known with another
-// daemon, and if so records that it is done.
+// beginExchange reports whether an exchange with another daemon is due, and if so
+// records its time.
 func (k *known) beginExchange(now time.Time) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if now.Sub(k.changed) < quietFor && now.Sub(k.exchanged) < exchangeEvery {
+	if now.Sub(k.changed) < quietPeriod && now.Sub(k.exchanged) < maxExchangeDelay {
 		return false
 	}
 	k.exchanged = now
 	return true
 }
 
-// setStopping records that this daemon stops, and returns what to tell of it.
+// setStopping records that this daemon is stopping and returns its new record.
 func (k *known) setStopping() member.Host {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -100,36 +99,37 @@
 	return k.table.Self()
 }
 
-// setGone records that a host is gone unless it has told of itself since.
+// setGone records that a host is gone, unless a newer record of it has arrived.
 func (k *known) setGone(host member.Host) (member.Host, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.table.SetGone(host.Name, host.Incarnation, host.Version)
 }
 
-// register records what a backend server says of itself, and reports whether that
-// changes what others should know.
+// register records a registration and reports whether other daemons must be notified.
 func (k *known) register(c registry.Registration) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.registry.Register(c) && k.publish()
 }
 
-// serves reports whether the backend server of that name serves on this host.
+// serves reports whether the named backend server is in service on this host.
 func (k *known) serves(name string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.registry.Serves(name)
 }
 
-// leave records that a backend server ends, and reports whether others should know.
+// leave records that a backend server ends, and reports whether other daemons must
+// be notified.
 func (k *known) leave(name string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.registry.Leave(name) && k.publish()
 }
 
-// publish puts the backend servers that serve into the table.
+// publish copies the backend servers in service from the registry to the table. It
+// always returns true.
 func (k *known) publish() bool {
 	registered := k.registry.Serving()
 	serving := make([]member.Server, 0, len(registered))
@@ -140,21 +140,22 @@
 	return true
 }
 
-// merge records what others told and returns what is new, and which backend servers
-// of this host left in an earlier incarnation of the daemon, as the others remember.
-func (k *known) merge(told []member.Host) (updates []member.Host, forbidden []string) {
+// merge merges the received records. It returns those that changed the table, and
+// the local backend servers that left in an earlier incarnation of this daemon,
+// as recorded by other daemons.
+func (k *known) merge(received []member.Host) (updates []member.Host, restored []string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	updates = k.table.Merge(told)
+	updates = k.table.Merge(received)
 	if len(updates) > 0 {
 		k.changed = time.Now()
 	}
-	for _, h := range told {
+	for _, h := range received {
 		if h.Name == k.table.Self().Name && k.registry.RestoreLeft(h.Left) {
 			k.publish()
 			updates = append(updates, k.table.Self())
-			forbidden = append(forbidden, h.Left...)
+			restored = append(restored, h.Left...)
 		}
 	}
-	return updates, forbidden
+	return updates, restored
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,25 +1,29 @@
-// Package membership keeps what a daemon knows of all hosts, and of the backend servers that register
-// themselves at its own.
+// Package membership tracks all hosts and the backend servers that register with
+// the local daemon.
 //
-// A backend server registers itself at the daemon of its host. The daemon puts that in force, and tells a few
-// others, near and far, which tell it on. Two daemons that talk anyway compare hashes of what they know
-// and exchange what differs, so that whatever was not told arrives a little later. A host that
-// does not answer is taken as gone once its record in the store is gone, too.
+// A backend server registers with the daemon of its host. The daemon applies the
+// registration and notifies a few other daemons, in its own data centre and in
+// others, which pass it on. Daemons that communicate for other reasons also
+// compare hashes of their tables and exchange the differences, so that lost
+// updates arrive later. A host that does not answer is considered gone once its
+// record in the store is gone, too.
 //
-// Where hosts are declared, all of that rests: only this host is known, and a declaration is complete.
+// Where hosts are declared, none of this is active: only the local host is known,
+// and a declaration is complete.
 //
-// The package owns the table of hosts, the registry of the own backend servers, the updates that wait
-// to be told, and the host's record. It relies on internal/member and internal/registry, which
-// decide what is new, on internal/record for the store, on internal/gossip for which hosts to tell, and on
-// whoever puts declarations in force (Reapply).
+// The package owns the table of hosts, the registry of local backend servers, the
+// queue of updates to send, and the host's record. It relies on internal/member
+// and internal/registry to decide what is new, on internal/record for the store,
+// on internal/gossip to select the hosts to notify, and on Config.Reapply to apply
+// declarations.
 //
 // # Usage
 //
 //	m := membership.New(membership.Config{Self: self, Registers: true, Peers: client, Record: recordConfig, ...})
 //	go m.Run(ctx)
 //	declaration := m.Complete(declared)
-//	handlers[control.MethodTold] = m.HandleTold
-//	m.Stop() // tells others that this daemon stops
+//	handlers[control.MethodTold] = m.HandleUpdates
+//	m.Stop() // notifies others that this daemon stops
 package membership
 
 import (
@@ -37,37 +41,38 @@
 )
 
 const (
-	// maxAskedToJoin is how many other daemons a daemon that joins asks at the most. Source: of
-	// those that the store names some may be gone, and the first that answers knows all.
-	maxAskedToJoin = 4
-	// maxWaiting is how many updates may wait to be gathered. Not measured: one is gathered at once, and
-	// others ask for what was dropped.
-	maxWaiting = 256
+	// maxJoinAttempts bounds how many other daemons a joining daemon contacts. Some of
+	// the hosts in the store may be gone; the first that answers knows all others.
+	maxJoinAttempts = 4
+	// maxQueuedUpdates bounds the updates that wait to be batched. Further updates are
+	// dropped; other daemons obtain them by exchange.
+	maxQueuedUpdates = 256
 )
 
-// Config holds who this host is and what its membership acts on.
+// Config identifies the local host and holds the dependencies of a Membership.
 type Config struct {
-	// Self is this host, in a new incarnation.
+	// Self is the local host, in a new incarnation.
 	Self member.Host
-	// Registers is true if hosts and backend servers register themselves; else they are declared.
+	// Registers reports whether hosts and backend servers register themselves;
+	// otherwise they are declared.
 	Registers bool
 	// Logger receives events of hosts and registrations.
 	Logger *slog.Logger
 	// Peers calls other daemons.
 	Peers *control.Client
-	// Record is the host's record; New sets its Self and Learn.
+	// Record configures the host's record; New sets its Self and OnHosts.
 	Record record.Config
-	// Plan returns which hosts to tell; nil while no other host is known.
+	// Plan selects the hosts to notify; it returns nil while no other host is known.
 	Plan func() *gossip.Plan
-	// Services returns the declared services; false while no declaration is in force.
+	// Services returns the declared services, or false while no declaration is in force.
 	Services func() ([]fleet.Service, bool)
-	// Reapply puts the declaration in force again with the hosts and backend servers known now.
+	// Reapply applies the declaration again with the current hosts and backend servers.
 	Reapply func()
-	// Sync asks the daemon at the address for what it knows, and reports whether it answered.
+	// Sync fetches the state of the daemon at the address and reports whether it answered.
 	Sync func(ctx context.Context, address string) bool
 }
 
-// Membership keeps what is known of hosts and tells others.
+// Membership tracks the known hosts and notifies others of changes.
 type Membership struct {
 	config  Config
 	known   *known
@@ -76,12 +81,12 @@
 	joined  chan struct{}
 }
 
-// New returns a membership in which only this host is known.
+// New returns a membership in which only the local host is known.
 func New(config Config) *Membership {
 	m := &Membership{
 		config:  config,
 		known:   newKnown(config.Self),
-		updates: make(chan update, maxWaiting),
+		updates: make(chan update, maxQueuedUpdates),
 		joined:  make(chan struct{}),
 	}
 	config.Record.Self = m.known.self
@@ -90,8 +95,8 @@
 	return m
 }
 
-// Run joins the other hosts and takes part until ctx ends. A declared host only finds out whether this
-// is its first start.
+// Run joins the other hosts and takes part in membership until ctx ends. On a
+// declared host, it only determines whether this is the fleet's first start.
 func (m *Membership) Run(ctx context.Context) {
 	if m.config.Registers {
 		m.join(ctx)
@@ -100,60 +105,61 @@
 	m.record.ClaimFirstStart(ctx)
 }
 
-// join keeps this daemon's record in the store until ctx ends, and finds the
-// other daemons there. Of two that start at once the one that writes its record
-// later finds the other's, since each reads after it has written. What a record
-// says is told from daemon to daemon; in the store it only lets a daemon that
-// knows nobody find some.
+// join maintains this daemon's record in the store until ctx ends, and discovers
+// the other daemons there. It writes its own record before it reads the others',
+// so that of two daemons that start simultaneously at least one finds the other.
+// The store serves only for discovery; updates travel from daemon to daemon.
 func (m *Membership) join(ctx context.Context) {
-	go m.tellUpdates(ctx)
+	go m.sendUpdates(ctx)
 	lease := m.record.Write(ctx)
 	m.record.ReadAll(ctx)
 	m.config.Record.Health.RecordSeen(time.Now())
-	m.askSomeone(ctx)
+	m.syncWithAny(ctx)
 	close(m.joined)
-	m.tell("", []member.Host{m.known.self()})
+	m.enqueue("", []member.Host{m.known.self()})
 	go m.record.CountHosts(ctx, m.config.Reapply)
 	m.record.KeepAlive(ctx, lease)
 }
 
-// askSomeone asks the daemons that the store names, in no order, for what they know until
-// one answers, so that a daemon that is back knows the backend servers before requests
-// come.
-func (m *Membership) askSomeone(ctx context.Context) {
+// syncWithAny fetches the state of the daemons listed in the store, in random
+// order, until one answers, so that a restarted daemon knows the backend servers
+// before requests arrive.
+func (m *Membership) syncWithAny(ctx context.Context) {
 	others := slices.DeleteFunc(m.known.all(), func(h member.Host) bool {
 		return h.Gone || h.Name == m.config.Self.Name
 	})
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
-	for _, h := range others[:min(maxAskedToJoin, len(others))] {
+	for _, h := range others[:min(maxJoinAttempts, len(others))] {
 		if m.config.Sync(ctx, h.Control) {
 			return
 		}
 	}
 }
 
-// Joined is closed once a host that registers itself has joined the others.
+// Joined returns a channel that is closed once a self-registering host has joined
+// the others.
 func (m *Membership) Joined() <-chan struct{} { return m.joined }
 
-// Stop records that this daemon stops, and has others told of it.
+// Stop records that this daemon is stopping and notifies others.
 func (m *Membership) Stop() {
 	if m.config.Registers {
-		m.tell("", []member.Host{m.known.setStopping()})
+		m.enqueue("", []member.Host{m.known.setStopping()})
 	}
 }
 
-// ShareUsable reports whether this daemon may use its part of what the hosts share. Declared hosts
-// are known by their number.
+// ShareUsable reports whether this daemon may use its part of what is divided among
+// the hosts. Where hosts are declared their number is known, so it always may.
 func (m *Membership) ShareUsable() bool { return !m.config.Registers || m.record.ShareUsable() }
 
-// Hosts returns every host that was ever told of, this one among them.
+// Hosts returns all known hosts, including the local one and those that are gone.
 func (m *Membership) Hosts() []member.Host { return m.known.all() }
 
-// Host returns what is known of a host; false if it was never told of.
+// Host returns the record of a host, or false if the host is unknown.
 func (m *Membership) Host(name string) (member.Host, bool) { return m.known.host(name) }
 
-// Complete returns what is declared with the hosts that are not gone and the
-// backend servers that serve there, unless it declares hosts.
+// Complete returns the declaration with the hosts that are not gone and the
+// backend servers in service there. It returns a declaration that declares hosts
+// unchanged.
 func (m *Membership) Complete(declared fleet.Declaration) fleet.Declaration {
 	if len(declared.Hosts) > 0 {
 		return declared
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -12,18 +12,19 @@
 	"github.com/tideliftd/tidelift/internal/storehealth"
 )
 
-// TestDeclaredHostsAreCountedAtOnce compares a declared host with one that registers itself and has not counted
-// the others yet.
-func TestDeclaredHostsAreCountedAtOnce(t *testing.T) {
+// TestDeclaredHostMayUseShareImmediately guards against a declared host that waits to use its share, and
+// against a host that registers itself and uses it before it has counted the others.
+func TestDeclaredHostMayUseShareImmediately(t *testing.T) {
 	for _, registers := range []bool{false, true} {
 		m := membership.New(membership.Config{Self: member.Host{Name: "csepel-1"}, Registers: registers})
 		if got := m.ShareUsable(); got == registers {
-			t.Errorf("hosts register themselves: %t; counted: %t", registers, got)
+			t.Errorf("hosts register themselves: %t; share usable: %t", registers, got)
 		}
 	}
 }
 
-// TestADeclaredHostClaimsItsFirstStart runs one: it writes that key alone, and no record.
+// TestADeclaredHostClaimsItsFirstStart guards against a declared host that writes a record, or anything but
+// the key of its first start, to the store.
 func TestADeclaredHostClaimsItsFirstStart(t *testing.T) {
 	var keys []string
 	m := membership.New(membership.Config{
--- a/internal/membership/registrations.go
+++ b/internal/membership/registrations.go
@@ -11,39 +11,41 @@
 	"github.com/tideliftd/tidelift/internal/registry"
 )
 
-// Registrations takes what backend servers of this host say of themselves. Each
-// returns once that is in force here.
+// Registrations handles the registrations of this host's backend servers. Register
+// and Leave return once the change is in force on this host.
 type Registrations struct {
 	Register func(registry.Registration) error
 	Leave    func(name string)
 	OnError  func(error)
 }
 
-// Registrations returns what takes the registrations of this host's backend servers.
+// Registrations returns the handler functions for registrations.
 func (m *Membership) Registrations() Registrations {
 	return Registrations{
 		Register: func(c registry.Registration) error {
-			if !m.serviceKnown(c) {
-				return errors.Errorf("check-in of %s names service %q, which is not declared", c.Name, c.Service)
+			if !m.mayRegister(c) {
+				return errors.Errorf("registration of %s names service %q, which is not declared", c.Name, c.Service)
 			}
 			if m.known.register(c) {
-				m.registered("check-in", c.Name, c.Sequence)
+				m.applyRegistration("check-in", c.Name, c.Sequence)
 			}
 			return nil
 		},
 		Leave: func(name string) {
 			if m.known.leave(name) {
-				m.registered("leave", name, 0)
+				m.applyRegistration("leave", name, 0)
 			}
 		},
 		OnError: func(err error) { event.Log(m.config.Logger, event.RegistrationRefused, "error", err) },
 	}
 }
 
-// serviceKnown reports whether the registration's service is declared. One that is not names no backend
-// server: it may come from anybody, and must not take the address of another's. Before a declaration
-// is known any is taken, and that a known backend server leaves is taken whatever its service.
-func (m *Membership) serviceKnown(c registry.Registration) bool {
+// mayRegister reports whether the registration is accepted, which requires a declared
+// service. A registration for an undeclared service may come from any process
+// and must not take over another backend server's address. All registrations are
+// accepted before a declaration is known, and a known backend server may announce
+// that it is draining whatever its service.
+func (m *Membership) mayRegister(c registry.Registration) bool {
 	services, ok := m.config.Services()
 	if !ok || c.Draining && m.known.serves(c.Name) {
 		return true
@@ -51,11 +53,11 @@
 	return slices.ContainsFunc(services, func(s fleet.Service) bool { return s.Name == c.Service })
 }
 
-// registered puts a change of the own backend servers in force here, and then
-// tells others of it.
-func (m *Membership) registered(why, name string, sequence int64) {
+// applyRegistration applies a change of the local backend servers on this host, and then
+// notifies others.
+func (m *Membership) applyRegistration(why, name string, sequence int64) {
 	self := m.known.self()
 	event.Log(m.config.Logger, event.ServersRegistered, "why", why, "backend_server", name, "sequence", sequence, "serving", self.Servers)
 	m.config.Reapply()
-	m.tell("", []member.Host{self})
+	m.enqueue("", []member.Host{self})
 }
--- a/internal/membership/updates.go
+++ b/internal/membership/updates.go
@@ -12,19 +12,20 @@
 	"github.com/tideliftd/tidelift/internal/member"
 )
 
-// updateDelay is how long updates of hosts are gathered before they are told. Source: a
-// start of many hosts is told in batches, and nobody waits for the updates, since
-// whoever has not heard that a backend server is gone learns it from a refusal.
+// updateDelay is how long updates of hosts are collected before they are sent, so
+// that the start of many hosts is sent in batches. The delay is harmless: a daemon
+// that still selects a backend server that is gone receives a refusal.
 const updateDelay = 100 * time.Millisecond
 
-// Learn records what another daemon or the store told of hosts, puts it in force and tells it on.
-func (m *Membership) Learn(from string, told []member.Host) {
+// Learn merges the host records received from another daemon or the store, applies
+// the changes and passes them on.
+func (m *Membership) Learn(from string, received []member.Host) {
 	if !m.config.Registers {
 		return
 	}
-	updates, forbidden := m.known.merge(told)
-	if len(forbidden) > 0 {
-		event.Log(m.config.Logger, event.ServersRegistered, "why", "left in an earlier life", "left", forbidden, "from", from)
+	updates, restored := m.known.merge(received)
+	if len(restored) > 0 {
+		event.Log(m.config.Logger, event.ServersRegistered, "why", "left in an earlier life", "left", restored, "from", from)
 	}
 	if len(updates) == 0 {
 		return
@@ -34,54 +35,54 @@
 			"gone", h.Gone, "stopping", h.Stopping, "servers", len(h.Servers))
 	}
 	m.config.Reapply()
-	m.tell(from, updates)
+	m.enqueue(from, updates)
 }
 
-// update is what is to be told of hosts.
+// update holds host records to send to other daemons.
 type update struct {
-	hosts []member.Host
-	from  string // who told it here; empty if it is of the own host
+	hosts  []member.Host
+	sender string // sending daemon; empty if the update originates here
 }
 
-// tell has a few other daemons told of hosts soon.
-func (m *Membership) tell(from string, hosts []member.Host) {
+// enqueue queues host records for a few other daemons. It does not block.
+func (m *Membership) enqueue(from string, hosts []member.Host) {
 	select {
-	case m.updates <- update{hosts: hosts, from: from}:
-	default: // others ask for what they were not told
+	case m.updates <- update{hosts: hosts, sender: from}:
+	default: // others obtain dropped updates by exchange
 		event.Log(m.config.Logger, event.UpdatesDropped, "hosts", len(hosts))
 	}
 }
 
-// tellUpdates tells other daemons of hosts until ctx ends. What comes within a
-// moment is told at once; what is of the own host is told to other data centres
-// too, where it is told on.
-func (m *Membership) tellUpdates(ctx context.Context) {
+// sendUpdates sends queued updates to other daemons in batches until ctx ends.
+// Batches with updates that originate here also go to other data centres, which
+// pass them on.
+func (m *Membership) sendUpdates(ctx context.Context) {
 	for {
 		select {
 		case first := <-m.updates:
-			m.tellBatch(m.gatherUpdates(ctx, first))
+			m.sendBatch(m.collectBatch(ctx, first))
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// updateBatch is what is told at once.
+// updateBatch holds the updates that are sent together.
 type updateBatch struct {
 	hosts map[string]member.Host
 	own   bool
 }
 
-// add adds updates to the batch; of one host the last counts.
+// add adds an update to the batch, replacing earlier records of the same hosts.
 func (b *updateBatch) add(u update) {
 	for _, h := range u.hosts {
 		b.hosts[h.Name] = h
 	}
-	b.own = b.own || u.from == ""
+	b.own = b.own || u.sender == ""
 }
 
-// gatherUpdates returns what comes within updateDelay, in one batch.
-func (m *Membership) gatherUpdates(ctx context.Context, first update) updateBatch {
+// collectBatch returns the updates that arrive within updateDelay as one batch.
+func (m *Membership) collectBatch(ctx context.Context, first update) updateBatch {
 	batch := updateBatch{hosts: make(map[string]member.Host)}
 	batch.add(first)
 	timer := time.NewTimer(updateDelay)
@@ -98,30 +99,32 @@
 	}
 }
 
-// tellBatch tells a few near daemons, and of the own host a few far ones, too.
-func (m *Membership) tellBatch(batch updateBatch) {
+// sendBatch sends the batch to a few daemons of the local data centre and, if it
+// contains updates that originate here, of other data centres.
+func (m *Membership) sendBatch(batch updateBatch) {
 	plan := m.config.Plan()
 	if plan == nil {
-		return // whoever is found later is told all
+		return // hosts discovered later receive all records by exchange
 	}
-	told := control.Told{Host: m.config.Self.Name, Hosts: slices.Collect(maps.Values(batch.hosts))}
-	to := plan.UpdateTargets()
+	updates := control.Told{Host: m.config.Self.Name, Hosts: slices.Collect(maps.Values(batch.hosts))}
+	targets := plan.UpdateTargets()
 	if batch.own {
-		to = append(to, plan.RemoteUpdateTargets()...)
+		targets = append(targets, plan.RemoteUpdateTargets()...)
 	}
-	m.config.Peers.Tell(to, control.MethodTold, told)
+	m.config.Peers.Tell(targets, control.MethodTold, updates)
 }
 
-// HandleUpdates answers another daemon that tells of hosts, with what it does not know.
+// HandleUpdates merges the host records sent by another daemon, and returns the
+// hosts by which that daemon's digest differs.
 func (m *Membership) HandleUpdates(_ context.Context, params json.RawMessage) (any, error) {
-	var told control.Told
-	if err := control.Decode(params, &told); err != nil {
+	var updates control.Told
+	if err := control.Decode(params, &updates); err != nil {
 		return nil, err
 	}
-	m.Learn(told.Host, told.Hosts)
+	m.Learn(updates.Host, updates.Hosts)
 	var rest control.Rest
-	if told.Digest != nil {
-		rest.Hosts = m.known.missing(told.Digest)
+	if updates.Digest != nil {
+		rest.Hosts = m.known.diff(updates.Digest)
 	}
 	return rest, nil
 }
