--- a/internal/registry/export_test.go
+++ b/internal/registry/export_test.go
@@ -1,4 +1,4 @@
 package registry
 
-// Known returns how many incarnations are remembered that have not left.
+// Known returns the number of remembered incarnations that have not left.
 func (r *Registry) Known() int { return len(r.servers) }
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,8 +1,9 @@
 // Package registry keeps the backend servers that register themselves with the
 // daemon on their host.
 //
-// A Registry is the aggregate of one host. It records registrations and returns who
-// serves; it has no clock, goroutine or socket. The daemon owns it.
+// A Registry is the aggregate of one host. It records registrations and returns the
+// backend servers in service. It has no clock, goroutine or socket, and is owned by
+// the daemon.
 //
 // # Usage
 //
@@ -14,16 +15,18 @@
 // # Rules
 //
 //   - Each start of a backend server is an incarnation with a name of its own.
-//   - Draining is final: whoever has said that it is draining never serves again under
-//     that name, whatever late registration still comes.
-//   - A registration whose sequence number is not above the last one is late and
-//     changes nothing.
-//   - Of two incarnations at one address the one that registered last serves. But an
-//     incarnation that a younger one has replaced, by its lower sequence number, is taken
-//     back only once it has registered twice with no registration of the younger one between:
-//     a registration of it may come seconds after its end.
-//   - Silence removes nobody. A backend server that cannot reach the daemon may
-//     still serve; one that is gone refuses connections, which its requests show.
+//   - Draining is final: an incarnation that has reported that it is draining never
+//     serves again under that name, even if a late registration arrives.
+//   - A registration whose sequence number is not higher than the previous one is
+//     late and changes nothing.
+//   - Of two incarnations at one address, the one that registered last serves. An
+//     incarnation that was replaced by a newer one, recognized by its lower sequence
+//     number, serves again only after it has registered twice with no registration
+//     of the newer one in between, since a late registration may arrive seconds
+//     after the incarnation has ended.
+//   - A missing registration removes no backend server. One that cannot reach the
+//     daemon may still serve; one that is gone refuses connections, which requests
+//     detect.
 package registry
 
 import (
@@ -32,45 +35,44 @@
 	"slices"
 )
 
-// keptLeft bounds how many names that left are remembered. Source: a host has
-// one backend server, restarted a few times an hour; a late registration comes
-// seconds late.
-const keptLeft = 64
+// maxLeft bounds how many names of backend servers that left are remembered. It
+// exceeds the restarts of a host within the seconds for which a registration may be
+// late.
+const maxLeft = 64
 
-// keptReplaced bounds how many incarnations are remembered that others replaced at their
-// addresses. Not measured: as many as have left.
-const keptReplaced = 64
+// maxReplaced bounds how many replaced incarnations are remembered.
+const maxReplaced = 64
 
-// Registration is what a backend server says of itself.
+// Registration is what a backend server reports about itself.
 type Registration struct {
-	// Name is that of this incarnation.
+	// Name identifies the incarnation.
 	Name string
-	// Service is the service it belongs to.
+	// Service is the name of the service that the backend server belongs to.
 	Service string
-	// Address is the IP:port where it takes requests.
+	// Address is the IP:port at which it accepts requests.
 	Address string
-	// Slots is how many requests it runs at once.
+	// Slots is the number of requests that it runs concurrently.
 	Slots int
-	// Draining says that it is about to end.
+	// Draining reports that the backend server is about to end.
 	Draining bool
-	// Sequence rises with each registration of an incarnation.
+	// Sequence increases with each registration of an incarnation.
 	Sequence int64
 }
 
-// Registry is the backend servers of one host.
+// Registry holds the backend servers of one host.
 type Registry struct {
-	servers  map[string]Registration // by name, the last registration of each
-	holders  map[string]holder       // who serves at an address
-	left     []string                // names that said that they are draining, the oldest first
-	replaced []string                // names that others replaced, the oldest first
+	servers  map[string]Registration // last registration by name
+	holders  map[string]holder       // incarnation in service by address
+	left     []string                // names that left, oldest first
+	replaced []string                // replaced names, oldest first
 }
 
-// holder is who serves at an address.
+// holder is the incarnation in service at an address.
 type holder struct {
 	name string
-	// young says that it is younger than the one before it there.
-	young bool
-	// challenger is one before it that has registered since it last did.
+	// newer reports that the incarnation is newer than the one that it replaced.
+	newer bool
+	// challenger is a replaced incarnation that has registered since this one last did.
 	challenger string
 }
 
@@ -79,7 +81,7 @@
 	return &Registry{servers: make(map[string]Registration), holders: make(map[string]holder)}
 }
 
-// Register records a registration and reports whether Serving or Left changed.
+// Register records a registration and reports whether the result of Serving or Left changed.
 func (r *Registry) Register(c Registration) bool {
 	if slices.Contains(r.left, c.Name) {
 		return false
@@ -103,7 +105,8 @@
 	return r.holders[c.Address].name == c.Name && last != c
 }
 
-// claimAddress lets the incarnation serve at its address if it may, and reports whether it newly does.
+// claimAddress puts the incarnation into service at its address if the rules allow
+// it, and reports whether it newly is.
 func (r *Registry) claimAddress(c Registration, known bool) bool {
 	h, held := r.holders[c.Address]
 	if held && h.name == c.Name {
@@ -111,24 +114,24 @@
 		r.holders[c.Address] = h
 		return false
 	}
-	if held && known && h.young && h.challenger != c.Name {
+	if held && known && h.newer && h.challenger != c.Name {
 		h.challenger = c.Name
 		r.holders[c.Address] = h
 		return false
 	}
 	next := holder{name: c.Name}
 	if held {
-		next.young = !known && c.Sequence < r.servers[h.name].Sequence
+		next.newer = !known && c.Sequence < r.servers[h.name].Sequence
 		r.addReplaced(h.name)
 	}
 	r.holders[c.Address] = next
 	return true
 }
 
-// addReplaced remembers that an incarnation was replaced, and forgets the oldest such.
+// addReplaced remembers a replaced incarnation and forgets the oldest one beyond maxReplaced.
 func (r *Registry) addReplaced(name string) {
 	r.replaced = append(r.replaced, name)
-	if len(r.replaced) <= keptReplaced {
+	if len(r.replaced) <= maxReplaced {
 		return
 	}
 	oldest := r.replaced[0]
@@ -138,13 +141,13 @@
 	}
 }
 
-// Serves reports whether the incarnation serves at an address.
+// Serves reports whether the incarnation is in service at its address.
 func (r *Registry) Serves(name string) bool {
 	server, ok := r.servers[name]
 	return ok && r.holders[server.Address].name == name
 }
 
-// Leave records that a backend server ends, and reports whether that was not known.
+// Leave records that a backend server ends, and reports whether that is new.
 func (r *Registry) Leave(name string) bool {
 	if slices.Contains(r.left, name) {
 		return false
@@ -153,7 +156,8 @@
 	return true
 }
 
-// RestoreLeft records names that left in an earlier incarnation of the daemon, and reports whether one was not known.
+// RestoreLeft records names that left in an earlier incarnation of the daemon, and
+// reports whether any of them is new.
 func (r *Registry) RestoreLeft(names []string) bool {
 	changed := false
 	for _, name := range names {
@@ -162,17 +166,17 @@
 	return changed
 }
 
-// leave removes a backend server for good.
+// leave removes a backend server permanently.
 func (r *Registry) leave(name string) {
 	r.left = append(r.left, name)
-	r.left = r.left[max(0, len(r.left)-keptLeft):]
+	r.left = r.left[max(0, len(r.left)-maxLeft):]
 	if r.Serves(name) {
 		delete(r.holders, r.servers[name].Address)
 	}
 	delete(r.servers, name)
 }
 
-// Serving returns those that serve, in the order of their names.
+// Serving returns the incarnations in service, sorted by name.
 func (r *Registry) Serving() []Registration {
 	var serving []Registration
 	for h := range maps.Values(r.holders) {
@@ -182,5 +186,5 @@
 	return serving
 }
 
-// Left returns the names that left, the oldest first.
+// Left returns the names of the backend servers that left, oldest first.
 func (r *Registry) Left() []string { return slices.Clone(r.left) }
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -22,7 +22,7 @@
 	return names
 }
 
-func TestWhoServes(t *testing.T) {
+func TestServing(t *testing.T) {
 	draining := registration("a", "x", 9)
 	draining.Draining = true
 	type step func(*registry.Registry) bool
@@ -34,20 +34,20 @@
 		changed bool // by the last step
 		want    string
 	}{
-		{"a first check-in", []step{in(registration("a", "x", 1))}, true, "a"},
+		{"a first registration", []step{in(registration("a", "x", 1))}, true, "a"},
 		{"the same again", []step{in(registration("a", "x", 1)), in(registration("a", "x", 2))}, false, "a"},
-		{"one that is leaving", []step{in(registration("a", "x", 1)), in(draining)}, true, ""},
+		{"one that is draining", []step{in(registration("a", "x", 1)), in(draining)}, true, ""},
 		{"a late one after it left", []step{in(draining), in(registration("a", "x", 10))}, false, ""},
 		{"a late one after it ended", []step{in(registration("a", "x", 3)), out("a"), in(registration("a", "x", 4))}, false, ""},
 		{"one that only ends", []step{in(registration("a", "x", 1)), out("a")}, true, ""},
 		{"one that ends and was never seen", []step{out("a"), in(registration("a", "x", 1))}, false, ""},
-		{"a new lifetime at the address", []step{in(registration("a", "x", 7)), in(registration("b", "x", 1))}, true, "b"},
-		{"a late one of the lifetime before", []step{in(registration("a", "x", 7)), in(registration("b", "x", 1)), in(registration("a", "x", 6))}, false, "b"},
-		{"a late one of the lifetime before, sent at its end", []step{in(registration("a", "x", 7)), in(registration("b", "x", 1)), in(registration("a", "x", 8))}, false, "b"},
-		{"the lifetime before, which goes on", []step{in(registration("a", "x", 7)), in(registration("b", "x", 1)), in(registration("a", "x", 8)), in(registration("a", "x", 9))}, true, "a"},
+		{"a new incarnation at the address", []step{in(registration("a", "x", 7)), in(registration("b", "x", 1))}, true, "b"},
+		{"a late one of the replaced incarnation", []step{in(registration("a", "x", 7)), in(registration("b", "x", 1)), in(registration("a", "x", 6))}, false, "b"},
+		{"a late one of the replaced incarnation, sent at its end", []step{in(registration("a", "x", 7)), in(registration("b", "x", 1)), in(registration("a", "x", 8))}, false, "b"},
+		{"the replaced incarnation, which goes on", []step{in(registration("a", "x", 7)), in(registration("b", "x", 1)), in(registration("a", "x", 8)), in(registration("a", "x", 9))}, true, "a"},
 		{"two late ones of it with the new one between", []step{in(registration("a", "x", 7)), in(registration("b", "x", 1)), in(registration("a", "x", 8)), in(registration("b", "x", 2)), in(registration("a", "x", 9))}, false, "b"},
-		{"the new one again after a late one that nobody knew", []step{in(registration("b", "x", 1)), in(registration("a", "x", 6)), in(registration("b", "x", 2))}, true, "b"},
-		{"the end of the lifetime before", []step{in(registration("a", "x", 7)), in(registration("b", "x", 1)), out("a")}, true, "b"},
+		{"the new one again after a late one of an unknown incarnation", []step{in(registration("b", "x", 1)), in(registration("a", "x", 6)), in(registration("b", "x", 2))}, true, "b"},
+		{"the end of the replaced incarnation", []step{in(registration("a", "x", 7)), in(registration("b", "x", 1)), out("a")}, true, "b"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -67,18 +67,18 @@
 	}
 }
 
-func TestWhatAnEarlierLifeConfirmedBinds(t *testing.T) {
+func TestRestoreLeftIsFinal(t *testing.T) {
 	r := registry.New()
 	if !r.RestoreLeft([]string{"a"}) || r.RestoreLeft([]string{"a"}) {
-		t.Fatal("the news is not told once")
+		t.Fatal("RestoreLeft does not report a new name exactly once")
 	}
 	if r.Register(registration("a", "x", 1)); len(r.Serving()) != 0 {
-		t.Fatal("one that left in an earlier life serves again")
+		t.Fatal("a backend server that left in an earlier incarnation of the daemon serves again")
 	}
 }
 
-// TestLeavingIsFinal checks in and leaves at random: nobody serves after it left,
-// and at most one serves at an address.
+// TestLeavingIsFinal registers and leaves at random, and guards against a backend
+// server that serves after it left and against two at one address.
 func TestLeavingIsFinal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := registry.New()
@@ -112,9 +112,9 @@
 	})
 }
 
-// TestReplacedLifetimesAreForgotten starts a backend server again and again at its
-// address, without a word of its end.
-func TestReplacedLifetimesAreForgotten(t *testing.T) {
+// TestReplacedIncarnationsAreForgotten guards against unbounded memory when a
+// backend server restarts at its address without reporting its end.
+func TestReplacedIncarnationsAreForgotten(t *testing.T) {
 	r := registry.New()
 	const starts = 1000
 	for n := range starts {
@@ -124,6 +124,6 @@
 		t.Fatalf("%v serve", got)
 	}
 	if r.Known() > 100 {
-		t.Fatalf("%d lifetimes are remembered", r.Known())
+		t.Fatalf("%d incarnations are remembered", r.Known())
 	}
 }
