--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,36 +1,37 @@
 // Package gossip decides how a revision of the declaration and updates of hosts
-// reach every daemon: who watches the platform, which others a daemon tells of what is new,
-// and which it asks now and then for what it missed.
+// reach every daemon: which daemons watch the platform, which others a daemon
+// notifies, and which one it polls for updates that it missed.
 //
-// A Plan is read-only and made anew with each declaration. It has no clock,
-// goroutine or socket; the daemon's task owns what it is used for.
+// A Plan is read-only and rebuilt with each declaration. It has no clock, goroutine
+// or socket; it selects hosts, and its owner communicates with them.
 //
 // # Usage
 //
 //	plan := gossip.NewPlan(gossip.Config{Host: "csepel-1", DataCentre: "csepel", Random: rand.Uint64}, hosts)
-//	if plan.Watches(freshAt, now) { ... }   // watch the platform oneself
-//	for _, host := range plan.Notify() { ... } // a new revision: tell these
-//	for _, host := range plan.Near() { ... }   // updates of hosts: tell these,
-//	for _, host := range plan.OneOfEach() { ... } // and these of the own host
-//	host, ok := plan.Poll()                    // every PollEvery or so
+//	if plan.Watches(freshAt, now) { ... }                   // watch the platform
+//	for _, host := range plan.NotifyTargets() { ... }       // notify of a new revision
+//	for _, host := range plan.UpdateTargets() { ... }       // send updates of hosts
+//	for _, host := range plan.RemoteUpdateTargets() { ... } // send updates of the local host
+//	host, ok := plan.PollTarget()                           // poll about every PollInterval
 //
 // # Rules
 //
-//   - WatchersEach daemons of each data centre watch the platform, those whose
-//     names hash highest. All work that out from the declaration alone.
-//   - A daemon that learns of a new revision tells a few others at random, in its
-//     own data centre and outside, each of which fetches it and tells a few in
-//     turn. So it spreads in a number of steps that grows with the logarithm of
-//     the daemons, also round a cut.
-//   - Updates of hosts are told to a few in the own data centre. What a host has to tell
-//     of itself goes to one host each of a few other data centres too, who tell it on
-//     near them.
-//   - Every PollEvery a daemon asks one other at random which revision it has, for
-//     what was lost on the way. The answer also says how long ago the other knew
-//     the platform to answer.
-//   - A daemon that has not heard of an answer of the platform for StaleAfter, and
-//     a random time as long again, watches the platform itself, since the watchers
-//     may be gone.
+//   - In each data centre, the WatchersPerDataCentre daemons whose names have the
+//     highest hashes watch the platform. Each daemon derives them from the
+//     declaration alone.
+//   - A daemon that receives a new revision notifies a few others at random, in its
+//     own data centre and in others. Each of them fetches it and notifies a few in
+//     turn, so that the number of steps grows with the logarithm of the number of
+//     daemons, and notifications bypass broken links.
+//   - Updates of hosts are sent to a few daemons of the same data centre. A host's
+//     updates of itself also go to one host in each of a few other data centres,
+//     which passes them on there.
+//   - Every PollInterval, a daemon polls another one at random for its revision, to
+//     obtain what was lost. The answer includes the time since the other daemon
+//     knew the platform to answer.
+//   - A daemon that has not learned of an answer of the platform for StaleAfter,
+//     plus a random time of up to the same length, watches the platform itself,
+//     since the watchers may be gone.
 package gossip
 
 import (
@@ -44,116 +45,114 @@
 )
 
 const (
-	// WatchersEach is how many daemons of a data centre watch the platform.
-	WatchersEach = 2
-	// NotifyNear is how many others of its own data centre a daemon tells of a
-	// revision.
-	NotifyNear = 4
-	// NotifyFar is how many of other data centres.
-	NotifyFar = 2
-	// PollInterval is how often a daemon asks another for its revision.
+	// WatchersPerDataCentre is the number of daemons per data centre that watch the platform.
+	WatchersPerDataCentre = 2
+	// LocalFanout is how many daemons of its own data centre a daemon notifies of a revision.
+	LocalFanout = 4
+	// RemoteFanout is how many daemons of other data centres a daemon notifies of a revision.
+	RemoteFanout = 2
+	// PollInterval is how often a daemon polls another one for its revision.
 	PollInterval = 500 * time.Millisecond
-	// StaleAfter is how long a daemon relies on others' watching. Source: all
-	// watchers may be lost at once, and a change has to be in force within seconds.
+	// StaleAfter is how long a daemon relies on the watchers. They may all be lost
+	// together, and a change must still be in force within seconds.
 	StaleAfter = 5 * time.Second
-	// updatesNear is how many others of its own data centre a daemon tells updates of hosts.
-	// Source: each record comes so many times to each daemon; what is missed is asked
-	// for within a second.
-	updatesNear = 2
-	// maxFarTold bounds how many other data centres a host tells of its own updates.
-	// Source: what is left out is asked for within seconds.
-	maxFarTold = 8
-	// farOneIn is how often a daemon asks one of another data centre.
-	farOneIn = 8
+	// updateFanout is how many daemons of its own data centre a daemon sends updates of
+	// hosts. Each record reaches a daemon about as many times; polls make up for losses.
+	updateFanout = 2
+	// maxRemoteTargets bounds how many other data centres a host sends its own updates.
+	// Polls supply the others.
+	maxRemoteTargets = 8
+	// remotePollOneIn makes one in so many polls go to another data centre.
+	remotePollOneIn = 8
 )
 
-// Config says whose plan it is.
+// Config holds the settings of a Plan.
 type Config struct {
-	// Host and DataCentre name the daemon.
+	// Host and DataCentre name the local daemon.
 	Host, DataCentre string
 	// Random returns 64 random bits.
 	Random func() uint64
 }
 
-// Plan is what one daemon does to spread revisions and updates of hosts.
+// Plan selects the hosts with which one daemon exchanges revisions and updates of hosts.
 type Plan struct {
-	config  Config
-	near    []fleet.Host
-	far     []fleet.Host
-	watcher bool
-	stale   time.Duration
+	config     Config
+	local      []fleet.Host
+	remote     []fleet.Host
+	watcher    bool
+	staleAfter time.Duration
 }
 
-// NewPlan returns the daemon's plan under the declared hosts.
+// NewPlan returns the daemon's plan for the given hosts.
 func NewPlan(config Config, hosts []fleet.Host) *Plan {
 	p := &Plan{config: config}
 	var own []fleet.Host
 	for _, h := range hosts {
 		switch {
 		case h.DataCentre != config.DataCentre:
-			p.far = append(p.far, h)
+			p.remote = append(p.remote, h)
 		case h.Name != config.Host:
-			p.near = append(p.near, h)
+			p.local = append(p.local, h)
 		}
 		if h.DataCentre == config.DataCentre {
 			own = append(own, h)
 		}
 	}
 	p.watcher = isWatcher(config.Host, own)
-	p.stale = StaleAfter + time.Duration(config.Random()%uint64(StaleAfter))
+	p.staleAfter = StaleAfter + time.Duration(config.Random()%uint64(StaleAfter))
 	return p
 }
 
-// isWatcher reports whether the host is one of those of its data centre that watch.
+// isWatcher reports whether the host is one of the watchers of its data centre.
 func isWatcher(host string, own []fleet.Host) bool {
 	slices.SortFunc(own, func(a, b fleet.Host) int {
 		return cmp.Compare(xxhash.Sum64String(b.Name), xxhash.Sum64String(a.Name))
 	})
-	chosen := own[:min(WatchersEach, len(own))]
+	chosen := own[:min(WatchersPerDataCentre, len(own))]
 	return slices.ContainsFunc(chosen, func(h fleet.Host) bool { return h.Name == host })
 }
 
-// Watches reports whether the daemon watches the platform, if the platform was last
-// known to answer then.
+// Watches reports whether the daemon has to watch the platform, given when the
+// platform was last known to answer.
 func (p *Plan) Watches(answered, now time.Time) bool {
-	return p.watcher || now.Sub(answered) > p.stale
+	return p.watcher || now.Sub(answered) > p.staleAfter
 }
 
-// IsWatcher reports whether the daemon is one of those that always watch.
+// IsWatcher reports whether the daemon is one of the permanent watchers.
 func (p *Plan) IsWatcher() bool { return p.watcher }
 
-// NotifyTargets returns the hosts to notify of a new revision.
+// NotifyTargets returns random hosts to notify of a new revision.
 func (p *Plan) NotifyTargets() []fleet.Host {
-	return append(p.some(p.near, NotifyNear), p.some(p.far, NotifyFar)...)
+	return append(p.sample(p.local, LocalFanout), p.sample(p.remote, RemoteFanout)...)
 }
 
-// UpdateTargets returns the hosts of the own data centre to tell of updates of hosts.
-func (p *Plan) UpdateTargets() []fleet.Host { return p.some(p.near, updatesNear) }
+// UpdateTargets returns random hosts of the same data centre to send updates of hosts to.
+func (p *Plan) UpdateTargets() []fleet.Host { return p.sample(p.local, updateFanout) }
 
-// RemoteUpdateTargets returns one host of each of a few other data centres, which a host
-// tells its own updates. They tell them on to those near them.
+// RemoteUpdateTargets returns one host in each of a few other data centres, to which
+// a host sends its own updates. They pass them on within their data centres.
 func (p *Plan) RemoteUpdateTargets() []fleet.Host {
 	byDataCentre := make(map[string][]fleet.Host)
-	for _, h := range p.far {
+	for _, h := range p.remote {
 		byDataCentre[h.DataCentre] = append(byDataCentre[h.DataCentre], h)
 	}
 	var chosen []fleet.Host
-	for _, hosts := range byDataCentre { // in no order, so that the bound leaves out others each time
-		if len(chosen) == maxFarTold {
+	for _, hosts := range byDataCentre { // map order is random, so the bound skips different ones each time
+		if len(chosen) == maxRemoteTargets {
 			break
 		}
-		chosen = append(chosen, hosts[p.below(len(hosts))])
+		chosen = append(chosen, hosts[p.intN(len(hosts))])
 	}
 	return chosen
 }
 
-// some returns a number of the hosts, chosen at random without repetition.
-func (p *Plan) some(hosts []fleet.Host, count int) []fleet.Host {
+// sample returns count distinct hosts at random, or all if there are fewer.
+func (p *Plan) sample(hosts []fleet.Host, count int) []fleet.Host {
 	count = min(count, len(hosts))
 	places := make([]int, 0, count)
 	chosen := make([]fleet.Host, 0, count)
 	for len(chosen) < count {
-		place := p.below(len(hosts))
+		place := p.intN(len(hosts))
 		if slices.Contains(places, place) {
 			continue
 		}
@@ -163,17 +162,17 @@
 	return chosen
 }
 
-// PollTarget returns one other to ask for its revision. It returns false if there is none.
+// PollTarget returns a random host to poll for its revision, or false if there is none.
 func (p *Plan) PollTarget() (fleet.Host, bool) {
-	from := p.near
-	if len(from) == 0 || len(p.far) > 0 && p.below(farOneIn) == 0 {
-		from = p.far
+	from := p.local
+	if len(from) == 0 || len(p.remote) > 0 && p.intN(remotePollOneIn) == 0 {
+		from = p.remote
 	}
 	if len(from) == 0 {
 		return fleet.Host{}, false
 	}
-	return from[p.below(len(from))], true
+	return from[p.intN(len(from))], true
 }
 
-// below returns a random number from 0 to n-1.
-func (p *Plan) below(n int) int { return int(uint32(p.config.Random()>>32)) % n }
+// intN returns a random number in [0, n).
+func (p *Plan) intN(n int) int { return int(uint32(p.config.Random()>>32)) % n }
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -39,16 +39,16 @@
 			watchers++
 		}
 		if !plan.Watches(epoch, epoch.Add(2*gossip.StaleAfter)) {
-			t.Fatalf("%s relies on others that are silent", name)
+			t.Fatalf("%s does not watch although the last known answer of the platform is stale", name)
 		}
 	}
-	if watchers != 15*gossip.WatchersEach {
-		t.Fatalf("%d watch", watchers)
+	if watchers != 15*gossip.WatchersPerDataCentre {
+		t.Fatalf("%d daemons are watchers", watchers)
 	}
 }
 
-// TestRevisionReachesAll spreads a revision by telling alone, one message in five
-// lost, and counts the steps. What is missed then is left to asking.
+// TestRevisionReachesAll guards against revisions that spread too slowly or to too
+// few daemons when one notification in five is lost and polls supply the rest.
 func TestRevisionReachesAll(t *testing.T) {
 	all := hosts(15, 40)
 	for seed := range uint64(5) {
@@ -82,14 +82,14 @@
 			}
 		}
 		if rounds > 2 {
-			t.Fatalf("seed %d: %d rounds of asking", seed, rounds)
+			t.Fatalf("seed %d: %d rounds of polling", seed, rounds)
 		}
 	}
 }
 
-func TestAloneThereIsNobody(t *testing.T) {
+func TestSingleHostHasNoTargets(t *testing.T) {
 	plan := plans(hosts(1, 1), 1)["dc0-0"]
 	if _, ok := plan.PollTarget(); ok || len(plan.NotifyTargets()) != 0 || !plan.Watches(epoch, epoch) {
-		t.Fatal("a lone daemon has others to talk to, or does not watch")
+		t.Fatal("a single daemon has peers, or does not watch")
 	}
 }
