--- a/internal/hostlist/hostlist.go
+++ b/internal/hostlist/hostlist.go
@@ -1,12 +1,12 @@
-// Package hostlist follows the platform's list of draining hosts, and tells the daemon of each host what the
-// list says of it.
+// Package hostlist follows the platform's list of draining hosts and notifies the
+// daemon of each affected host.
 //
-// Where hosts are declared, operators drain a whole host by that list. Only the daemons that watch
-// the platform read it. It lags, so that it is one word among others on whether a backend server is
-// draining.
+// Where hosts are declared, operators drain a whole host by adding it to that list.
+// Only the daemons that watch the platform read it. Since it lags, it is only one of
+// the inputs that decide whether a backend server is draining.
 //
-// The package owns which hosts were told. It relies on internal/store for the list and on
-// internal/control for telling.
+// The package owns the set of notified hosts. It relies on internal/store for the
+// list and on internal/control for the notifications.
 //
 // # Usage
 //
@@ -29,11 +29,10 @@
 	"github.com/tideliftd/tidelift/internal/wait"
 )
 
-// readEvery is how often a daemon that watches the platform reads the list. Not measured: whoever drains a
-// host waits longer for its requests to end.
-const readEvery = 5 * time.Second
+// readInterval is how often a daemon that watches the platform reads the list.
+const readInterval = 5 * time.Second
 
-// Config says where the list is and who acts on it.
+// Config holds the location of the list and the dependencies of a Follower.
 type Config struct {
 	// Store holds the list, a JSON list of names; its key begins with Prefix.
 	Store  store.Store
@@ -42,48 +41,48 @@
 	Host string
 	// Peers calls other daemons.
 	Peers *control.Client
-	// Index returns the index of the declaration in force; false if none is.
+	// Index returns the index of the declaration in force, or false if there is none.
 	Index func() (*fleet.Index, bool)
-	// Draining sets whether the list has this host.
+	// Draining sets whether the list contains this host.
 	Draining func(draining bool)
-	// Logger receives events of a list that cannot be read.
+	// Logger receives an event when the list cannot be read.
 	Logger *slog.Logger
-	// OnError is told of each call that the store did not answer, OnAnswer of each that it did.
+	// OnError is called for each store call that fails, OnAnswer for each that succeeds.
 	OnError  func(error)
 	OnAnswer func()
 }
 
-// Follower follows the list.
+// Follower follows the list of draining hosts.
 type Follower struct {
-	config  Config
-	refused string // why the list could not be read when that was last tried; empty if it could
+	config    Config
+	malformed string // why the last list was malformed; empty if it was not
 }
 
-// New returns a follower that has not read the list.
+// New returns a follower that has not read the list yet.
 func New(config Config) *Follower { return &Follower{config: config} }
 
-// Run reads the list and tells of it, until ctx ends.
+// Run reads the list periodically and notifies the affected hosts, until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
-	var told []string
+	var notified []string
 	for ctx.Err() == nil {
-		wait.For(ctx, readEvery)
+		wait.For(ctx, readInterval)
 		names, ok := f.read(ctx)
 		if !ok {
 			continue
 		}
-		for _, name := range told {
+		for _, name := range notified {
 			if !slices.Contains(names, name) {
-				f.tell(ctx, name, false)
+				f.notify(ctx, name, false)
 			}
 		}
 		for _, name := range names {
-			f.tell(ctx, name, true) // each time, since a daemon that restarts has forgotten it
+			f.notify(ctx, name, true) // each time, since a daemon loses the state when it restarts
 		}
-		told = names
+		notified = names
 	}
 }
 
-// read returns the names of the draining hosts, and false if they cannot be read.
+// read returns the names of the draining hosts, or false if the list cannot be read.
 func (f *Follower) read(ctx context.Context) ([]string, bool) {
 	value, err := f.config.Store.Get(ctx, f.config.Prefix+"/leaving-hosts")
 	if err != nil {
@@ -96,24 +95,24 @@
 	}
 	var names []string
 	if err := json.Unmarshal(value.Data, &names); err != nil {
-		f.logRefused(err.Error())
+		f.logMalformed(err.Error())
 		return nil, false
 	}
-	f.refused = ""
+	f.malformed = ""
 	return names, true
 }
 
-// logRefused logs why the list cannot be read, once for each reason in a row.
-func (f *Follower) logRefused(reason string) {
-	if reason == f.refused {
+// logMalformed logs why the list is malformed, unless the previous reason is the same.
+func (f *Follower) logMalformed(reason string) {
+	if reason == f.malformed {
 		return
 	}
-	f.refused = reason
+	f.malformed = reason
 	event.Log(f.config.Logger, event.HostListRefused, "error", reason)
 }
 
-// tell tells the daemon of the host whether that is draining.
-func (f *Follower) tell(ctx context.Context, name string, draining bool) {
+// notify sends the host's daemon the draining state of the host.
+func (f *Follower) notify(ctx context.Context, name string, draining bool) {
 	index, ok := f.config.Index()
 	if !ok {
 		return
@@ -128,10 +127,10 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, control.TellTimeout)
 	defer cancel()
-	_ = f.config.Peers.CallHost(ctx, host, control.MethodHost, control.Host{Draining: draining}, nil) // told again soon
+	_ = f.config.Peers.CallHost(ctx, host, control.MethodHost, control.Host{Draining: draining}, nil) // repeated at the next read while draining
 }
 
-// HandleHost answers another daemon that tells what the list says of this host.
+// HandleHost applies the draining state of this host sent by another daemon.
 func (f *Follower) HandleHost(_ context.Context, params json.RawMessage) (any, error) {
 	var host control.Host
 	if err := control.Decode(params, &host); err != nil {
--- a/internal/hostlist/hostlist_test.go
+++ b/internal/hostlist/hostlist_test.go
@@ -17,20 +17,20 @@
 	"github.com/tideliftd/tidelift/internal/store"
 )
 
-// TestRunTellsTheOwnHost reads lists with this host, without it, and one that cannot be read, which
-// changes nothing.
-func TestRunTellsTheOwnHost(t *testing.T) {
+// TestRunNotifiesOwnHost guards against a missed change of this host's draining
+// state, and against a malformed list that changes it.
+func TestRunNotifiesOwnHost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lists := []string{`["csepel-9"]`, `["csepel-1"]`, `{`, `["csepel-1"]`, `[]`}
 		var reads int
-		var told []bool
+		var got []bool
 		index := fleet.NewIndex(fleet.Declaration{Hosts: []fleet.Host{{Name: "csepel-1", DataCentre: "csepel"}}})
 		get := func(_ context.Context, key string) (store.Item, error) {
 			if key != "tidelift/leaving-hosts" {
-				t.Errorf("key %s is read", key)
+				t.Errorf("unexpected key %s", key)
 			}
 			if reads == len(lists) {
-				return store.Item{}, errors.New("away")
+				return store.Item{}, errors.New("unavailable")
 			}
 			reads++
 			return store.Item{Data: []byte(lists[reads-1])}, nil
@@ -42,7 +42,7 @@
 			Prefix:   "tidelift",
 			Host:     "csepel-1",
 			Index:    func() (*fleet.Index, bool) { return index, true },
-			Draining: func(draining bool) { told = append(told, draining) },
+			Draining: func(draining bool) { got = append(got, draining) },
 			Logger:   slog.New(slog.NewTextHandler(&log, nil)),
 			OnError:  func(error) { failed++ },
 			OnAnswer: func() { answered++ },
@@ -50,14 +50,14 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		follower.Run(ctx)
-		if want := []bool{true, true, false}; !slices.Equal(told, want) {
-			t.Fatalf("told %v, want %v", told, want)
+		if want := []bool{true, true, false}; !slices.Equal(got, want) {
+			t.Fatalf("draining states %v, want %v", got, want)
 		}
 		if lines := strings.Count(log.String(), "event=410"); lines != 1 {
-			t.Errorf("%d lines on the list that cannot be read, want 1: %s", lines, log.String())
+			t.Errorf("%d log lines for the malformed list, want 1: %s", lines, log.String())
 		}
 		if answered != len(lists) || failed == 0 {
-			t.Errorf("%d answers of the store and %d failures were told, want %d and some", answered, failed, len(lists))
+			t.Errorf("OnAnswer called %d times, OnError %d times; want %d and at least 1", answered, failed, len(lists))
 		}
 	})
 }
