--- a/internal/daemon/build.go
+++ b/internal/daemon/build.go
@@ -25,8 +25,8 @@
 	"github.com/tideliftd/tidelift/internal/storehealth"
 )
 
-// build makes the parts, each after those that it is given. What a part calls of a later one it calls
-// by way of d.
+// build creates the parts in the order of their dependencies. A part calls parts
+// that are created later through d.
 func (d *daemon) build() error {
 	if err := d.readKeys(); err != nil {
 		return err
@@ -51,21 +51,21 @@
 func (d *daemon) buildMetrics() {
 	var cleanUp func()
 	d.metrics, cleanUp = metric.New(metric.Config{DataCentre: d.config.Settings.DataCentre})
-	d.atEnd(cleanUp)
+	d.addCleanUp(cleanUp)
 }
 
 func (d *daemon) buildPeers() {
 	var cleanUp func()
 	d.peers, cleanUp = control.NewClient(control.ClientConfig{
 		TLS:        d.clientTLS(),
-		Far:        d.isFar,
+		Far:        d.shouldCompress,
 		DataCentre: d.config.Settings.DataCentre,
 		Logger:     d.config.Logger,
 	})
-	d.atEnd(cleanUp)
+	d.addCleanUp(cleanUp)
 }
 
-// buildMembers makes the table of hosts, in which this one begins a new incarnation.
+// buildMembers creates the membership, in which this host begins a new incarnation.
 func (d *daemon) buildMembers() {
 	s := d.config.Settings
 	d.members = membership.New(membership.Config{
@@ -133,7 +133,7 @@
 		Logger:      d.config.Logger,
 		Health:      d.health,
 		Peers:       d.peers,
-		Unreachable: d.isAway,
+		Unreachable: d.isUnreachable,
 		Members:     d.members,
 		Quarantines: d.quarantines,
 		Source:      d.source(),
@@ -146,7 +146,7 @@
 	d.declarations = declaration.New(config)
 }
 
-// source returns where the settings say that declarations come from.
+// source returns the source of declarations that the settings select.
 func (d *daemon) source() declaration.Source {
 	if d.config.Settings.Source.Declared == settings.DeclaredByOperators {
 		return declaration.FromOperators(d.ledger)
@@ -160,7 +160,7 @@
 	})
 }
 
-// apply gives what is in force to every part.
+// apply passes the declaration in force to the parts that depend on it.
 func (d *daemon) apply(index *fleet.Index) {
 	d.sidecar.Reconfigure(index)
 	d.limits.Reconfigure(index.Declaration)
@@ -173,7 +173,7 @@
 		DataCentre:  d.config.Settings.DataCentre,
 		Budgets:     d.budgets,
 		Hosts:       d.declarations.Hosts,
-		Unreachable: d.isAway,
+		Unreachable: d.isUnreachable,
 		Call:        d.peers.CallHost,
 		Scope:       d.metrics.Scope,
 	})
@@ -184,12 +184,12 @@
 		Host:        d.config.Settings.Name,
 		DataCentre:  d.config.Settings.DataCentre,
 		Peers:       d.peers,
-		Unreachable: d.isAway,
+		Unreachable: d.isUnreachable,
 	})
 }
 
-// isAway reports whether the host of that name does not answer the ingress.
-func (d *daemon) isAway(host string) bool { return d.ingress.Unreachable(host) }
+// isUnreachable reports whether the ingress finds the named host unreachable.
+func (d *daemon) isUnreachable(host string) bool { return d.ingress.Unreachable(host) }
 
 func (d *daemon) buildSidecar() {
 	var cleanUp func()
@@ -205,7 +205,7 @@
 		BorrowRetry: d.lender.Borrow,
 		Quarantine:  d.quarantines,
 	})
-	d.atEnd(cleanUp)
+	d.addCleanUp(cleanUp)
 }
 
 func (d *daemon) buildIngress() {
@@ -226,12 +226,12 @@
 		HostsCounted:         d.members.ShareUsable,
 		Local:                d.sidecar.Do,
 		LocalReservation:     d.sidecar.Reserve,
-		ShouldCompress:       d.isFar,
+		ShouldCompress:       d.shouldCompress,
 		Ping:                 d.ping,
 		OnHostUnresponsive:   d.members.CheckGone,
-		OnSubrequestEvidence: d.tellSubrequest,
+		OnSubrequestEvidence: d.sendSubrequestEvidence,
 		AdmitCustomer:        d.limits.Admit,
 		RefundCustomer:       d.limits.Refund,
 	})
-	d.atEnd(cleanUp)
+	d.addCleanUp(cleanUp)
 }
--- a/internal/daemon/calls.go
+++ b/internal/daemon/calls.go
@@ -7,30 +7,32 @@
 	"github.com/tideliftd/tidelift/internal/control"
 )
 
-// handlers returns who answers each control call.
+// handlers returns the handler of each control method.
 func (d *daemon) handlers() control.Handlers {
 	return control.Handlers{
-		control.MethodReport:       d.callReport,
-		control.MethodDrain:        d.callDrain,
-		control.MethodDraining:     d.callDraining,
-		control.MethodPing:         d.callPing,
-		control.MethodTrusted:      d.callTrusted,
-		control.MethodSubrequest:   d.callSubrequest,
+		control.MethodReport:       d.handleReport,
+		control.MethodDrain:        d.handleDrain,
+		control.MethodDraining:     d.handleDraining,
+		control.MethodPing:         d.handlePing,
+		control.MethodTrusted:      d.handleTrusted,
+		control.MethodSubrequest:   d.handleSubrequest,
 		control.MethodHost:         d.hostList.HandleHost,
 		control.MethodNotice:       d.declarations.HandleNotice,
 		control.MethodTold:         d.members.HandleUpdates,
 		control.MethodRevision:     d.declarations.HandleRevision,
-		control.MethodQuarantine:   d.callQuarantine,
+		control.MethodQuarantine:   d.handleQuarantine,
 		control.MethodLend:         d.lender.HandleLend,
 		control.MethodReportCounts: d.limits.HandleCounted,
-		control.MethodAsk:          d.callAsk,
-		control.MethodRelease:      d.callRelease,
+		control.MethodAsk:          d.handleAsk,
+		control.MethodRelease:      d.handleRelease,
 	}
 }
 
-func (d *daemon) callPing(context.Context, json.RawMessage) (any, error) { return control.Done{}, nil }
+func (d *daemon) handlePing(context.Context, json.RawMessage) (any, error) {
+	return control.Done{}, nil
+}
 
-func (d *daemon) callReport(_ context.Context, params json.RawMessage) (any, error) {
+func (d *daemon) handleReport(_ context.Context, params json.RawMessage) (any, error) {
 	var name control.Name
 	if err := control.Decode(params, &name); err != nil {
 		return nil, err
@@ -38,7 +40,7 @@
 	return d.sidecar.Report(name.Name)
 }
 
-func (d *daemon) callDrain(_ context.Context, params json.RawMessage) (any, error) {
+func (d *daemon) handleDrain(_ context.Context, params json.RawMessage) (any, error) {
 	var drain control.Drain
 	if err := control.Decode(params, &drain); err != nil {
 		return nil, err
@@ -49,7 +51,7 @@
 	return d.sidecar.Report(drain.Name)
 }
 
-func (d *daemon) callDraining(_ context.Context, params json.RawMessage) (any, error) {
+func (d *daemon) handleDraining(_ context.Context, params json.RawMessage) (any, error) {
 	var draining control.Draining
 	if err := control.Decode(params, &draining); err != nil {
 		return nil, err
@@ -58,16 +60,16 @@
 	return control.Done{}, nil
 }
 
-func (d *daemon) callTrusted(_ context.Context, params json.RawMessage) (any, error) {
-	var trusted control.Trusted
-	if err := control.Decode(params, &trusted); err != nil {
+func (d *daemon) handleTrusted(_ context.Context, params json.RawMessage) (any, error) {
+	var cleared control.Trusted
+	if err := control.Decode(params, &cleared); err != nil {
 		return nil, err
 	}
-	d.ingress.ClearSuspicion(trusted.Names)
+	d.ingress.ClearSuspicion(cleared.Names)
 	return control.Done{}, nil
 }
 
-func (d *daemon) callAsk(_ context.Context, params json.RawMessage) (any, error) {
+func (d *daemon) handleAsk(_ context.Context, params json.RawMessage) (any, error) {
 	var ask control.Ask
 	if err := control.Decode(params, &ask); err != nil {
 		return nil, err
@@ -75,7 +77,7 @@
 	return d.sidecar.GrantLease(ask.Name, ask.Request)
 }
 
-func (d *daemon) callRelease(_ context.Context, params json.RawMessage) (any, error) {
+func (d *daemon) handleRelease(_ context.Context, params json.RawMessage) (any, error) {
 	var release control.Release
 	if err := control.Decode(params, &release); err != nil {
 		return nil, err
@@ -83,24 +85,24 @@
 	return control.Done{}, d.sidecar.Release(release.Name, release.Release)
 }
 
-// callQuarantine records which requests another daemon suspects or has quarantined.
-func (d *daemon) callQuarantine(_ context.Context, params json.RawMessage) (any, error) {
-	var told control.Quarantine
-	if err := control.Decode(params, &told); err != nil {
+// handleQuarantine merges the requests that another daemon suspects or has quarantined.
+func (d *daemon) handleQuarantine(_ context.Context, params json.RawMessage) (any, error) {
+	var received control.Quarantine
+	if err := control.Decode(params, &received); err != nil {
 		return nil, err
 	}
-	d.quarantines.Merge(told.Records)
+	d.quarantines.Merge(received.Records)
 	return control.Done{}, nil
 }
 
-// callSubrequest records what another host has seen of the calls of this one's service.
-func (d *daemon) callSubrequest(_ context.Context, params json.RawMessage) (any, error) {
-	var told control.Subrequest
-	if err := control.Decode(params, &told); err != nil {
+// handleSubrequest merges another host's evidence of the calls of this host's service.
+func (d *daemon) handleSubrequest(_ context.Context, params json.RawMessage) (any, error) {
+	var received control.Subrequest
+	if err := control.Decode(params, &received); err != nil {
 		return nil, err
 	}
-	if told.Service != d.config.Settings.Service {
+	if received.Service != d.config.Settings.Service {
 		return control.Known{}, nil
 	}
-	return control.Known{Routes: d.ingress.MergeSubrequestEvidence(told.Seen)}, nil
+	return control.Known{Routes: d.ingress.MergeSubrequestEvidence(received.Seen)}, nil
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,51 +1,56 @@
-// Package daemon puts the parts of tideliftd together and runs them.
+// Package daemon assembles the parts of tideliftd and runs them.
 //
 // # Usage
 //
 //	err := daemon.Run(ctx, daemon.Config{Settings: s, Logger: logger, Force: force})
 //
-// Run returns after a planned stop: ctx ends, the daemon says that it is not ready and
-// serves on for as long as the settings say, then takes no new work, finishes what is in
-// flight and closes the listeners. Force, or the settings' stop limit, ends it earlier
-// and cuts what is left.
+// Run returns after a planned stop: when ctx ends, the daemon reports that it is not
+// ready and continues to serve for the configured time, then accepts no new work,
+// finishes what is in flight and closes the listeners. Force, or the configured stop
+// limit, ends the stop early and aborts the remaining requests.
 //
-// # What it joins
+// # Parts
 //
-// Each part owns its state and is a package of its own; what it is for stands there. The daemon makes the parts,
-// passes each the functions of others that it calls, and owns only the settings, the certificates and
-// tokens, and whether it is stopping.
+// Each part is a package of its own that owns its state and documents its purpose.
+// The daemon creates the parts, passes each the functions of others that it calls,
+// and owns only the settings, the certificates and tokens, and whether it is
+// stopping.
 //
-//	control        calls other daemons, and answers them by the table in calls.go
+//	control        calls other daemons, and dispatches their calls by the table in calls.go
 //	storehealth    whether the platform answers
-//	membership     which hosts there are and which backend servers serve there
-//	declaration    what is declared, put in force in sidecar, limits and ingress
+//	membership     the hosts and the backend servers in service there
+//	declaration    the declaration, applied to sidecar, limits and ingress
 //	hostlist       the platform's list of draining hosts, where hosts are declared
-//	quarantinesync requests that end backend servers
-//	retry, lend    the retries of this host, and those of others
+//	quarantinesync requests that make backend servers end
+//	retry, lend    the retry budgets of this host, and loans from other hosts
 //	limits         the customers' limits
-//	sidecar        takes hops for the backend servers of this host
-//	ingress        takes callers' requests
+//	sidecar        accepts hops for the backend servers of this host
+//	ingress        accepts callers' requests
 //	serve          the listeners
 //
 // # Start
 //
-// Keys and metrics come first, then the parts in the order of build, then the listeners, and last the
-// tasks: the declaration's, the settings file's, the limits', the quarantines' and the
-// membership's, which writes this host's record in the store if hosts register themselves. Without a
-// declaration the daemon answers callers with the result code not-ready.
+// Keys and metrics come first, then the parts in the order of build, then the
+// listeners, and last the background tasks: those of the declaration, the settings
+// file, the limits, the quarantines and the membership, which writes this host's
+// record to the store if hosts register themselves. Without a declaration, the
+// daemon answers callers with the result code not-ready.
 //
 // # Planned stop
 //
-// It goes in this order, within the settings' stop limit:
+// A planned stop takes these steps, within the configured stop limit:
 //
-//  1. The daemon says that it is not ready, and serves on for as long as the settings say (Unready).
-//  2. It tells the other daemons that it stops, refuses work for its backend servers, and takes no new
-//     connections.
-//  3. For a second, answers ask callers and peers to close their connections (settleFor).
-//  4. It closes connections without a request, and ends callers, then peers, then operators, each after what
-//     it has begun.
-//  5. Shortly before the limit, callers that still wait get a last answer; at the limit the rest is cut.
-//  6. The clean-up functions run, the last part first.
+//  1. The daemon reports that it is not ready, and continues to serve for the
+//     configured time (Unready).
+//  2. It notifies the other daemons that it is stopping, refuses work for its
+//     backend servers, and accepts no new connections.
+//  3. For a second, answers request callers and peers to close their connections
+//     (announcePeriod).
+//  4. It closes connections without a request, and ends callers, then peers, then
+//     operators, each after finishing what is in flight.
+//  5. Shortly before the limit, waiting callers receive a final answer; at the
+//     limit, the remaining requests are aborted.
+//  6. The clean-up functions run in reverse order of creation.
 package daemon
 
 import (
@@ -79,36 +84,36 @@
 	"github.com/tideliftd/tidelift/internal/version"
 )
 
-// Config says which daemon to run.
+// Config holds the settings and dependencies of a daemon.
 type Config struct {
-	// Settings are the daemon's own, checked.
+	// Settings are the validated settings of the daemon.
 	Settings settings.Settings
 	// Logger receives numbered events.
 	Logger *slog.Logger
-	// Force ends a planned stop at once when it is closed; nil never does.
+	// Force ends a planned stop immediately when it is closed. It may be nil.
 	Force <-chan struct{}
-	// Level sets the least level that is logged; nil if it is fixed.
+	// Level adjusts the minimum log level; nil if it is fixed.
 	Level *slog.LevelVar
-	// Reloads brings the settings each time their file has changed; nil if they
-	// never do.
+	// Reloads delivers the settings each time their file has changed; nil if they
+	// are not reloaded.
 	Reloads <-chan settings.Settings
 	// Store is the platform's key-value store.
 	Store store.Store
-	// StoredDeclaration reads what the platform's operator writes; it is used if the
-	// settings say that the platform declares.
+	// StoredDeclaration reads the declaration that the platform's operator writes. It is
+	// used if the settings select the platform as the source.
 	StoredDeclaration declaration.Stored
-	// Registrations makes the handler for registrations of this host's backend servers.
+	// Registrations returns the handler for registrations of this host's backend servers.
 	Registrations func(membership.Registrations) http.Handler
-	// ReadyPattern is the pattern under which readiness is asked.
+	// ReadyPattern is the URL pattern of the readiness check.
 	ReadyPattern string
 }
 
-// daemon holds the parts while they run.
+// daemon holds the running parts.
 type daemon struct {
 	config   Config
 	started  time.Time
 	stopping atomic.Bool
-	live     atomic.Pointer[settings.Settings] // as the file says now
+	live     atomic.Pointer[settings.Settings] // current settings, including reloaded ones
 	cleanUps []func()
 
 	certificates *keys.Certificates // nil without mutual TLS
@@ -130,7 +135,7 @@
 	ingress      *ingress.Ingress
 }
 
-// Run runs a daemon until ctx ends and its planned stop is done.
+// Run runs a daemon until ctx ends and the planned stop is complete.
 func Run(ctx context.Context, config Config) error {
 	d := &daemon{config: config, started: time.Now()}
 	d.live.Store(&config.Settings)
@@ -160,8 +165,8 @@
 	}
 }
 
-// atEnd keeps a function for cleanUp, which calls the last one first.
-func (d *daemon) atEnd(cleanUp func()) { d.cleanUps = append(d.cleanUps, cleanUp) }
+// addCleanUp registers a function for cleanUp, which calls them in reverse order.
+func (d *daemon) addCleanUp(cleanUp func()) { d.cleanUps = append(d.cleanUps, cleanUp) }
 
 func (d *daemon) cleanUp() {
 	for i := len(d.cleanUps) - 1; i >= 0; i-- {
@@ -169,7 +174,7 @@
 	}
 }
 
-// status is the state of this daemon for operators.
+// status returns the state of this daemon for operators.
 func (d *daemon) status() operatorapi.Status {
 	status := operatorapi.Status{
 		Daemon:     d.config.Settings.Name,
--- a/internal/daemon/keys.go
+++ b/internal/daemon/keys.go
@@ -11,7 +11,7 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// readKeys reads the certificates and tokens that the settings name.
+// readKeys reads the certificates and tokens named in the settings.
 func (d *daemon) readKeys() error {
 	files := d.config.Settings.Keys
 	var err error
@@ -32,7 +32,7 @@
 	return err
 }
 
-// clientTLS is what this daemon proves itself with; nil without mutual TLS.
+// clientTLS returns the TLS configuration for connections to other daemons; nil without mutual TLS.
 func (d *daemon) clientTLS() *tls.Config {
 	if d.certificates == nil {
 		return nil
@@ -40,8 +40,8 @@
 	return d.certificates.Client()
 }
 
-// daemonsOnly returns a listener that takes daemons' connections alone, if
-// daemons prove themselves.
+// daemonsOnly returns a listener that accepts only connections of daemons if mutual
+// TLS is configured, and any connections otherwise.
 func (d *daemon) daemonsOnly(socket net.Listener) net.Listener {
 	if d.certificates == nil {
 		return compress.Listen(socket)
@@ -49,8 +49,8 @@
 	return tls.NewListener(socket, d.certificates.Server())
 }
 
-// withToken lets only operators with a token through, if there are tokens. What
-// changes something needs a token that may.
+// withToken requires an operator's token if tokens are configured. Requests other
+// than GET require a token whose role permits changes.
 func (d *daemon) withToken(api http.Handler) http.Handler {
 	if d.tokens == nil {
 		return api
--- a/internal/daemon/listen.go
+++ b/internal/daemon/listen.go
@@ -12,7 +12,7 @@
 	"github.com/tideliftd/tidelift/internal/serve"
 )
 
-// listen opens the listeners and serves every part there.
+// listen opens the listeners and starts to serve the parts on them.
 func (d *daemon) listen() (*serve.Servers, error) {
 	handle := d.handlers().Handle
 	operators, err := d.operatorHandler(handle)
@@ -34,11 +34,11 @@
 	if err != nil {
 		return nil, err
 	}
-	d.atEnd(cleanUp)
+	d.addCleanUp(cleanUp)
 	return servers, nil
 }
 
-// localHandlers returns what answers this host's own programs and its platform, by address.
+// localHandlers returns the handlers for this host's own programs and its platform, by address.
 func (d *daemon) localHandlers() map[string]http.Handler {
 	ready := http.NewServeMux()
 	ready.HandleFunc(d.config.ReadyPattern, d.serveReady)
@@ -48,7 +48,7 @@
 	}
 }
 
-// operatorHandler serves the operator API, the metrics and the readiness page.
+// operatorHandler returns the handler for the operator API, the metrics and the readiness check.
 func (d *daemon) operatorHandler(handle control.Handle) (http.Handler, error) {
 	api, err := operator.New(operator.Config{
 		Customers:  d.limits.Allowances,
@@ -74,7 +74,7 @@
 	return mux, nil
 }
 
-// serveReady answers whether the daemon takes callers' requests.
+// serveReady responds whether the daemon accepts callers' requests.
 func (d *daemon) serveReady(w http.ResponseWriter, _ *http.Request) {
 	switch status := d.status(); {
 	case status.Ready:
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -11,38 +11,39 @@
 	"github.com/tideliftd/tidelift/internal/sidecar"
 )
 
-// sidecarPeer carries the floor's calls, without a connection where the other
-// backend server is on this host.
+// sidecarPeer returns the functions that carry the floor's calls. Calls to backend
+// servers of this host need no connection.
 func (d *daemon) sidecarPeer() sidecar.Peer {
-	return sidecar.Peer{RequestLease: d.askPeer, Release: d.releasePeer, ClearSuspicion: d.tellTrusted}
+	return sidecar.Peer{RequestLease: d.requestLease, Release: d.releaseLease, ClearSuspicion: d.notifySuspicionCleared}
 }
 
-// tellTrusted tells the ingresses of the hosts that a backend server of this one
-// is no longer suspected. One that does not hear it comes back by itself later.
-func (d *daemon) tellTrusted(hosts []string, backendServer string) {
+// notifySuspicionCleared notifies the ingresses of the hosts that a backend server of
+// this host is no longer suspected. An ingress that misses the notification clears
+// the suspicion later.
+func (d *daemon) notifySuspicionCleared(hosts []string, backendServer string) {
 	index, ok := d.declarations.Index()
 	if !ok {
 		return
 	}
-	trusted := control.Trusted{Names: []string{backendServer}}
+	cleared := control.Trusted{Names: []string{backendServer}}
 	for _, name := range hosts {
 		if name == d.config.Settings.Name {
-			go d.ingress.ClearSuspicion(trusted.Names)
+			go d.ingress.ClearSuspicion(cleared.Names)
 			continue
 		}
 		if host, ok := index.Host(name); ok {
-			d.peers.Tell([]fleet.Host{host}, control.MethodTrusted, trusted)
+			d.peers.Tell([]fleet.Host{host}, control.MethodTrusted, cleared)
 		}
 	}
 }
 
-// ping asks another host's daemon for any answer.
+// ping checks whether another host's daemon answers.
 func (d *daemon) ping(ctx context.Context, host fleet.Host) error {
 	return d.peers.CallHost(ctx, host, control.MethodPing, control.Done{}, nil)
 }
 
-// askPeer asks another backend server for a lease.
-func (d *daemon) askPeer(ctx context.Context, other fleet.Placement, r floor.Request) (sidecar.LeaseAnswer, error) {
+// requestLease requests a lease from another backend server.
+func (d *daemon) requestLease(ctx context.Context, other fleet.Placement, r floor.Request) (sidecar.LeaseAnswer, error) {
 	name := other.BackendServer.Name
 	if other.Host.Name == d.config.Settings.Name {
 		return d.sidecar.GrantLease(name, r)
@@ -52,8 +53,8 @@
 	return lease, err
 }
 
-// releasePeer gives a lease back.
-func (d *daemon) releasePeer(ctx context.Context, other fleet.Placement, r floor.Release) error {
+// releaseLease returns a lease to another backend server.
+func (d *daemon) releaseLease(ctx context.Context, other fleet.Placement, r floor.Release) error {
 	name := other.BackendServer.Name
 	if other.Host.Name == d.config.Settings.Name {
 		return d.sidecar.Release(name, r)
@@ -61,9 +62,9 @@
 	return d.peers.CallHost(ctx, other.Host, control.MethodRelease, control.Release{Name: name, Release: r}, nil)
 }
 
-// isFar reports whether the address is outside this data centre, or may be: nothing is known of
-// it yet.
-func (d *daemon) isFar(address string) bool {
+// shouldCompress reports whether connections to the address are compressed: it is
+// outside this data centre, or its data centre is not known yet.
+func (d *daemon) shouldCompress(address string) bool {
 	if d.config.Settings.Experiments.Off.Has(experiment.Compression) {
 		return false
 	}
@@ -75,9 +76,9 @@
 	return !ok || place != d.config.Settings.DataCentre
 }
 
-// notifyDraining tells the daemons that keep other backend servers of the same
-// services that this host's take no more work. One that does not hear it learns
-// it from a refusal.
+// notifyDraining notifies the daemons of the other backend servers of the same
+// services that those of this host accept no more work. A daemon that misses the
+// notification learns it from a refusal.
 func (d *daemon) notifyDraining(ctx context.Context) {
 	index, ok := d.declarations.Index()
 	if !ok {
--- a/internal/daemon/quarantine.go
+++ b/internal/daemon/quarantine.go
@@ -6,14 +6,14 @@
 	"github.com/tideliftd/tidelift/internal/quarantinesync"
 )
 
-// newQuarantines returns what keeps the quarantine of requests.
+// newQuarantines returns the syncer of quarantined requests.
 func (d *daemon) newQuarantines() *quarantinesync.Syncer {
 	return quarantinesync.New(quarantinesync.Config{
 		Host:          d.config.Settings.Name,
 		Store:         d.config.Store,
 		Prefix:        d.config.Settings.Platform.Prefix + "/quarantine",
-		NotifyService: d.tellQuarantine,
-		Gossip:        d.spreadQuarantine,
+		NotifyService: d.notifyQuarantine,
+		Gossip:        d.gossipQuarantine,
 		Watches:       d.watchesQuarantines,
 		Logger:        d.config.Logger,
 		Scope:         d.metrics.Scope,
@@ -22,23 +22,25 @@
 	})
 }
 
-// watchesQuarantines reports whether this daemon follows quarantines in the store: if it watches that anyway, or
-// if no other daemon has told it what there is.
+// watchesQuarantines reports whether this daemon follows quarantines in the store: if
+// it watches the store anyway, or if no other daemon has answered it.
 func (d *daemon) watchesQuarantines() bool {
 	return d.declarations.Watches() || !d.declarations.PeerAnswered()
 }
 
-// tellQuarantine tells the daemons that keep backend servers of the service of suspected and quarantined requests. Whoever
-// is left out learns of a quarantine from others or the store, and of what is suspected when it sees an end itself.
-func (d *daemon) tellQuarantine(service string, records []quarantine.Record) {
+// notifyQuarantine notifies the daemons of the service's backend servers of suspected
+// and quarantined requests. A daemon that is not notified learns of a quarantine from
+// others or the store, and of a suspected request when its own backend server ends.
+func (d *daemon) notifyQuarantine(service string, records []quarantine.Record) {
 	d.peers.Tell(d.hostsOfService(service), control.MethodQuarantine, control.Quarantine{Records: records})
 }
 
-// spreadQuarantine tells a few others, near and far, of a quarantine that has begun or ended.
-func (d *daemon) spreadQuarantine(records []quarantine.Record) {
+// gossipQuarantine notifies a few other daemons, in this data centre and in others, of
+// a quarantine that has begun or ended.
+func (d *daemon) gossipQuarantine(records []quarantine.Record) {
 	plan := d.declarations.Plan()
 	if plan == nil {
-		return // whoever is found later reads it in the store
+		return // hosts discovered later read it in the store
 	}
 	d.peers.Tell(plan.NotifyTargets(), control.MethodQuarantine, control.Quarantine{Records: records})
 }
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -7,21 +7,21 @@
 	"github.com/tideliftd/tidelift/internal/settings"
 )
 
-// followSettings takes the settings each time their file has changed.
+// followSettings applies the settings each time their file has changed.
 func (d *daemon) followSettings(ctx context.Context) {
 	for {
 		select {
 		case s := <-d.config.Reloads:
-			d.takeSettings(s)
+			d.applySettings(s)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// takeSettings puts in force what can change in a running daemon: the log level,
-// the limit of a stop, and what holds for every service.
-func (d *daemon) takeSettings(s settings.Settings) {
+// applySettings applies the settings that can change in a running daemon: the log
+// level, the stop limit, and the settings that apply to every service.
+func (d *daemon) applySettings(s settings.Settings) {
 	old := d.live.Swap(&s)
 	if d.config.Level != nil {
 		d.config.Level.Set(s.Log.SlogLevel())
@@ -29,12 +29,12 @@
 	if old.Source != s.Source {
 		d.declarations.Reparse()
 	}
-	event.Log(d.config.Logger, event.SettingsTaken, "needs_start", needsStart(*old, s))
+	event.Log(d.config.Logger, event.SettingsTaken, "needs_start", needsRestart(*old, s))
 }
 
-// needsStart reports whether something changed that only a start puts in force. Whether it is the
-// fleet's first start is of no use once it has been.
-func needsStart(old, next settings.Settings) bool {
+// needsRestart reports whether a changed setting takes effect only at a restart.
+// FirstStart is ignored, since it has no effect after the fleet's first start.
+func needsRestart(old, next settings.Settings) bool {
 	next.Log.Level, next.Source, next.Limits.Stop = old.Log.Level, old.Source, old.Limits.Stop
 	next.FirstStart = old.FirstStart
 	return !next.Equal(old)
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -6,7 +6,7 @@
 	"github.com/tideliftd/tidelift/internal/settings"
 )
 
-func TestNeedsStart(t *testing.T) {
+func TestNeedsRestart(t *testing.T) {
 	tests := map[string]struct {
 		change func(*settings.Settings)
 		want   bool
@@ -21,8 +21,8 @@
 		old := settings.Settings{FirstStart: true}
 		next := old
 		test.change(&next)
-		if got := needsStart(old, next); got != test.want {
-			t.Errorf("%s changed: needs a start: %t", name, got)
+		if got := needsRestart(old, next); got != test.want {
+			t.Errorf("%s changed: needs a restart: %t", name, got)
 		}
 	}
 }
--- a/internal/daemon/stop.go
+++ b/internal/daemon/stop.go
@@ -10,34 +10,32 @@
 )
 
 const (
-	// settleFor is how long a planned stop waits before it closes connections. Not measured: whoever sends a
-	// request a second on a connection is answered once meanwhile, and asked to close it.
-	settleFor = time.Second
-	// lastAnswersPart and endPart are the parts of a stop's limit before its end in which
-	// callers that still wait get their last answers and in which the daemon has ended.
-	// Source: whoever stops the daemon kills it at the limit. Of 6 s the one leaves half
-	// a second for the answers' way on a slow host, the other a quarter for the end.
-	lastAnswersPart = 12
-	endPart         = 24
+	// announcePeriod is how long a planned stop lets answers request callers and peers to
+	// close their connections. It suffices for one answer at a request per second.
+	announcePeriod = time.Second
+	// The process may be killed at the stop limit. Waiting callers receive a final answer
+	// limit/finalAnswersDivisor earlier, and the daemon ends limit/endDivisor earlier.
+	finalAnswersDivisor = 12
+	endDivisor          = 24
 )
 
-// stop ends the daemon: it says that it is not ready and serves on for a while, then
-// ends callers first, then peers, then operators, each after finishing what it has
-// begun. Callers that still wait shortly before the limit get a last answer then.
+// stop ends the daemon: it reports that it is not ready and continues to serve for a
+// while, then ends callers, then peers, then operators, each after finishing what is
+// in flight. Callers that still wait shortly before the limit receive a final answer.
 func (d *daemon) stop(servers *serve.Servers) error {
 	event.Log(d.config.Logger, event.DaemonStopping, "in_flight", d.ingress.InFlight())
 	d.stopping.Store(true)
 	servers.CloseAfterAnswers()
 	d.ingress.BeginShutdown()
 	limits := d.live.Load().Limits
-	ctx, cancel := context.WithTimeout(context.Background(), limits.Stop-limits.Stop/endPart)
+	ctx, cancel := context.WithTimeout(context.Background(), limits.Stop-limits.Stop/endDivisor)
 	defer cancel()
 	go d.forceStop(cancel)
-	lastAnswers := time.AfterFunc(limits.Stop-limits.Stop/lastAnswersPart, d.ingress.AnswerAll)
-	defer lastAnswers.Stop()
+	finalAnswers := time.AfterFunc(limits.Stop-limits.Stop/finalAnswersDivisor, d.ingress.AnswerAll)
+	defer finalAnswers.Stop()
 	wait.For(ctx, limits.Unready)
-	d.takeNoMore(servers)
-	d.settle(ctx)
+	d.stopAccepting(servers)
+	d.announceStop(ctx)
 	servers.CloseUnused()
 	d.ingress.Stop()
 	err := servers.Stop(ctx)
@@ -49,25 +47,25 @@
 	return nil
 }
 
-// takeNoMore tells the others, refuses work for the own backend servers and takes no
-// new connections.
-func (d *daemon) takeNoMore(servers *serve.Servers) {
+// stopAccepting notifies the other daemons, refuses work for the local backend servers
+// and accepts no new connections.
+func (d *daemon) stopAccepting(servers *serve.Servers) {
 	d.members.Stop()
 	d.sidecar.Stop()
 	servers.Refuse()
 }
 
-// settle lets callers and peers learn of the stop while their connections are
-// still open: each answer from now on asks them to close, so that few of them
-// send a request on a connection that is just being closed.
-func (d *daemon) settle(ctx context.Context) {
-	settling, cancel := context.WithTimeout(ctx, settleFor)
+// announceStop notifies callers and peers of the stop while their connections are
+// still open: each answer requests them to close the connection, so that few send a
+// request on a connection that is being closed.
+func (d *daemon) announceStop(ctx context.Context) {
+	announceCtx, cancel := context.WithTimeout(ctx, announcePeriod)
 	defer cancel()
-	d.notifyDraining(settling)
-	<-settling.Done()
+	d.notifyDraining(announceCtx)
+	<-announceCtx.Done()
 }
 
-// forceStop ends the planned stop at once when it is told to.
+// forceStop ends the planned stop immediately when Config.Force is closed.
 func (d *daemon) forceStop(cancel func()) {
 	if d.config.Force == nil {
 		return
--- a/internal/daemon/subrequest.go
+++ b/internal/daemon/subrequest.go
@@ -10,33 +10,33 @@
 	"github.com/tideliftd/tidelift/internal/subrequest"
 )
 
-// maxServiceTold bounds how many hosts of a service are told what one of them has found out. Source: a
-// service has 43 backend servers in the mean at the size to design for; whoever is not told finds it out
-// itself, or asks.
-const maxServiceTold = 64
+// maxNotifiedHosts bounds how many hosts of a service are notified of evidence or
+// quarantines. A host that is not notified finds out itself or from others.
+const maxNotifiedHosts = 64
 
-// tellSubrequest tells the other hosts of this one's service what was seen of routes that its
-// backend servers may call. One that does not hear it finds it out itself.
-func (d *daemon) tellSubrequest(seen []subrequest.Evidence) {
-	told := control.Subrequest{Service: d.config.Settings.Service, Seen: seen}
-	for _, host := range d.hostsOfService(told.Service) {
-		go d.tellSubrequestTo(host, told)
+// sendSubrequestEvidence sends the other hosts of this host's service the evidence of
+// routes that its backend servers may call. A host that misses it gathers its own.
+func (d *daemon) sendSubrequestEvidence(seen []subrequest.Evidence) {
+	evidence := control.Subrequest{Service: d.config.Settings.Service, Seen: seen}
+	for _, host := range d.hostsOfService(evidence.Service) {
+		go d.sendSubrequestEvidenceTo(host, evidence)
 	}
 }
 
-// tellSubrequestTo tells one host, and learns from it what it knows already.
-func (d *daemon) tellSubrequestTo(host fleet.Host, told control.Subrequest) {
+// sendSubrequestEvidenceTo sends evidence to one host, and marks the routes that the
+// host already knows.
+func (d *daemon) sendSubrequestEvidenceTo(host fleet.Host, evidence control.Subrequest) {
 	ctx, cancel := context.WithTimeout(context.Background(), control.TellTimeout)
 	defer cancel()
 	var known control.Known
-	if err := d.peers.CallLogged(ctx, d.peers.Address(host), control.MethodSubrequest, told, &known); err != nil {
+	if err := d.peers.CallLogged(ctx, d.peers.Address(host), control.MethodSubrequest, evidence, &known); err != nil {
 		return
 	}
 	d.ingress.MarkSubrequestRoutes(known.Routes)
 }
 
-// hostsOfService returns the other hosts with a backend server of the service, up to
-// maxServiceTold, from one on that is drawn at random.
+// hostsOfService returns up to maxNotifiedHosts other hosts with a backend server of
+// the service, starting at a random one.
 func (d *daemon) hostsOfService(service string) []fleet.Host {
 	index, ok := d.declarations.Index()
 	if !ok || service == "" {
@@ -48,8 +48,8 @@
 	for n, first := 0, rand.IntN(max(1, count)); n < count; n++ {
 		b := declared.BackendServers[(first+n)%count]
 		host, known := index.Host(b.Host)
-		told := slices.ContainsFunc(hosts, func(h fleet.Host) bool { return h.Name == b.Host })
-		if known && !told && b.Host != d.config.Settings.Name && len(hosts) < maxServiceTold {
+		chosen := slices.ContainsFunc(hosts, func(h fleet.Host) bool { return h.Name == b.Host })
+		if known && !chosen && b.Host != d.config.Settings.Name && len(hosts) < maxNotifiedHosts {
 			hosts = append(hosts, host)
 		}
 	}
