--- a/internal/membership/updates.go
+++ b/internal/membership/updates.go
@@ -45,9 +45,9 @@
 }
 
 // enqueue queues host records for a few other daemons. It does not block.
-func (m *Membership) enqueue(from string, hosts []member.Host) {
+func (m *Membership) enqueue(sender string, hosts []member.Host) {
 	select {
-	case m.updates <- update{hosts: hosts, sender: from}:
+	case m.updates <- update{hosts: hosts, sender: sender}:
 	default: // others obtain dropped updates by exchange
 		event.Log(m.config.Logger, event.UpdatesDropped, "hosts", len(hosts))
 	}
