--- a/internal/daemon/calls.go
+++ b/internal/daemon/calls.go
@@ -18,12 +18,12 @@
 		control.MethodSubrequest:   d.handleSubrequest,
 		control.MethodHost:         d.hostList.HandleHost,
 		control.MethodNotice:       d.declarations.HandleNotice,
-		control.MethodTold:         d.members.HandleUpdates,
+		control.MethodHostUpdates:  d.members.HandleUpdates,
 		control.MethodRevision:     d.declarations.HandleRevision,
 		control.MethodQuarantine:   d.handleQuarantine,
 		control.MethodLend:         d.lender.HandleLend,
 		control.MethodReportCounts: d.limits.HandleCounted,
-		control.MethodAsk:          d.handleAsk,
+		control.MethodRequestLease: d.handleAsk,
 		control.MethodRelease:      d.handleRelease,
 	}
 }
@@ -70,7 +70,7 @@
 }
 
 func (d *daemon) handleAsk(_ context.Context, params json.RawMessage) (any, error) {
-	var ask control.Ask
+	var ask control.LeaseRequest
 	if err := control.Decode(params, &ask); err != nil {
 		return nil, err
 	}
@@ -102,7 +102,7 @@
 		return nil, err
 	}
 	if received.Service != d.config.Settings.Service {
-		return control.Known{}, nil
+		return control.SubrequestResponse{}, nil
 	}
-	return control.Known{Routes: d.ingress.MergeSubrequestEvidence(received.Seen)}, nil
+	return control.SubrequestResponse{Routes: d.ingress.MergeSubrequestEvidence(received.Seen)}, nil
 }
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -32,7 +32,7 @@
 			continue
 		}
 		if host, ok := index.Host(name); ok {
-			d.peers.Tell([]fleet.Host{host}, control.MethodTrusted, cleared)
+			d.peers.Notify([]fleet.Host{host}, control.MethodTrusted, cleared)
 		}
 	}
 }
@@ -49,7 +49,7 @@
 		return d.sidecar.GrantLease(name, r)
 	}
 	var lease sidecar.LeaseAnswer
-	err := d.peers.CallHost(ctx, other.Host, control.MethodAsk, control.Ask{Name: name, Request: r}, &lease)
+	err := d.peers.CallHost(ctx, other.Host, control.MethodRequestLease, control.LeaseRequest{Name: name, Request: r}, &lease)
 	return lease, err
 }
 
--- a/internal/daemon/quarantine.go
+++ b/internal/daemon/quarantine.go
@@ -32,7 +32,7 @@
 // and quarantined requests. A daemon that is not notified learns of a quarantine from
 // others or the store, and of a suspected request when its own backend server ends.
 func (d *daemon) notifyQuarantine(service string, records []quarantine.Record) {
-	d.peers.Tell(d.hostsOfService(service), control.MethodQuarantine, control.Quarantine{Records: records})
+	d.peers.Notify(d.hostsOfService(service), control.MethodQuarantine, control.Quarantine{Records: records})
 }
 
 // gossipQuarantine notifies a few other daemons, in this data centre and in others, of
@@ -42,5 +42,5 @@
 	if plan == nil {
 		return // hosts discovered later read it in the store
 	}
-	d.peers.Tell(plan.NotifyTargets(), control.MethodQuarantine, control.Quarantine{Records: records})
+	d.peers.Notify(plan.NotifyTargets(), control.MethodQuarantine, control.Quarantine{Records: records})
 }
--- a/internal/daemon/subrequest.go
+++ b/internal/daemon/subrequest.go
@@ -26,9 +26,9 @@
 // sendSubrequestEvidenceTo sends evidence to one host, and marks the routes that the
 // host already knows.
 func (d *daemon) sendSubrequestEvidenceTo(host fleet.Host, evidence control.Subrequest) {
-	ctx, cancel := context.WithTimeout(context.Background(), control.TellTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), control.NotifyTimeout)
 	defer cancel()
-	var known control.Known
+	var known control.SubrequestResponse
 	if err := d.peers.CallLogged(ctx, d.peers.Address(host), control.MethodSubrequest, evidence, &known); err != nil {
 		return
 	}
--- a/internal/hostlist/hostlist.go
+++ b/internal/hostlist/hostlist.go
@@ -125,7 +125,7 @@
 		f.config.Draining(draining)
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, control.TellTimeout)
+	ctx, cancel := context.WithTimeout(ctx, control.NotifyTimeout)
 	defer cancel()
 	_ = f.config.Peers.CallHost(ctx, host, control.MethodHost, control.Host{Draining: draining}, nil) // repeated at the next read while draining
 }
--- a/internal/membership/exchange.go
+++ b/internal/membership/exchange.go
@@ -17,7 +17,7 @@
 
 // AddDigest adds the local digest to the answer if the requesting daemon's state
 // differs.
-func (m *Membership) AddDigest(asked control.Above, held *control.Held) {
+func (m *Membership) AddDigest(asked control.RevisionQuery, held *control.RevisionResponse) {
 	if asked.Hosts == 0 || !m.config.Registers || asked.Hosts == m.Sum() {
 		return
 	}
@@ -26,14 +26,14 @@
 
 // Exchange sends the peer the hosts by which the peer's digest differs, and
 // merges the records that it returns.
-func (m *Membership) Exchange(ctx context.Context, address string, held control.Held) {
+func (m *Membership) Exchange(ctx context.Context, address string, held control.RevisionResponse) {
 	if held.Digest == nil || !m.known.beginExchange(time.Now()) {
 		return
 	}
-	updates := control.Told{Host: m.config.Self.Name}
+	updates := control.HostUpdates{Host: m.config.Self.Name}
 	updates.Hosts, updates.Digest = m.known.diffAndDigest(held.Digest)
-	var rest control.Rest
-	if err := m.config.Peers.CallLogged(ctx, address, control.MethodTold, updates, &rest); err != nil {
+	var rest control.HostUpdatesResponse
+	if err := m.config.Peers.CallLogged(ctx, address, control.MethodHostUpdates, updates, &rest); err != nil {
 		return
 	}
 	m.Learn(address, rest.Hosts)
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -22,7 +22,7 @@
 //	m := membership.New(membership.Config{Self: self, Registers: true, Peers: client, Record: recordConfig, ...})
 //	go m.Run(ctx)
 //	declaration := m.Complete(declared)
-//	handlers[control.MethodTold] = m.HandleUpdates
+//	handlers[control.MethodHostUpdates] = m.HandleUpdates
 //	m.Stop() // notifies others that this daemon stops
 package membership
 
--- a/internal/membership/updates.go
+++ b/internal/membership/updates.go
@@ -106,23 +106,23 @@
 	if plan == nil {
 		return // hosts discovered later receive all records by exchange
 	}
-	updates := control.Told{Host: m.config.Self.Name, Hosts: slices.Collect(maps.Values(batch.hosts))}
+	updates := control.HostUpdates{Host: m.config.Self.Name, Hosts: slices.Collect(maps.Values(batch.hosts))}
 	targets := plan.UpdateTargets()
 	if batch.own {
 		targets = append(targets, plan.RemoteUpdateTargets()...)
 	}
-	m.config.Peers.Tell(targets, control.MethodTold, updates)
+	m.config.Peers.Notify(targets, control.MethodHostUpdates, updates)
 }
 
 // HandleUpdates merges the host records sent by another daemon, and returns the
 // hosts by which that daemon's digest differs.
 func (m *Membership) HandleUpdates(_ context.Context, params json.RawMessage) (any, error) {
-	var updates control.Told
+	var updates control.HostUpdates
 	if err := control.Decode(params, &updates); err != nil {
 		return nil, err
 	}
 	m.Learn(updates.Host, updates.Hosts)
-	var rest control.Rest
+	var rest control.HostUpdatesResponse
 	if updates.Digest != nil {
 		rest.Hosts = m.known.diff(updates.Digest)
 	}
