--- a/internal/sidecar/acquire.go
+++ b/internal/sidecar/acquire.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// newAttempt returns what the call says of the attempt.
+// newAttempt returns the attempt that the call describes.
 func newAttempt(call hop.Call) admission.Attempt {
 	return admission.Attempt{
 		NonIdempotent:    call.NonIdempotent,
@@ -34,31 +34,31 @@
 	}
 }
 
-// acquire waits for a slot until the task refuses or ctx ends.
+// acquire waits for a slot until the task refuses the request or ctx ends.
 func (s *server) acquire(ctx context.Context, id uint64, call hop.Call) (*slot, error) {
-	asked := time.Now()
-	request := newRequest(id, call, asked.Add(call.TimeLeft))
+	requestedAt := time.Now()
+	request := newRequest(id, call, requestedAt.Add(call.TimeLeft))
 	reply := make(chan grant, 1)
 	if !s.send(offerMessage{attempt: newAttempt(call), request: request, host: call.Host, reply: reply}) {
 		return nil, result.New(result.Draining)
 	}
 	select {
 	case g := <-reply:
-		return s.granted(ctx, g, asked)
+		return s.granted(ctx, g, requestedAt)
 	case <-ctx.Done():
-		s.withdraw(request, reply, asked)
+		s.withdraw(request, reply, requestedAt)
 		return nil, cancelled(ctx)
 	case <-s.ended:
 		return nil, result.New(result.Draining)
 	}
 }
 
-// granted returns the slot that was granted a moment ago, if the request is still wanted.
-func (s *server) granted(ctx context.Context, g grant, asked time.Time) (*slot, error) {
+// granted returns the slot of the grant, or releases it if ctx has ended in the meantime.
+func (s *server) granted(ctx context.Context, g grant, requestedAt time.Time) (*slot, error) {
 	if g.err != nil {
 		return nil, g.err
 	}
-	slot := s.newSlot(g, asked)
+	slot := s.newSlot(g, requestedAt)
 	if ctx.Err() != nil {
 		slot.release()
 		return nil, cancelled(ctx)
@@ -66,15 +66,15 @@
 	return slot, nil
 }
 
-// newSlot returns the slot that was granted a moment ago.
-func (s *server) newSlot(g grant, asked time.Time) *slot {
+// newSlot returns the slot of a grant received just now.
+func (s *server) newSlot(g grant, requestedAt time.Time) *slot {
 	now := time.Now()
-	return &slot{server: s, granted: now, waited: now.Sub(asked), probation: g.probation}
+	return &slot{server: s, granted: now, waited: now.Sub(requestedAt), probation: g.probation}
 }
 
-// withdraw takes a request out of the queue, or gives its slot back if it was
-// granted one in the meantime.
-func (s *server) withdraw(request admission.Request, reply chan grant, asked time.Time) {
+// withdraw removes a request from the queue, or releases its slot if it was granted one in the
+// meantime.
+func (s *server) withdraw(request admission.Request, reply chan grant, requestedAt time.Time) {
 	wasWaiting := make(chan bool, 1)
 	if !s.send(cancelMessage{request: request, reply: wasWaiting}) {
 		return
@@ -88,7 +88,7 @@
 		return
 	}
 	if g := <-reply; g.err == nil {
-		s.newSlot(g, asked).release()
+		s.newSlot(g, requestedAt).release()
 	}
 }
 
--- a/internal/sidecar/acquire_test.go
+++ b/internal/sidecar/acquire_test.go
@@ -18,8 +18,7 @@
 	return s
 }
 
-// BenchmarkAcquire gets a slot of a backend server and gives it back, each by a message to its
-// task.
+// BenchmarkAcquire acquires and releases a slot of a backend server, each by a message to its task.
 func BenchmarkAcquire(b *testing.B) {
 	s := newTestServer(b)
 	call := hop.Call{Customer: "county-7", Host: "obuda-1", TimeLeft: time.Minute, TargetLeft: time.Second}
--- a/internal/sidecar/admit.go
+++ b/internal/sidecar/admit.go
@@ -8,10 +8,10 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// offer has admission decide on one request and carries the decision out.
+// offer submits one request to admission control and applies the decision.
 func (t *task) offer(now time.Time, m *offerMessage) {
-	known := t.known(now, m)
-	decision := t.queue.Admit(now, &known, m.attempt, m.request)
+	state := t.serverState(now, m)
+	decision := t.queue.Admit(now, &state, m.attempt, m.request)
 	if decision.Evicted != 0 {
 		t.reply(decision.Evicted, refused(result.PlaceLost, t.queue.RetryAfter()))
 	}
@@ -20,31 +20,31 @@
 		return
 	}
 	if decision.Verdict == admission.Granted {
-		t.probationRuns = t.probationRuns || decision.Probation
-		t.slotGiven(now)
+		t.probationInFlight = t.probationInFlight || decision.Probation
+		t.recordSlotGranted(now)
 		m.reply <- grant{probation: decision.Probation}
 		return
 	}
 	if decision.Verdict == admission.RefusedSuspected {
 		t.refusedHosts[m.host] = true
 	}
-	m.reply <- refused(codeOf(decision.Verdict), decision.RetryAfter)
+	m.reply <- refused(refusalCode(decision.Verdict), decision.RetryAfter)
 }
 
-// known returns what the decision on the request needs to know of the backend server.
-func (t *task) known(now time.Time, m *offerMessage) admission.Server {
+// serverState returns the state of the backend server that an admission decision depends on.
+func (t *task) serverState(now time.Time, m *offerMessage) admission.Server {
 	if t.isDraining(now) {
 		return admission.Server{Draining: true}
 	}
 	s := admission.Server{State: detect.Serving}
-	t.countSurvivedProbe(now)
+	t.checkSurvivedProbe(now)
 	switch {
 	case t.suspicion.Suspected():
-		s.Suspicion = t.suspicionNow(now)
+		s.Suspicion = t.suspicionState(now)
 	case t.isEjected(now):
 		s.State = t.subject.State(now)
 		s.EjectedFor = t.subject.EjectedFor(now)
-		s.ProbationInFlight = t.probationRuns
+		s.ProbationInFlight = t.probationInFlight
 	}
 	s.Hanging = m.attempt.RefuseIfHanging && t.suspicion.Hanging(now)
 	s.RetryLeft = m.attempt.Retry && t.config.Retries.MayRun(now, t.declared.Service.Name)
@@ -52,8 +52,8 @@
 	return s
 }
 
-// suspicionNow returns what is held against a backend server that is suspected.
-func (t *task) suspicionNow(now time.Time) admission.Suspicion {
+// suspicionState returns the suspicion of a backend server that is suspected.
+func (t *task) suspicionState(now time.Time) admission.Suspicion {
 	return admission.Suspicion{
 		Suspected:             true,
 		MostlySlow:            t.suspicion.MostlySlow(),
@@ -63,8 +63,8 @@
 	}
 }
 
-// codeOf returns the result code of a refusal.
-func codeOf(verdict admission.Verdict) result.Code {
+// refusalCode returns the result code of a refusal.
+func refusalCode(verdict admission.Verdict) result.Code {
 	switch verdict {
 	case admission.RefusedDraining:
 		return result.Draining
@@ -87,7 +87,7 @@
 	return result.QueueFull
 }
 
-// refused answers an offer with a refusal and, unless it is zero, when to come back.
+// refused returns a refusal with its code and, if not zero, the time after which to retry.
 func refused(code result.Code, after time.Duration) grant {
 	return grant{err: result.New(code).WithRetryAfter(after)}
 }
--- a/internal/sidecar/declared.go
+++ b/internal/sidecar/declared.go
@@ -6,7 +6,7 @@
 	"github.com/tideliftd/tidelift/internal/fleet"
 )
 
-// declared is what the declaration says of a backend server.
+// declared is the declaration of a backend server.
 type declared struct {
 	fleet.Placement
 	// others are the service's other backend servers.
--- a/internal/sidecar/do.go
+++ b/internal/sidecar/do.go
@@ -26,7 +26,7 @@
 func (s *Sidecar) Do(ctx context.Context, call hop.Call, in *http.Request) (Answer, error) {
 	answer, err := s.do(ctx, call, in)
 	if err != nil {
-		s.refused.Inc(result.From(err).Code)
+		s.refusals.Inc(result.From(err).Code)
 	}
 	return answer, err
 }
@@ -37,7 +37,7 @@
 		return Answer{}, result.Wrap(result.MalformedRequest, err)
 	}
 	began := time.Now()
-	slot, err := s.slotToRun(ctx, call, in)
+	slot, err := s.slotIfAllowed(ctx, call, in)
 	if err != nil {
 		return Answer{}, err
 	}
@@ -48,10 +48,10 @@
 		return Answer{}, err
 	}
 	slot.begin(others, call)
-	response, err := s.exchange(ctx, server, call, in, began) //nolint:bodyclose // the answer carries the body to who closes it
+	response, err := s.exchange(ctx, server, call, in, began) //nolint:bodyclose // the caller closes the body of the answer
 	if err != nil {
 		slot.failed(result.From(err))
-		s.recordLost(server, result.From(err), call, in, began)
+		s.recordFailure(server, result.From(err), call, in, began)
 		slot.release()
 		end()
 		return Answer{}, err
@@ -63,21 +63,22 @@
 		slot.release()
 		end()
 	})
-	return Answer{Response: response, Load: server.load(), Failing: server.failing(), Waited: slot.waited}, nil
+	return Answer{Response: response, Load: server.load(), Failing: server.failureRate(), Waited: slot.waited}, nil
 }
 
-// reportAnswered calls Config.Answered.
+// reportAnswered calls Config.OnAnswer.
 func (s *Sidecar) reportAnswered(response *http.Response) {
 	if s.config.OnAnswer != nil {
 		s.config.OnAnswer(response.StatusCode < http.StatusInternalServerError)
 	}
 }
 
-// slotToRun returns a slot for the request, unless that is quarantined. A quarantined one is refused before it
-// waits for a slot; a slot that a reservation has kept for it is released.
-func (s *Sidecar) slotToRun(ctx context.Context, call hop.Call, in *http.Request) (*slot, error) {
+// slotIfAllowed returns a slot for the request unless the request is quarantined. A quarantined
+// request is refused before it waits for a slot; a slot that a reservation holds for it is
+// released.
+func (s *Sidecar) slotIfAllowed(ctx context.Context, call hop.Call, in *http.Request) (*slot, error) {
 	if call.Reservation == "" {
-		if err := s.mayWait(call, in); err != nil {
+		if err := s.checkBeforeWait(call, in); err != nil {
 			return nil, err
 		}
 	}
@@ -85,14 +86,14 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := s.mayRun(ctx, call, in); err != nil {
+	if err := s.checkBeforeRun(ctx, call, in); err != nil {
 		slot.release()
 		return nil, err
 	}
 	return slot, nil
 }
 
-// slotFor returns the slot that the call's reservation kept, or waits for one.
+// slotFor returns the slot held by the call's reservation, or waits for one.
 func (s *Sidecar) slotFor(ctx context.Context, call hop.Call) (*slot, error) {
 	if call.Reservation == "" {
 		return s.acquire(ctx, call)
--- a/internal/sidecar/draining.go
+++ b/internal/sidecar/draining.go
@@ -6,17 +6,17 @@
 	"github.com/tideliftd/tidelift/internal/event"
 )
 
-// selfDrainFor is how long an answer that says that the backend server is draining counts. Not
-// measured: then it gets a request again, whose answer says whether it still is.
-const selfDrainFor = 10 * time.Second
+// selfDrainDuration is how long an answer that reports draining is valid. Afterwards the backend
+// server gets a request again, and the next answer shows whether it still drains.
+const selfDrainDuration = 10 * time.Second
 
-// isDraining reports whether the backend server takes no new work because it is
-// draining: by an operator, its own answer or the platform's list.
+// isDraining reports whether the backend server takes no new work because it is draining: set by an
+// operator, by its own answer or by the platform's host list.
 func (t *task) isDraining(now time.Time) bool {
 	return t.draining || t.hostDraining || now.Before(t.selfDrainUntil)
 }
 
-// applyHostList records whether the platform's list has the host as draining.
+// applyHostList records whether the platform's host list has the host as draining.
 func (t *task) applyHostList(now time.Time, draining bool) {
 	before := t.isDraining(now)
 	t.hostDraining = draining
@@ -28,17 +28,17 @@
 	}
 }
 
-// selfDrain records that the backend server's answer says that it is draining. That counts for
-// selfDrainFor, since one that gets no work cannot take it back; then the next answer decides.
+// selfDrain records that an answer of the backend server reports draining. The state expires after
+// selfDrainDuration, because a backend server without work cannot revoke it.
 func (t *task) selfDrain(now time.Time) {
 	if !t.isDraining(now) {
-		t.log(event.ServerDraining, "why", "its own word")
+		t.log(event.ServerDraining, "why", "reported by the backend server")
 	}
-	t.selfDrainUntil = now.Add(selfDrainFor)
+	t.selfDrainUntil = now.Add(selfDrainDuration)
 }
 
-// drain sets whether the backend server is draining, for an operator. That goes before what its
-// own answers say.
+// drain sets whether the backend server is draining, on behalf of an operator. It overrides what
+// the backend server's own answers have reported.
 func (t *task) drain(draining bool) {
 	t.draining = draining
 	t.selfDrainUntil = time.Time{}
--- a/internal/sidecar/eject.go
+++ b/internal/sidecar/eject.go
@@ -14,19 +14,17 @@
 )
 
 const (
-	// tryPause is the least pause between two tries to be ejected; a random part as long
-	// again is added, so that two do not keep in step. Not measured: a lease that another holds
-	// runs out within two seconds.
-	tryPause = 300 * time.Millisecond
-	// suspectedTryPause is the pause while the backend server is suspected. Being asked last
-	// spares its callers already; each try costs a call to every other backend server of the
-	// service. Source: a pause that doubles in place of it made no difference beyond the error
-	// (docs/design/0010-hanging.md).
-	suspectedTryPause = 5 * time.Second
+	// ejectRetryPause is the minimum pause between two attempts to be ejected. A random part of up
+	// to the same length is added, so that two backend servers do not keep colliding.
+	ejectRetryPause = 300 * time.Millisecond
+	// suspectedEjectRetryPause is the pause while the backend server is suspected. Ingresses
+	// already select a suspected backend server last, and each attempt costs a call to every other
+	// backend server of the service.
+	suspectedEjectRetryPause = 5 * time.Second
 )
 
-// isEjected reports whether the backend server is ejected now. Leases that ran out,
-// be it while this process stood still, end that at once.
+// isEjected reports whether the backend server is ejected now. It reinstates the backend server
+// immediately if the leases have expired, also if they did while this process was suspended.
 func (t *task) isEjected(now time.Time) bool {
 	if t.subject.State(now) == detect.Serving {
 		return false
@@ -35,15 +33,15 @@
 		return true
 	}
 	t.subject.Reinstate(now)
-	t.backInService("the floor needs it")
+	t.returnToService("the floor requires it")
 	return false
 }
 
-// judge looks at the evidence and acts on it.
-func (t *task) judge(now time.Time) {
+// evaluate ejects, reinstates or keeps the backend server according to the current evidence.
+func (t *task) evaluate(now time.Time) {
 	adoption := t.declared.adoption()
 	if t.isEjected(now) {
-		t.stayEjected(now, adoption)
+		t.maintainEjection(now, adoption)
 		return
 	}
 	if adoption == fleet.AdoptionOff {
@@ -51,131 +49,131 @@
 	}
 	verdict := t.subject.Verdict(now)
 	if !verdict.Unhealthy {
-		t.stopAsking()
-		t.ejecting.keptBy = ""
+		t.abandonEjection()
+		t.ejection.floorHeldReason = ""
 		return
 	}
 	if adoption == fleet.AdoptionObserve {
 		t.recordFloorHeld("observe only: it would be ejected if the floor allowed it", verdict)
 		return
 	}
-	t.tryEject(now, verdict)
+	t.beginEjection(now, verdict)
 }
 
-// stayEjected keeps up the leases, unless the declaration no longer lets anyone
-// be ejected here.
-func (t *task) stayEjected(now time.Time, adoption fleet.Adoption) {
+// maintainEjection renews the leases, or reinstates the backend server if the declaration no longer
+// permits ejections here.
+func (t *task) maintainEjection(now time.Time, adoption fleet.Adoption) {
 	if adoption == fleet.AdoptionSteer {
 		t.renewLeases(now)
 		return
 	}
 	t.subject.Reinstate(now)
-	t.backInService("the service is not steered here any more")
+	t.returnToService("the service is no longer steered here")
 }
 
-// tryEject asks every other backend server of the service for a lease.
-func (t *task) tryEject(now time.Time, verdict detect.Verdict) {
-	if t.ejecting.open || t.isDraining(now) || now.Before(t.ejecting.notBefore) {
+// beginEjection requests a lease from every other backend server of the service.
+func (t *task) beginEjection(now time.Time, verdict detect.Verdict) {
+	if t.ejection.inProgress || t.isDraining(now) || now.Before(t.ejection.notBefore) {
 		return
 	}
 	if len(t.declared.others) < t.declared.Service.Floor {
-		t.recordFloorHeld("the floor needs every backend server", verdict)
+		t.recordFloorHeld("the floor requires every backend server", verdict)
 		return
 	}
 	if !t.ledger.BeginRequesting(now, verdict.Severity) {
-		t.recordFloorHeld("it granted others leases to keep serving, or has just started", verdict)
+		t.recordFloorHeld("it has granted others leases, or has just started", verdict)
 		return
 	}
-	t.ejecting.open = true
-	clear(t.ejecting.summaries)
-	t.askOthers(now, t.declared.others)
+	t.ejection.inProgress = true
+	clear(t.ejection.summaries)
+	t.requestLeases(now, t.declared.others)
 }
 
-// renewLeases asks again for the leases that are needed to stay ejected.
+// renewLeases renews the leases that are needed to stay ejected.
 func (t *task) renewLeases(now time.Time) {
-	if now.Sub(t.ejecting.askedAt) < floor.RenewInterval {
+	if now.Sub(t.ejection.requestedAt) < floor.RenewInterval {
 		return
 	}
-	holding := make(map[string]bool)
+	grantors := make(map[string]bool)
 	for _, name := range t.ledger.Grantors(now) {
-		holding[name] = true
+		grantors[name] = true
 	}
 	var needed []fleet.Placement
 	for _, other := range t.declared.others {
-		if t.ejecting.askAll || holding[other.BackendServer.Name] {
+		if t.ejection.requestAll || grantors[other.BackendServer.Name] {
 			needed = append(needed, other)
 		}
 	}
-	t.ejecting.askAll = false
-	t.askOthers(now, needed)
+	t.ejection.requestAll = false
+	t.requestLeases(now, needed)
 }
 
-// isOutlier reports whether the backend server does worse than the others, by how those who
-// answered do themselves.
+// isOutlier reports whether the backend server performs worse than the others, according to the
+// summaries in their lease answers.
 func (t *task) isOutlier() bool {
-	return t.subject.IsOutlier(slices.Collect(maps.Values(t.ejecting.summaries)))
+	return t.subject.IsOutlier(slices.Collect(maps.Values(t.ejection.summaries)))
 }
 
-// ejectIfAllowed ejects the backend server if it is an outlier and the leases are enough, or ends
-// the try once all have answered.
+// ejectIfAllowed ejects the backend server if it is an outlier and holds enough leases. Otherwise
+// it ends the attempt once all others have answered.
 func (t *task) ejectIfAllowed(now time.Time) {
 	verdict := t.subject.Verdict(now)
 	verdict.Unhealthy = verdict.Unhealthy && t.isOutlier()
 	if verdict.Unhealthy && t.ledger.Eject(now, t.declared.Service.Floor) {
-		t.ejecting.open = false
-		t.ejecting.keptBy = ""
+		t.ejection.inProgress = false
+		t.ejection.floorHeldReason = ""
 		t.subject.Eject(now)
 		t.log(event.ServerEjected, "cause", verdict.Cause, "severity", verdict.Severity)
 		t.trimLeases(now)
 		return
 	}
-	if len(t.ejecting.pending) > 0 {
+	if len(t.ejection.pending) > 0 {
 		return
 	}
-	pause := tryPause
+	pause := ejectRetryPause
 	if t.suspicion.Suspected() {
-		pause = suspectedTryPause
+		pause = suspectedEjectRetryPause
 	}
-	t.ejecting.notBefore = now.Add(pause + rand.N(pause))
-	kept := fmt.Sprintf("%d leases to keep serving, floor %d", len(t.ledger.Grantors(now)), t.declared.Service.Floor)
-	t.stopAsking()
+	t.ejection.notBefore = now.Add(pause + rand.N(pause))
+	reason := fmt.Sprintf("%d leases to keep serving, floor %d", len(t.ledger.Grantors(now)), t.declared.Service.Floor)
+	t.abandonEjection()
 	if verdict.Unhealthy {
-		t.recordFloorHeld(kept, verdict)
+		t.recordFloorHeld(reason, verdict)
 	}
 }
 
-// stopAsking ends a try that has not come to its end.
-func (t *task) stopAsking() {
-	if !t.ejecting.open {
+// abandonEjection ends an attempt to be ejected that is in progress, and releases its leases.
+func (t *task) abandonEjection() {
+	if !t.ejection.inProgress {
 		return
 	}
-	t.ejecting.open = false
-	t.giveBack(t.ledger.ReleaseAll())
+	t.ejection.inProgress = false
+	t.releaseLeases(t.ledger.ReleaseAll())
 }
 
-// backInService gives the leases back and logs why the backend server is in service again.
-func (t *task) backInService(why string) {
-	t.giveBack(t.ledger.ReleaseAll())
+// returnToService releases the leases and logs why the backend server is in service again.
+func (t *task) returnToService(why string) {
+	t.releaseLeases(t.ledger.ReleaseAll())
 	t.log(event.ServerReturned, "why", why)
 }
 
-// recordFloorHeld records, and logs once, that the floor keeps a sick backend server
-// in service.
+// recordFloorHeld records, and logs once, that the floor keeps an unhealthy backend server in
+// service.
 func (t *task) recordFloorHeld(why string, verdict detect.Verdict) {
-	if t.ejecting.keptBy == "" {
+	if t.ejection.floorHeldReason == "" {
 		t.log(event.FloorHeld, "why", why, "cause", verdict.Cause)
 	}
-	t.ejecting.keptBy = why
+	t.ejection.floorHeldReason = why
 }
 
-// describeFloor returns what the floor allowed, for operators.
+// describeFloor describes to operators what the floor permits.
 func (t *task) describeFloor(now time.Time) string {
 	need := t.declared.Service.Floor
 	if t.subject.State(now) != detect.Serving {
 		return fmt.Sprintf("floor %d: ejected with %d leases of others to serve", need, len(t.ledger.Grantors(now)))
 	}
-	if t.ejecting.keptBy != "" {
-		return fmt.Sprintf("floor %d: kept in service: %s", need, t.ejecting.keptBy)
+	if t.ejection.floorHeldReason != "" {
+		return fmt.Sprintf("floor %d: kept in service: %s", need, t.ejection.floorHeldReason)
 	}
 	return fmt.Sprintf("floor %d", need)
 }
--- a/internal/sidecar/ends.go
+++ b/internal/sidecar/ends.go
@@ -12,8 +12,8 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// fingerprintOf returns what the request's fingerprint is made of. The function returns the first bytes of its
-// body.
+// fingerprintOf returns the input of the request's fingerprint. body returns the first bytes of the
+// request's body.
 func (s *Sidecar) fingerprintOf(in *http.Request, body func(limit int) ([]byte, error)) fingerprint.Request {
 	return fingerprint.Request{
 		Method:   in.Method,
@@ -25,8 +25,8 @@
 	}
 }
 
-// mayWait returns why the request may not wait for a slot: it is quarantined, and no trial of it is due.
-func (s *Sidecar) mayWait(call hop.Call, in *http.Request) error {
+// checkBeforeWait returns an error if the request is quarantined and no trial of it is due.
+func (s *Sidecar) checkBeforeWait(call hop.Call, in *http.Request) error {
 	id, quarantined := s.quarantined(call, in)
 	if !quarantined || s.config.Quarantine.TrialDue(id) {
 		return nil
@@ -34,9 +34,10 @@
 	return refuseQuarantined(id)
 }
 
-// mayRun returns why the request, which has a slot, may not run: it is quarantined, and this is not its trial. An
-// ingress knows nothing of quarantines; no backend server of this host is sent a request without this check.
-func (s *Sidecar) mayRun(ctx context.Context, call hop.Call, in *http.Request) error {
+// checkBeforeRun returns an error if the request, which holds a slot, is quarantined and this is
+// not its trial. Ingresses do not know about quarantines, so every request to a backend server of
+// this host must pass this check.
+func (s *Sidecar) checkBeforeRun(ctx context.Context, call hop.Call, in *http.Request) error {
 	id, quarantined := s.quarantined(call, in)
 	if !quarantined || s.config.Quarantine.StartTrial(ctx, id) {
 		return nil
@@ -58,8 +59,8 @@
 	return result.New(result.Quarantined).WithDetail("fingerprint %s", id)
 }
 
-// recordAnswered records that the backend server is alive and has answered the request, which ends a
-// suspicion or quarantine of that request.
+// recordAnswered records that the backend server is alive and has answered the request, which ends
+// a suspicion or quarantine of that request.
 func (s *Sidecar) recordAnswered(server *server, call hop.Call, in *http.Request) {
 	server.recordAlive()
 	if q := s.config.Quarantine; q != nil && !q.Empty() {
@@ -67,10 +68,10 @@
 	}
 }
 
-// recordLost looks whether a request failed because its backend server has ended, and reports that.
-// Only the sidecar can tell: to everyone else a connection that is cut, or a host that is lost,
-// looks the same.
-func (s *Sidecar) recordLost(server *server, failure *result.Error, call hop.Call, in *http.Request, began time.Time) {
+// recordFailure checks whether a request failed because its backend server has ended, and reports
+// that. Only the sidecar can check it: from other hosts a lost connection and a lost host look the
+// same.
+func (s *Sidecar) recordFailure(server *server, failure *result.Error, call hop.Call, in *http.Request, began time.Time) {
 	if failure.Code.Number != result.ConnectionLost.Number || server.isDraining() {
 		return
 	}
@@ -82,7 +83,8 @@
 	}
 }
 
-// reportEnded counts, logs and passes on that a backend server has ended while it ran the request.
+// reportEnded counts, logs and passes to the quarantine that a backend server has ended while it
+// ran the request.
 func (s *Sidecar) reportEnded(server *server, request fingerprint.Request, id string, took time.Duration) {
 	s.ends.Inc(1)
 	declared := server.declared.Load()
@@ -94,8 +96,8 @@
 	}
 }
 
-// recordEnd records that the backend server has ended, and returns when, in Unix milliseconds: the same for all
-// requests that ran, until it answers again.
+// recordEnd records that the backend server has ended, and returns when, in Unix milliseconds. The
+// time is the same for all requests that ran, until the backend server answers again.
 func (s *server) recordEnd(now time.Time) int64 {
 	at := now.UnixMilli()
 	if s.endedAt.CompareAndSwap(0, at) {
@@ -107,7 +109,7 @@
 	return at
 }
 
-// recordAlive records that the backend server has answered since it was seen to end.
+// recordAlive records that the backend server has answered, which clears a recorded end.
 func (s *server) recordAlive() {
 	if s.endedAt.Load() != 0 {
 		s.endedAt.Store(0)
--- a/internal/sidecar/exchange.go
+++ b/internal/sidecar/exchange.go
@@ -14,7 +14,7 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// headers are the names of the headers of requests and answers.
+// headers holds the declared names of the headers of requests and answers.
 type headers struct {
 	fleet.Callers
 	fleet.Answers
@@ -27,8 +27,8 @@
 	out := hop.Outgoing(ctx, in, server.address())
 	left := call.TimeLeft - time.Since(began)
 	out.Header.Set(names.DeadlineHeader, strconv.FormatInt(left.Milliseconds(), 10))
-	names.address(out.Header, call)
-	response, err := server.pool.Do(ctx, out, func(r *http.Response) bool { return names.belongs(r, in) })
+	names.setRouting(out.Header, call)
+	response, err := server.pool.Do(ctx, out, func(r *http.Response) bool { return names.matches(r, in) })
 	if err != nil {
 		sent := !errors.Is(err, backend.ErrNotSent)
 		return nil, hop.Classify(ctx, sent, result.ServerUnreachable, err)
@@ -43,8 +43,8 @@
 	return response, nil
 }
 
-// address sets the headers that name the backend server and the service where the request began.
-func (h *headers) address(out http.Header, call hop.Call) {
+// setRouting sets the headers that name the backend server and the service where the request began.
+func (h *headers) setRouting(out http.Header, call hop.Call) {
 	if h.TargetHeader != "" {
 		out.Set(h.TargetHeader, call.BackendServer)
 	}
@@ -53,7 +53,7 @@
 	}
 }
 
-// id returns the id by which the caller names the request; it may be empty.
+// id returns the ID that the caller gave the request; it may be empty.
 func (h *headers) id(header http.Header) string {
 	if h.IDHeader == "" {
 		return ""
@@ -61,18 +61,18 @@
 	return header.Get(h.IDHeader)
 }
 
-// belongs reports whether the answer is to the request, by the id that a backend
-// server echoes.
-func (h *headers) belongs(response *http.Response, in *http.Request) bool {
+// matches reports whether the answer belongs to the request, by the ID that the backend server
+// echoes.
+func (h *headers) matches(response *http.Response, in *http.Request) bool {
 	if h.IDHeader == "" {
 		return true
 	}
 	return response.Header.Get(h.IDHeader) == in.Header.Get(h.IDHeader)
 }
 
-// check finds what is wrong with an answer's head. A status that promises that
-// the request was not run is passed on only if the backend server itself says
-// so; no other may look like that promise.
+// check returns what is wrong with the head of an answer, or nil. If NotRunHeader is declared, a
+// status that promises that the request was not run counts as a failure unless the answer has that
+// header.
 func (h *headers) check(response *http.Response) *result.Error {
 	if response.StatusCode == http.StatusMisdirectedRequest {
 		return result.New(result.Misdirected)
@@ -81,7 +81,7 @@
 		if response.Header.Get(h.NotRunHeader) != "" {
 			return result.New(result.NotTaken).WithDetail("status %d", response.StatusCode)
 		}
-		if promisesNotRun(response.StatusCode) {
+		if impliesNotRun(response.StatusCode) {
 			return result.New(result.ServerFailed).WithDetail("status %d", response.StatusCode)
 		}
 	}
@@ -94,23 +94,21 @@
 	return h.checkSigned(response)
 }
 
-// checkSigned checks an answer of a backend server that signs its answers. One
-// that ends with its connection is whole if the end was orderly, which the
-// reading of its body tells.
+// checkSigned checks an answer of a backend server that signs its answers. An answer that ends with
+// its connection is complete if the connection was closed in order, which reading its body shows.
 func (h *headers) checkSigned(response *http.Response) *result.Error {
 	success := response.StatusCode >= http.StatusOK && response.StatusCode < http.StatusMultipleChoices
 	if success && response.Header.Get(h.SignatureHeader) == "" {
-		return result.New(result.SpoiltAnswer).WithDetail("a success without %s", h.SignatureHeader)
+		return result.New(result.SpoiltAnswer).WithDetail("successful answer without %s", h.SignatureHeader)
 	}
 	if coding := response.Header.Get("Content-Encoding"); coding != "" {
-		return result.New(result.SpoiltAnswer).WithDetail("content coding %q was not asked for", coding)
+		return result.New(result.SpoiltAnswer).WithDetail("content coding %q was not requested", coding)
 	}
 	return nil
 }
 
-// promisesNotRun reports whether a caller reads the status as a promise that the request was
-// not run.
-func promisesNotRun(status int) bool {
+// impliesNotRun reports whether callers take the status as a promise that the request was not run.
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
--- a/internal/sidecar/handler.go
+++ b/internal/sidecar/handler.go
@@ -12,13 +12,12 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// Handler serves the requests that other daemons pass on.
+// Handler serves the requests that other daemons forward.
 func (s *Sidecar) Handler() http.Handler {
 	return http.HandlerFunc(s.serve)
 }
 
-// serve reads what another daemon asks and the body, and then grants a reservation or runs
-// the request.
+// serve decodes the call, reads the body, and then grants a reservation or runs the request.
 func (s *Sidecar) serve(w http.ResponseWriter, r *http.Request) {
 	hop.SuppressDate(w.Header())
 	call, err := hop.Decode(r.Header)
@@ -26,7 +25,7 @@
 		result.Write(w, result.Wrap(result.MalformedRequest, err).WithDetail("%s", err))
 		return
 	}
-	sent := body.New(w, r, math.MaxInt64) // the ingress bounds it
+	sent := body.New(w, r, math.MaxInt64) // the ingress limits the size
 	defer sent.Finish()
 	if err := sent.Prepare(time.Now().Add(call.TimeLeft)); err != nil {
 		writeRefusal(w, result.Wrap(result.CancelledBefore, err))
@@ -39,16 +38,16 @@
 		return
 	}
 	if call.NonIdempotent && call.Reservation == "" {
-		writeRefusal(w, result.New(result.ReservationExpired).WithDetail("a request that must not run twice needs a reservation"))
+		writeRefusal(w, result.New(result.ReservationExpired).WithDetail("a non-idempotent request needs a reservation"))
 		return
 	}
 	call.Body = sent
-	own := *r // net/http must keep its own request as it was
+	own := *r // net/http requires that its request stays unmodified
 	sent.Rewind(&own)
 	s.serveRun(ctx, w, call, &own)
 }
 
-// serveRun runs the request and passes its answer on.
+// serveRun runs the request and forwards the answer.
 func (s *Sidecar) serveRun(ctx context.Context, w http.ResponseWriter, call hop.Call, r *http.Request) {
 	answer, err := s.Do(ctx, call, r)
 	if err != nil {
@@ -59,12 +58,12 @@
 	hop.EncodeServed(w.Header(), answer.Load, answer.Waited)
 	hop.EncodeFailing(w.Header(), answer.Failing)
 	if err := hop.WriteAnswer(w, answer.Response); err != nil {
-		panic(http.ErrAbortHandler) // closes the connection, so that the answer does not look whole
+		panic(http.ErrAbortHandler) // closes the connection, so that the answer does not look complete
 	}
 }
 
-// writeRefusal answers with the code and, to the millisecond, when to come back.
-// It has no body: a caller gets one from the daemon that it asked.
+// writeRefusal answers with the result code and the retry delay in milliseconds. It writes no body:
+// the daemon that the caller is connected to adds one.
 func writeRefusal(w http.ResponseWriter, e *result.Error) {
 	h := w.Header()
 	h.Set(result.Header, strconv.Itoa(e.Code.Number)+" "+e.Code.Name)
--- a/internal/sidecar/lease.go
+++ b/internal/sidecar/lease.go
@@ -9,123 +9,126 @@
 	"github.com/tideliftd/tidelift/internal/floor"
 )
 
-// Peer carries the calls that keep the floor to the sidecar of another backend
-// server of the service.
+// Peer makes the calls that keep the floor, to the sidecars of other backend servers of the
+// service.
 type Peer struct {
-	// RequestLease asks for a lease.
+	// RequestLease requests a lease.
 	RequestLease func(ctx context.Context, other fleet.Placement, r floor.Request) (LeaseAnswer, error)
-	// ClearSuspicion tells ingresses that a backend server of this host is no longer
-	// suspected.
+	// ClearSuspicion notifies the ingresses on the hosts that a backend server of this host is no
+	// longer suspected.
 	ClearSuspicion func(hosts []string, backendServer string)
-	// Release gives a lease back.
+	// Release returns a lease.
 	Release func(ctx context.Context, other fleet.Placement, r floor.Release) error
 }
 
-// LeaseAnswer answers a request for a lease.
+// LeaseAnswer is the answer to a lease request.
 type LeaseAnswer struct {
-	// Refusal says why not; floor.Granted means that it was given.
+	// Refusal is the reason for a refusal; floor.Granted means that the lease was granted.
 	Refusal floor.Refusal `json:"refusal"`
-	// Summary is how the one asked does itself.
+	// Summary is the state of the backend server that answers.
 	Summary detect.Summary `json:"standing"`
 }
 
-// askTimeout bounds one call for a lease. Not measured: less than floor.RenewEvery, so that
-// a call ends before the next one is made.
-const askTimeout = 400 * time.Millisecond
-
-// ejecting is the state of asking the other backend servers of the service for leases, first to
-// be ejected and then to stay so.
-type ejecting struct {
-	// open says that a try to be ejected is under way; notBefore is when the next may begin.
-	open      bool
-	notBefore time.Time
-	// pending are the numbers of the requests for leases that have not been answered.
+// leaseTimeout bounds one lease call. It is less than floor.RenewInterval, so that a call ends
+// before the next one is made.
+const leaseTimeout = 400 * time.Millisecond
+
+// ejection is the state of the lease requests to the other backend servers of the service, first to
+// be ejected and then to stay ejected.
+type ejection struct {
+	// inProgress reports whether an attempt to be ejected is in progress; notBefore is when the
+	// next may begin.
+	inProgress bool
+	notBefore  time.Time
+	// pending holds the numbers of the lease requests that have not been answered.
 	pending map[uint64]bool
-	// summaries are how those who answered do themselves, by their names.
+	// summaries holds the states of the backend servers that have answered, by name.
 	summaries map[string]detect.Summary
-	// askedAt is when leases were last asked for.
-	askedAt time.Time
-	// askAll says that a holder's lease was refused, so that the next renewal asks all.
-	askAll bool
-	// keptBy says why the floor keeps a sick backend server in service; empty if it does not.
-	keptBy string
+	// requestedAt is when leases were last requested.
+	requestedAt time.Time
+	// requestAll is set after a lease was refused, so that the next renewal goes to all backend
+	// servers of the service.
+	requestAll bool
+	// floorHeldReason is why the floor keeps an unhealthy backend server in service; empty if it
+	// does not.
+	floorHeldReason string
 }
 
-func newEjecting() ejecting {
-	return ejecting{pending: make(map[uint64]bool), summaries: make(map[string]detect.Summary)}
+func newEjection() ejection {
+	return ejection{pending: make(map[uint64]bool), summaries: make(map[string]detect.Summary)}
 }
 
-// askOthers asks backend servers of the service for leases.
-func (t *task) askOthers(now time.Time, others []fleet.Placement) {
-	t.ejecting.askedAt = now
-	clear(t.ejecting.pending)
+// requestLeases requests leases from the given backend servers of the service.
+func (t *task) requestLeases(now time.Time, others []fleet.Placement) {
+	t.ejection.requestedAt = now
+	clear(t.ejection.pending)
 	for _, other := range others {
 		request := t.ledger.NewRequest(other.BackendServer.Name)
 		request.SuspectedFor = now.Sub(t.subject.SuspectedSince()).Milliseconds()
-		t.ejecting.pending[request.Number] = true
-		go t.askOne(other, request, now)
+		t.ejection.pending[request.Number] = true
+		go t.requestLease(other, request, now)
 	}
 }
 
-// askOne runs in a goroutine of its own and sends the task the answer.
-func (t *task) askOne(other fleet.Placement, request floor.Request, asked time.Time) {
-	ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
+// requestLease requests one lease and sends the answer to the task. It runs in its own goroutine.
+func (t *task) requestLease(other fleet.Placement, request floor.Request, requestedAt time.Time) {
+	ctx, cancel := context.WithTimeout(context.Background(), leaseTimeout)
 	defer cancel()
 	lease, err := t.config.Peer.RequestLease(ctx, other, request)
 	if err != nil {
 		lease = LeaseAnswer{Refusal: floor.RefusedUnable}
 	}
-	t.server.send(leaseMessage{
-		number: request.Number,
-		from:   other.BackendServer.Name,
-		asked:  asked,
-		lease:  lease,
+	t.server.send(leaseAnswerMessage{
+		number:      request.Number,
+		from:        other.BackendServer.Name,
+		requestedAt: requestedAt,
+		lease:       lease,
 	})
 }
 
-// recordLease records the answer to a request for a lease and ejects the backend server once the
-// leases are enough.
-func (t *task) recordLease(now time.Time, m leaseMessage) {
-	delete(t.ejecting.pending, m.number)
-	t.ejecting.summaries[m.from] = m.lease.Summary
+// recordLease records the answer to a lease request and ejects the backend server once it holds
+// enough leases.
+func (t *task) recordLease(now time.Time, m leaseAnswerMessage) {
+	delete(t.ejection.pending, m.number)
+	t.ejection.summaries[m.from] = m.lease.Summary
 	if m.lease.Refusal == floor.Granted {
-		t.ledger.RecordGrant(m.number, m.from, m.asked)
+		t.ledger.RecordGrant(m.number, m.from, m.requestedAt)
 	} else {
 		t.ledger.RecordRefusal(m.number, m.from)
-		t.ejecting.askAll = true
+		t.ejection.requestAll = true
 	}
-	if t.ejecting.open {
+	if t.ejection.inProgress {
 		t.ejectIfAllowed(now)
 		return
 	}
 	t.trimLeases(now)
 }
 
-// trimLeases gives back the leases beyond what the floor needs, those of suspects
+// trimLeases releases the leases beyond what the floor requires, those of suspected backend servers
 // first.
 func (t *task) trimLeases(now time.Time) {
-	healthy := func(name string) bool { return !t.ejecting.summaries[name].Suspect }
-	t.giveBack(t.ledger.ReleaseSurplus(now, t.declared.Service.Floor, healthy))
+	healthy := func(name string) bool { return !t.ejection.summaries[name].Suspect }
+	t.releaseLeases(t.ledger.ReleaseSurplus(now, t.declared.Service.Floor, healthy))
 }
 
-// giveBack gives leases back to those who gave them.
-func (t *task) giveBack(releases map[string]floor.Release) {
+// releaseLeases returns the leases to the backend servers that granted them.
+func (t *task) releaseLeases(releases map[string]floor.Release) {
 	for _, other := range t.declared.others {
 		if release, ok := releases[other.BackendServer.Name]; ok {
-			go t.releaseOne(other, release)
+			go t.releaseLease(other, release)
 		}
 	}
 }
 
-// releaseOne runs in a goroutine of its own.
-func (t *task) releaseOne(other fleet.Placement, release floor.Release) {
-	ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
+// releaseLease returns one lease. It runs in its own goroutine.
+func (t *task) releaseLease(other fleet.Placement, release floor.Release) {
+	ctx, cancel := context.WithTimeout(context.Background(), leaseTimeout)
 	defer cancel()
-	_ = t.config.Peer.Release(ctx, other, release) // a lease that is not released runs out by itself
+	_ = t.config.Peer.Release(ctx, other, release) // an unreleased lease expires
 }
 
-// answerRequest answers another backend server that asks for a lease.
-func (t *task) answerRequest(now time.Time, r floor.Request) LeaseAnswer {
+// answerLeaseRequest answers a lease request of another backend server.
+func (t *task) answerLeaseRequest(now time.Time, r floor.Request) LeaseAnswer {
 	t.isEjected(now)
 	dead := t.subject.Verdict(now).Cause == detect.CauseRefuses
 	cold := t.subject.TrafficShare(now) < 1
@@ -134,14 +137,14 @@
 	return LeaseAnswer{Refusal: t.ledger.Answer(now, r), Summary: t.subject.Summary(since)}
 }
 
-// GrantLease answers a request for a lease to a backend server of this host.
+// GrantLease answers a lease request to a backend server of this host.
 func (s *Sidecar) GrantLease(name string, r floor.Request) (LeaseAnswer, error) {
 	server, err := s.server(name)
 	if err != nil {
 		return LeaseAnswer{}, err
 	}
 	reply := make(chan LeaseAnswer, 1)
-	if !server.send(askedMessage{request: r, reply: reply}) {
+	if !server.send(leaseRequestMessage{request: r, reply: reply}) {
 		return LeaseAnswer{Refusal: floor.RefusedUnable}, nil
 	}
 	select {
@@ -152,12 +155,12 @@
 	}
 }
 
-// Release takes a lease back that a backend server of this host gave.
+// Release takes back a lease that a backend server of this host has granted.
 func (s *Sidecar) Release(name string, r floor.Release) error {
 	server, err := s.server(name)
 	if err != nil {
 		return err
 	}
-	server.send(releasedMessage{release: r})
+	server.send(leaseReleaseMessage{release: r})
 	return nil
 }
--- a/internal/sidecar/messages.go
+++ b/internal/sidecar/messages.go
@@ -9,20 +9,20 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// The messages that a server's task takes.
+// Messages to the task of a backend server.
 type (
 	offerMessage struct {
 		attempt admission.Attempt
 		request admission.Request
-		host    string // the ingress's
+		host    string // of the ingress
 		reply   chan grant
 	}
 	observeMessage struct {
 		observation detect.Observation
 		others      detect.Baseline
 	}
-	// slowMessage says that a running request has outlasted nearly all others of its
-	// route, or, if it has ended, that it had.
+	// slowMessage reports that a running request has become slow or, if ended is set, that a slow
+	// request has ended.
 	slowMessage struct {
 		began time.Time
 		ended bool
@@ -39,29 +39,29 @@
 		reply   chan bool
 	}
 	drainMessage struct{ draining bool }
-	// hostListMessage is what the platform's list says of the host.
+	// hostListMessage reports whether the platform's host list has the host as draining.
 	hostListMessage struct{ draining bool }
-	// selfDrainMessage is the backend server's own word that it is draining.
+	// selfDrainMessage reports that an answer of the backend server says that it is draining.
 	selfDrainMessage   struct{}
 	reconfigureMessage struct{ declared *declared }
 	reportMessage      struct{ reply chan Report }
-	// askedMessage asks for a lease to another backend server.
-	askedMessage struct {
+	// leaseRequestMessage is a lease request of another backend server.
+	leaseRequestMessage struct {
 		request floor.Request
 		reply   chan LeaseAnswer
 	}
-	// releasedMessage gives a lease back.
-	releasedMessage struct{ release floor.Release }
-	// leaseMessage is the answer to a request of this one's own.
-	leaseMessage struct {
-		number uint64
-		from   string
-		asked  time.Time
-		lease  LeaseAnswer
+	// leaseReleaseMessage returns a lease that this backend server granted.
+	leaseReleaseMessage struct{ release floor.Release }
+	// leaseAnswerMessage is the answer to a lease request of this backend server.
+	leaseAnswerMessage struct {
+		number      uint64
+		from        string
+		requestedAt time.Time
+		lease       LeaseAnswer
 	}
 )
 
-// grant answers an offer; err is nil if the request has a slot.
+// grant is the answer to an offer; err is nil if the request has a slot.
 type grant struct {
 	err       *result.Error
 	probation bool
--- a/internal/sidecar/report.go
+++ b/internal/sidecar/report.go
@@ -7,18 +7,18 @@
 	"github.com/tideliftd/tidelift/internal/fleet"
 )
 
-// State is what the sidecar does with a backend server.
+// State is the state of a backend server at its sidecar.
 type State string
 
-// The states.
+// States of a backend server.
 const (
-	// StateServing means that the backend server gets work.
+	// StateServing means that the backend server receives requests.
 	StateServing State = "serving"
-	// StateEjected means that it gets none for a while.
+	// StateEjected means that the backend server temporarily receives no requests.
 	StateEjected State = "ejected"
-	// StateProbation means that it gets one idempotent request at a time.
+	// StateProbation means that the backend server receives one idempotent request at a time.
 	StateProbation State = "trial"
-	// StateDraining means that it gets no new work and is going.
+	// StateDraining means that the backend server finishes its requests and receives no new ones.
 	StateDraining State = "leaving"
 )
 
@@ -36,7 +36,7 @@
 	Detection     detect.Explanation `json:"detection"`
 }
 
-// report is the state of the backend server for operators.
+// report returns the state of the backend server for operators.
 func (t *task) report(now time.Time) Report {
 	return Report{
 		BackendServer: t.declared.BackendServer.Name,
--- a/internal/sidecar/reservation.go
+++ b/internal/sidecar/reservation.go
@@ -12,22 +12,20 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// ReservationLife is how long a reservation is good for, by the sidecar's clock. Not measured: the
-// request follows its reservation by a round trip; one that was called indeterminate begins no later
-// than this after it was sent.
+// ReservationLife is how long a reservation is valid, by the sidecar's clock. A request whose
+// outcome was reported as indeterminate starts no later than this after it was sent.
 const ReservationLife = time.Second
 
-// reservation is a slot kept for a request that must not run more than once, until
-// the request itself arrives. It is good for one request and for a short time,
-// so that a request that was held up on its way, or in the buffer of a process
-// that stood still, is refused when it comes at last.
+// reservation is a slot held for a request that must not run more than once, until the request
+// arrives. It is valid for one request and for a short time, so that a request that was delayed on
+// its way, or in the buffer of a suspended process, is refused when it arrives.
 type reservation struct {
-	slot    *slot
-	expires time.Time
-	lapse   *time.Timer
+	slot      *slot
+	expiresAt time.Time
+	expiry    *time.Timer
 }
 
-// reservations are those that were granted and not used yet.
+// reservations holds the reservations that were granted and not yet used.
 type reservations struct {
 	mu   sync.Mutex
 	byID map[string]*reservation
@@ -35,26 +33,26 @@
 
 func newReservations() *reservations { return &reservations{byID: make(map[string]*reservation)} }
 
-// Reserve waits for a slot, keeps it for the request for ReservationLife and returns the
-// leave to run it.
+// Reserve waits for a slot, holds it for the request for ReservationLife and returns the ID of the
+// reservation.
 func (s *Sidecar) Reserve(ctx context.Context, call hop.Call) (string, error) {
 	slot, err := s.acquire(ctx, call)
 	if err != nil {
 		return "", err
 	}
 	id := uuid.NewString()
-	kept := &reservation{slot: slot, expires: time.Now().Add(ReservationLife)}
-	kept.lapse = time.AfterFunc(ReservationLife, func() { s.reservations.drop(id) })
+	held := &reservation{slot: slot, expiresAt: time.Now().Add(ReservationLife)}
+	held.expiry = time.AfterFunc(ReservationLife, func() { s.reservations.expire(id) })
 	s.reservations.mu.Lock()
 	defer s.reservations.mu.Unlock()
-	s.reservations.byID[id] = kept
+	s.reservations.byID[id] = held
 	return id, nil
 }
 
-// drop gives the slot of an unused reservation back.
-func (r *reservations) drop(id string) {
-	if kept, ok := r.take(id); ok {
-		kept.slot.release()
+// expire releases the slot of an unused reservation.
+func (r *reservations) expire(id string) {
+	if held, ok := r.take(id); ok {
+		held.slot.release()
 	}
 }
 
@@ -62,32 +60,32 @@
 func (r *reservations) take(id string) (*reservation, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	kept, ok := r.byID[id]
+	held, ok := r.byID[id]
 	delete(r.byID, id)
-	return kept, ok
+	return held, ok
 }
 
-// redeem returns the slot that was kept if the reservation is good for the call. After that
-// it is not good for any.
+// redeem returns the reserved slot if the reservation is valid for the call, and invalidates the
+// reservation.
 func (r *reservations) redeem(call hop.Call, now time.Time) (*slot, error) {
-	kept, ok := r.take(call.Reservation)
+	held, ok := r.take(call.Reservation)
 	if !ok {
 		return nil, result.New(result.ReservationExpired)
 	}
-	kept.lapse.Stop()
-	if now.After(kept.expires) || kept.slot.server.declared.Load().BackendServer.Name != call.BackendServer {
-		kept.slot.release()
+	held.expiry.Stop()
+	if now.After(held.expiresAt) || held.slot.server.declared.Load().BackendServer.Name != call.BackendServer {
+		held.slot.release()
 		return nil, result.New(result.ReservationExpired)
 	}
-	return kept.slot, nil
+	return held.slot, nil
 }
 
-// serveReservation answers an ingress that asks for a reservation.
+// serveReservation answers an ingress that requests a reservation.
 func (s *Sidecar) serveReservation(ctx context.Context, w http.ResponseWriter, call hop.Call) {
 	id, err := s.Reserve(ctx, call)
 	if err != nil {
 		refused := result.From(err)
-		s.refused.Inc(refused.Code)
+		s.refusals.Inc(refused.Code)
 		writeRefusal(w, refused)
 		return
 	}
--- a/internal/sidecar/runs.go
+++ b/internal/sidecar/runs.go
@@ -11,34 +11,34 @@
 	"github.com/tideliftd/tidelift/internal/runs"
 )
 
-// sendings counts the requests that a service's backend servers of this host were sent.
-type sendings struct{ first, repeat tally.Counter }
+// sentRequests counts the requests that were sent to a service's backend servers on this host.
+type sentRequests struct{ first, retry tally.Counter }
 
-func newSendings(scope tally.Scope, service string) sendings {
+func newSentRequests(scope tally.Scope, service string) sentRequests {
 	counter := func(kind string) tally.Counter {
 		return scope.Tagged(map[string]string{"service": service, "kind": kind}).Counter("sidecar_sendings")
 	}
-	return sendings{first: counter("first"), repeat: counter("repeat")}
+	return sentRequests{first: counter("first"), retry: counter("repeat")}
 }
 
-// begin records that the request is sent to the backend server now and returns the function to call
-// when its run ends. A retry is refused if the retries for the calls that it will make are neither left
-// nor lent.
+// begin records that the request is sent to the backend server now, and returns the function to
+// call when the run ends. A retry is refused if the retry budgets for the calls that it will make
+// are exhausted and no other host lends any.
 func (s *Sidecar) begin(ctx context.Context, server *server, call hop.Call, id string) (end func(), err error) {
 	run := runs.Run{ID: id, Service: server.declared.Load().Service.Name, Retry: call.Retry}
-	borrowed, ok := s.borrowFor(ctx, run)
+	borrowed, ok := s.borrowRetries(ctx, run)
 	now := time.Now()
 	if !ok || !s.config.Retries.BeginRun(now, run, borrowed) {
 		return nil, result.New(result.RetryLimit)
 	}
 	s.config.Runs.Begin(now, run)
-	server.sendings.count(run)
+	server.sentRequests.count(run)
 	return func() { s.config.Retries.FinishRun(time.Now(), run) }, nil
 }
 
-// borrowFor borrows the retries that are missing for the calls of a retry and returns the services they
-// are of, and false if no other host lends them.
-func (s *Sidecar) borrowFor(ctx context.Context, run runs.Run) (borrowed []string, ok bool) {
+// borrowRetries borrows the retries that the calls of a retry lack. It returns the services that
+// they are for, and false if no other host lends them.
+func (s *Sidecar) borrowRetries(ctx context.Context, run runs.Run) (borrowed []string, ok bool) {
 	if !run.Retry || s.config.BorrowRetry == nil {
 		return nil, true
 	}
@@ -51,10 +51,9 @@
 	return borrowed, true
 }
 
-// count counts the sending.
-func (c sendings) count(run runs.Run) {
+func (c sentRequests) count(run runs.Run) {
 	if run.Retry {
-		c.repeat.Inc(1)
+		c.retry.Inc(1)
 		return
 	}
 	c.first.Inc(1)
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -11,35 +11,35 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// mailboxSize is how many messages may wait for a server's task. Not measured: a message is handled
-// in about a microsecond, and a sender waits when the mailbox is full.
+// mailboxSize is how many messages may wait for a server's task. A sender blocks while the mailbox
+// is full.
 const mailboxSize = 256
 
 // server is the handle of one backend server's task.
 type server struct {
-	mailbox     chan any
-	ended       chan struct{}
-	loadBits    atomic.Uint64
-	failingBits atomic.Uint64 // the share of recent requests that failed
-	draining    atomic.Bool
-	endedAt     atomic.Int64 // when it was seen to end, in Unix milliseconds; zero since it last answered
-	declared    atomic.Pointer[declared]
-	pool        *backend.Pool
-	slotTime    slotTime
-	sendings    sendings
-	closeAll    func()
+	mailbox         chan any
+	ended           chan struct{}
+	loadBits        atomic.Uint64
+	failureRateBits atomic.Uint64 // the share of recent requests that failed
+	draining        atomic.Bool
+	endedAt         atomic.Int64 // when its end was detected, in Unix milliseconds; zero after the next answer
+	declared        atomic.Pointer[declared]
+	pool            *backend.Pool
+	slotTime        slotTime
+	sentRequests    sentRequests
+	closePool       func()
 }
 
 func newServer(config Config, d *declared, connects tally.Counter) *server {
 	s := &server{
-		mailbox:  make(chan any, mailboxSize),
-		ended:    make(chan struct{}),
-		slotTime: newSlotTime(config.Scope, d.Service.Name),
-		sendings: newSendings(config.Scope, d.Service.Name),
+		mailbox:      make(chan any, mailboxSize),
+		ended:        make(chan struct{}),
+		slotTime:     newSlotTime(config.Scope, d.Service.Name),
+		sentRequests: newSentRequests(config.Scope, d.Service.Name),
 	}
 	s.declared.Store(d)
-	dialer := dial.New(dial.Config{Connect: connectTimeout, Unacknowledged: unacknowledged})
-	s.pool, s.closeAll = backend.New(backend.Config{
+	dialer := dial.New(dial.Config{Connect: connectTimeout, Unacknowledged: unacknowledgedTimeout})
+	s.pool, s.closePool = backend.New(backend.Config{
 		Address:   d.BackendServer.Address,
 		Dial:      dialer.DialContext,
 		OnConnect: func() { connects.Inc(1) },
@@ -52,10 +52,10 @@
 
 func (s *server) load() float64 { return math.Float64frombits(s.loadBits.Load()) }
 
-func (s *server) failing() float64 { return math.Float64frombits(s.failingBits.Load()) }
+func (s *server) failureRate() float64 { return math.Float64frombits(s.failureRateBits.Load()) }
 
-// isDraining reports whether the backend server takes no new work because it is draining or has been
-// replaced, so that its end is no surprise.
+// isDraining reports whether the backend server takes no new work because it is draining or has
+// been replaced, so that its end is expected.
 func (s *server) isDraining() bool {
 	select {
 	case <-s.ended:
@@ -65,7 +65,7 @@
 	}
 }
 
-// send sends the task a message and returns false if the task has ended.
+// send sends the task a message and reports whether the task still runs.
 func (s *server) send(message any) bool {
 	select {
 	case s.mailbox <- message:
@@ -77,7 +77,7 @@
 
 func (s *server) end() {
 	close(s.ended)
-	s.closeAll()
+	s.closePool()
 }
 
 func (s *server) reconfigure(d *declared) {
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -1,30 +1,32 @@
-// Package sidecar is the part of a daemon that sends work to the backend
-// servers of its own host. No other process of the fleet sends them any.
+// Package sidecar is the part of a daemon that sends requests to the backend servers of its own
+// host. No other process of the fleet sends them any.
 //
-// That makes slots, the queue, draining, ejecting, and whether a request
-// was run facts of one process. One task for each backend server owns them and
-// talks by messages. What it does is in files by theme:
+// Slots, the queue, draining, ejection, and whether a request was run are therefore state of one
+// process. One task for each backend server owns that state and communicates by messages. The files
+// by topic:
 //
-//	sidecar.go     starts, changes and ends the tasks
+//	sidecar.go     starts, reconfigures and ends the tasks
 //	do.go          runs a request: slot, quarantine, sending, evidence
 //	handler.go     serves the requests of other daemons
 //	exchange.go    sends the request and checks the answer
-//	reservation.go keeps a slot for a request that must not run twice
-//	server.go      is the handle of the task for everybody else
-//	declared.go    is what the declaration says of the backend server
+//	reservation.go holds a slot for a request that must not run twice
+//	server.go      is the handle of a task
+//	declared.go    holds the declaration of a backend server
 //	acquire.go     waits for a slot
-//	slot.go        observes the request that has one
+//	slot.go        observes the request that holds a slot
+//	slow.go        reports slow requests to the task
+//	messages.go    defines the messages to the task
 //	task.go        handles the messages
 //	admit.go       decides on a request, by internal/admission
-//	slots.go       gives and queues slots
-//	draining.go    takes no new work while the backend server is draining
-//	suspicion.go   passes a backend server over at the first sign of failing
-//	eject.go       takes a sick one out of service, if the floor allows it
-//	lease.go       asks others for leases to keep serving, and gives its own
+//	slots.go       grants and queues slots
+//	draining.go    refuses new work while the backend server is draining
+//	suspicion.go   refuses requests at the first sign of failure
+//	eject.go       takes an unhealthy backend server out of service if the floor permits it
+//	lease.go       requests, grants and releases leases
 //	report.go      describes the backend server to operators
-//	runs.go        counts and remembers what is sent, and keeps room for what retries call
+//	runs.go        counts and records what is sent, and reserves the retry budget of a retry's calls
 //	ends.go        finds out which requests a backend server ran when it ended
-//	usage.go       counts what the time of slots goes to
+//	usage.go       counts slot time by use
 //
 // # Usage
 //
@@ -34,8 +36,8 @@
 //	answer, err := s.Do(ctx, call, request) // from the ingress of the same daemon
 //	http.Serve(listener, s.Handler())       // from other daemons
 //
-// An error of Do is a *result.Error. One whose code says RanNo is proof that
-// the backend server was sent nothing and will be sent nothing.
+// An error of Do is a *result.Error. A code with RanNo proves that nothing was sent to the backend
+// server and that nothing will be.
 package sidecar
 
 import (
@@ -57,52 +59,53 @@
 )
 
 const (
-	// connectTimeout bounds the opening of a connection to a backend server on the same host.
-	// Not measured: one is made or refused within microseconds, but for a full accept queue.
+	// connectTimeout bounds the opening of a connection to a backend server on the same host, which
+	// takes long only if the accept queue is full.
 	connectTimeout = 500 * time.Millisecond
-	// unacknowledged is how long bytes to a backend server may stay without an acknowledgement
-	// before the connection counts as lost. Not measured: loopback acknowledges at once, so that
-	// only what stands still itself takes this long.
-	unacknowledged = 5 * time.Second
+	// unacknowledgedTimeout is how long bytes to a backend server may stay unacknowledged before
+	// the connection counts as lost.
+	unacknowledgedTimeout = 5 * time.Second
 )
 
-// Config says which host's backend servers the sidecar serves.
+// Config configures a sidecar.
 type Config struct {
 	// Host is the daemon's name.
 	Host string
-	// Off are mechanisms that are switched off.
+	// Off holds the mechanisms that are switched off.
 	Off experiment.Off
 	// Logger receives numbered events.
 	Logger *slog.Logger
 	// Scope receives the metrics.
 	Scope tally.Scope
-	// OnAnswer is called for each answer of a backend server of this host, with whether it is
-	// good or says that it failed; nil if nobody needs that.
+	// OnAnswer is called for each answer of a backend server of this host; good is false if the
+	// answer reports a failure. It may be nil.
 	OnAnswer func(good bool)
-	// Runs learns what the backend servers of this host run; nil keeps it to the sidecar.
+	// Runs records what the backend servers of this host run; nil creates a table private to the
+	// sidecar.
 	Runs *runs.Table
-	// Retries is the host's budgets of retries; nil allows those that call nothing.
+	// Retries holds the host's retry budgets; nil permits only the retries that make no calls.
 	Retries *retry.Budgets
-	// BorrowRetry takes a retry of a request to the service from another host, for a call to be made
-	// soon; nil if others are not asked.
+	// BorrowRetry borrows one retry of a request to the service from another host, for a call that
+	// is about to be made, and reports whether it succeeded; nil disables borrowing.
 	BorrowRetry func(ctx context.Context, service string) bool
-	// Quarantine knows which requests no backend server is to be sent; nil if that is not kept.
+	// Quarantine holds the requests that must not be sent to any backend server; nil disables
+	// quarantines.
 	Quarantine *quarantinesync.Syncer
-	// Peer carries the calls to other backend servers' sidecars.
+	// Peer makes the calls to the sidecars of other backend servers.
 	Peer Peer
 }
 
 // Sidecar sends work to the backend servers of one host.
 type Sidecar struct {
 	config       Config
-	refused      metric.Reasons
+	refusals     metric.Reasons
 	connects     tally.Counter
 	ends         tally.Counter // runs that ended with their backend server
 	nextID       atomic.Uint64
 	stopping     atomic.Bool
 	reservations *reservations
 
-	mu      sync.Mutex // serialises Reconfigure and the end
+	mu      sync.Mutex // serialises Reconfigure and end
 	servers atomic.Pointer[map[string]*server]
 	headers atomic.Pointer[headers]
 }
@@ -118,7 +121,7 @@
 	}
 	s := &Sidecar{
 		config:       config,
-		refused:      metric.NewReasons(config.Scope, "sidecar_refusals"),
+		refusals:     metric.NewReasons(config.Scope, "sidecar_refusals"),
 		connects:     config.Scope.Counter("sidecar_connects"),
 		ends:         config.Scope.Counter("sidecar_runs_ended"),
 		reservations: newReservations(),
@@ -137,8 +140,7 @@
 	s.servers.Store(&map[string]*server{})
 }
 
-// Reconfigure starts, changes and ends the tasks of backend servers as the
-// declaration says.
+// Reconfigure starts, changes and ends the tasks of backend servers according to the declaration.
 func (s *Sidecar) Reconfigure(index *fleet.Index) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -163,11 +165,11 @@
 	}
 }
 
-// Stop refuses new work from now on. What runs or waits is finished.
+// Stop refuses new work from now on. Running and queued requests are finished.
 func (s *Sidecar) Stop() { s.stopping.Store(true) }
 
-// Drain sets whether a backend server is draining. A draining one finishes what
-// it runs and gets nothing new.
+// Drain sets whether a backend server is draining. A draining one finishes its requests and
+// receives no new ones.
 func (s *Sidecar) Drain(name string, draining bool) error {
 	server, err := s.server(name)
 	if err != nil {
@@ -177,7 +179,7 @@
 	return nil
 }
 
-// HostDraining records whether the platform's list has the host as draining.
+// HostDraining records whether the platform's host list has the host as draining.
 func (s *Sidecar) HostDraining(draining bool) {
 	for _, server := range *s.servers.Load() {
 		server.send(hostListMessage{draining: draining})
--- a/internal/sidecar/slot.go
+++ b/internal/sidecar/slot.go
@@ -11,26 +11,26 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// slot is the right to run one request, and observes how it went. It is used by one goroutine,
-// but for the overdue timer.
+// slot is the right to run one request, and observes the outcome. It is used by one goroutine,
+// except for the overdue timer.
 type slot struct {
 	server     *server
 	probation  bool
 	others     detect.Baseline
-	target     time.Duration // of the request's route; zero if it is not known
-	slowAfter  time.Duration // how long it runs before it has outlasted nearly all of its route; zero if that is not known
+	target     time.Duration // latency target of the route; zero if unknown
+	slowAfter  time.Duration // how long the request runs before it counts as slow; zero if unknown
 	granted    time.Time
 	waited     time.Duration // until it was granted
 	started    time.Time     // zero until the request is sent
 	overdue    *time.Timer
 	watch      slowWatch
 	wasOverdue atomic.Bool
-	// isEvidence says that the observation says something of the backend server.
+	// isEvidence reports whether the observation reflects on the backend server.
 	isEvidence  bool
 	observation detect.Observation
 }
 
-// begin starts the clock of the request, and of its being overdue.
+// begin starts the request's timers.
 func (s *slot) begin(others detect.Baseline, call hop.Call) {
 	s.target = call.LatencyTarget
 	s.slowAfter = call.SlowAfter
@@ -48,28 +48,28 @@
 	s.server.send(observeMessage{observation: detect.Observation{Outcome: detect.Overdue}, others: s.others})
 }
 
-// answered observes the head of the answer.
+// answered records the outcome from the head of the answer.
 func (s *slot) answered(response *http.Response) {
 	s.observation.Outcome, s.isEvidence = detect.OutcomeFromResponse(response)
-	s.stopClock()
+	s.finish()
 	if response.Header.Get(s.server.declared.Load().Service.DrainingHeader) != "" {
 		s.server.send(selfDrainMessage{})
 	}
 }
 
-// failed observes a failure.
+// failed records a failure.
 func (s *slot) failed(failure *result.Error) {
 	s.observation.Outcome, s.isEvidence = failures.Evidence(failure.Code)
 	if failure.Code.Number == result.CallerGone.Number && s.isSlow() {
-		s.observation.Outcome, s.isEvidence = detect.TimedOut, true // whoever asked did not wait for longer than others have to
+		s.observation.Outcome, s.isEvidence = detect.TimedOut, true // the caller gave up only after the request had become slow
 	}
-	s.stopClock()
+	s.finish()
 }
 
-// isSlow reports whether the request has outlasted nearly all others of its route.
+// isSlow reports whether the request has run longer than nearly all others of its route.
 func (s *slot) isSlow() bool { return s.slowAfter > 0 && time.Since(s.started) >= s.slowAfter }
 
-func (s *slot) stopClock() {
+func (s *slot) finish() {
 	s.observation.Latency = time.Since(s.started)
 	if s.overdue != nil {
 		s.overdue.Stop()
@@ -82,7 +82,7 @@
 	}
 }
 
-// release gives the slot back.
+// release returns the slot.
 func (s *slot) release() {
 	var took time.Duration
 	if !s.started.IsZero() {
--- a/internal/sidecar/slots.go
+++ b/internal/sidecar/slots.go
@@ -8,7 +8,8 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// size is the backend server's slots, fewer for a while after a return.
+// size returns the capacity of the backend server, which is reduced for a while after it returns to
+// service.
 func (t *task) size(now time.Time) admission.Config {
 	size := t.declared.size()
 	if share := t.subject.TrafficShare(now); share > 0 {
@@ -17,25 +18,25 @@
 	return size
 }
 
-// release takes a slot back and gives it to those that wait. A probation request also
-// shows whether the backend server has recovered.
+// release takes back a slot and grants it to waiting requests. The outcome of a probation request
+// also shows whether the backend server has recovered.
 func (t *task) release(now time.Time, m releaseMessage) {
 	granted, expired := t.queue.Done(now, m.took)
 	t.answerWaiting(now, granted, expired)
 	if !m.probation {
 		return
 	}
-	t.probationRuns = false
+	t.probationInFlight = false
 	if !m.isEvidence || !t.isEjected(now) {
 		return
 	}
 	if t.subject.ObserveProbation(now, m.observation, m.others) {
-		t.backInService("passed its trial")
+		t.returnToService("passed probation")
 	}
 }
 
-// recordSlow counts the stalled slots, and records for the suspicion that a request is slow or
-// has ended.
+// recordSlow updates the number of stalled slots and the suspicion when a request becomes slow, or
+// when a slow one ends.
 func (t *task) recordSlow(now time.Time, m slowMessage) {
 	if m.ended {
 		t.queue.UnmarkStalled()
@@ -46,11 +47,11 @@
 	t.suspicion.RecordSlowRequest(m.began)
 }
 
-// answerWaiting answers waiting requests: those that got a slot, and those whose deadline
-// is too near to run.
+// answerWaiting answers the waiting requests that were granted a slot and those whose deadline is
+// too near to run.
 func (t *task) answerWaiting(now time.Time, granted, expired []uint64) {
 	for _, id := range granted {
-		t.slotGiven(now)
+		t.recordSlotGranted(now)
 		t.reply(id, grant{})
 	}
 	for _, id := range expired {
@@ -58,21 +59,21 @@
 	}
 }
 
-// expire refuses the waiting requests that waited long enough.
+// expire refuses the requests that have waited too long.
 func (t *task) expire(now time.Time) {
 	for _, id := range t.queue.Expire(now) {
 		t.reply(id, refused(result.QueueTooSlow, t.queue.RetryAfter()))
 	}
 }
 
-// cancel takes a request out of the queue and replies whether it was there.
+// cancel removes a request from the queue and replies whether it was queued.
 func (t *task) cancel(m cancelMessage) {
 	wasWaiting := t.queue.Cancel(m.request.ID)
 	delete(t.waiting, m.request.ID)
 	m.reply <- wasWaiting
 }
 
-// reply answers a waiting request, if it still waits.
+// reply answers a request if it still waits.
 func (t *task) reply(id uint64, g grant) {
 	waiting, ok := t.waiting[id]
 	if !ok {
--- a/internal/sidecar/slow.go
+++ b/internal/sidecar/slow.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// slowWatch reports to a server's task when a running request has outlasted nearly all others of
-// its route, and when that one has ended, in that order.
+// slowWatch reports to a server's task when a running request has become slow, and afterwards when
+// that request has ended, in that order.
 type slowWatch struct {
 	server *server
 	began  time.Time
 	timer  *time.Timer
 
 	mu       sync.Mutex
-	reported bool // the task knows that the request is slow
+	reported bool // the task has been notified that the request is slow
 	ended    bool
 }
 
-// begin starts the watch over a request that is slow after so long; zero if that is not
-// known.
+// begin starts watching a request that counts as slow after the given time; zero disables the
+// watch.
 func (w *slowWatch) begin(s *server, after time.Duration) {
 	if after <= 0 {
 		return
@@ -28,7 +28,7 @@
 	w.timer = time.AfterFunc(after, w.report)
 }
 
-// report tells the task that the request is slow, unless it has ended.
+// report notifies the task that the request is slow, unless it has ended.
 func (w *slowWatch) report() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -39,7 +39,7 @@
 	w.server.send(slowMessage{began: w.began})
 }
 
-// end ends the watch.
+// end stops the watch, and notifies the task if the request was reported as slow.
 func (w *slowWatch) end() {
 	if w.timer == nil {
 		return
--- a/internal/sidecar/slow_test.go
+++ b/internal/sidecar/slow_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// heard returns the messages that wait for the task.
-func heard(s *server) []slowMessage {
+// drainMailbox returns the messages in the task's mailbox.
+func drainMailbox(s *server) []slowMessage {
 	var all []slowMessage
 	for len(s.mailbox) > 0 {
 		all = append(all, (<-s.mailbox).(slowMessage))
@@ -14,16 +14,17 @@
 	return all
 }
 
-// TestALateRequestIsToldOfAndTakenBack holds the order of both, whatever the clocks do.
-func TestALateRequestIsToldOfAndTakenBack(t *testing.T) {
+// TestSlowRequestIsReportedBeforeItsEnd guards against reports out of order, however the timer and
+// the end race.
+func TestSlowRequestIsReportedBeforeItsEnd(t *testing.T) {
 	s := &server{mailbox: make(chan any, 8), ended: make(chan struct{})}
-	var late slowWatch
-	late.begin(s, time.Millisecond)
+	var slow slowWatch
+	slow.begin(s, time.Millisecond)
 	time.Sleep(50 * time.Millisecond)
-	late.end()
-	late.report() // a timer that comes after the end
-	if got := heard(s); len(got) != 2 || got[0].ended || !got[1].ended {
-		t.Fatalf("the task heard %+v", got)
+	slow.end()
+	slow.report() // the timer fires after the end
+	if got := drainMailbox(s); len(got) != 2 || got[0].ended || !got[1].ended {
+		t.Fatalf("task received %+v, want slow, then ended", got)
 	}
 	var quick slowWatch
 	quick.begin(s, time.Hour)
@@ -32,7 +33,7 @@
 	var unknown slowWatch
 	unknown.begin(s, 0)
 	unknown.end()
-	if got := heard(s); len(got) != 0 {
-		t.Fatalf("the task heard %+v of requests in time", got)
+	if got := drainMailbox(s); len(got) != 0 {
+		t.Fatalf("task received %+v for requests that were not slow", got)
 	}
 }
--- a/internal/sidecar/suspicion.go
+++ b/internal/sidecar/suspicion.go
@@ -12,73 +12,75 @@
 	"github.com/tideliftd/tidelift/internal/suspicion"
 )
 
-// recordSuspicion records an outcome for the suspicion, weighed by how the others do.
-func (t *task) recordSuspicion(now time.Time, saw detect.Observation, others detect.Baseline) {
+// recordSuspicion records an outcome for the suspicion, weighted by the failure rate of the
+// service's other backend servers.
+func (t *task) recordSuspicion(now time.Time, observed detect.Observation, others detect.Baseline) {
 	if t.config.Off.Has(experiment.Suspicion) {
 		return
 	}
 	begins := false
-	switch saw.Outcome {
+	switch observed.Outcome {
 	case detect.OK:
-		if !saw.WasOverdue && !saw.PastTarget {
-			t.recordGood(now, now.Add(-saw.Latency))
+		if !observed.WasOverdue && !observed.PastTarget {
+			t.recordSuccess(now, now.Add(-observed.Latency))
 			return
 		}
 		begins = t.suspicion.RecordSlowness(now, suspicion.SlowWeight)
 	case detect.ConnectionRefused, detect.ConnectionLost:
 		begins = t.suspicion.RecordFailure(now, suspicion.BrokenConnectionWeight)
 	case detect.Error:
-		if weight := suspicion.ScaledErrorWeight(others.Failure); weight > 0 { // else the others fail as much
+		if weight := suspicion.ScaledErrorWeight(others.Failure); weight > 0 { // zero if the others fail as often
 			begins = t.suspicion.RecordFailure(now, weight)
 		}
 	case detect.TimedOut, detect.Overdue:
 		begins = t.suspicion.RecordSlowness(now, suspicion.OverdueWeight)
 	}
 	if begins {
-		t.log(event.ServerSuspected, "outcome", saw.Outcome, "mostly_late", t.suspicion.MostlySlow(),
+		t.log(event.ServerSuspected, "outcome", observed.Outcome, "mostly_late", t.suspicion.MostlySlow(),
 			"others_failing", others.Failure, "others_known", others.TypicalLatency > 0)
 		t.refuseWaiting(now)
 	}
 }
 
-// refuseWaiting refuses every waiting request, since they are better served
-// elsewhere.
+// refuseWaiting refuses every waiting request, so that the ingresses send them to other backend
+// servers.
 func (t *task) refuseWaiting(now time.Time) {
 	for _, id := range t.queue.Clear() {
 		t.reply(id, refused(result.Suspected, t.suspicion.RetryAfter(now)))
 	}
 }
 
-// recordGood records an answer within its latency target to a request that began then.
-func (t *task) recordGood(now, began time.Time) {
+// recordSuccess records an answer within its latency target to a request that started at began.
+func (t *task) recordSuccess(now, began time.Time) {
 	if t.suspicion.RecordSuccess(now, began) {
-		t.trust(now)
+		t.clearSuspicion(now)
 	}
 }
 
-// slotGiven records that a request was given a slot.
-func (t *task) slotGiven(now time.Time) {
+// recordSlotGranted records that a request was granted a slot, which is a probe while the backend
+// server is suspected.
+func (t *task) recordSlotGranted(now time.Time) {
 	if t.suspicion.Suspected() {
 		t.suspicion.RecordProbe(now)
 		t.log(event.ServerProbed, "good", t.suspicion.ConsecutiveSuccesses())
 	}
 }
 
-// countSurvivedProbe ends the suspicion if a probe that still runs shows enough.
-func (t *task) countSurvivedProbe(now time.Time) {
+// checkSurvivedProbe clears the suspicion if a probe that is still running counts as survived.
+func (t *task) checkSurvivedProbe(now time.Time) {
 	if t.suspicion.ProbeSurvived(now) {
-		t.trust(now)
+		t.clearSuspicion(now)
 	}
 }
 
-// trust ends the suspicion, and an ejection that began meanwhile. Source: ejections of backend
-// servers that fail for nine seconds lasted up to twenty-two without that.
-func (t *task) trust(now time.Time) {
+// clearSuspicion ends the suspicion, and an ejection that began meanwhile, which would otherwise
+// outlast the failure.
+func (t *task) clearSuspicion(now time.Time) {
 	t.log(event.ServerTrusted)
 	t.config.Peer.ClearSuspicion(slices.Collect(maps.Keys(t.refusedHosts)), t.declared.BackendServer.Name)
 	clear(t.refusedHosts)
 	if t.subject.State(now) != detect.Serving {
 		t.subject.ReinstateFully(now)
-		t.backInService("answered well while it was suspected")
+		t.returnToService("recovered while suspected")
 	}
 }
--- a/internal/sidecar/suspicion_test.go
+++ b/internal/sidecar/suspicion_test.go
@@ -9,7 +9,7 @@
 	"github.com/tideliftd/tidelift/internal/fleet"
 )
 
-// newTestTask returns the task of a backend server, which no goroutine runs.
+// newTestTask returns the task of a backend server, without a goroutine that runs it.
 func newTestTask() *task {
 	placement := fleet.Placement{
 		Host:          fleet.Host{Name: "csepel-1", DataCentre: "csepel"},
@@ -23,16 +23,16 @@
 	return newTask(config, &server{}, &declared{Placement: placement, rules: detect.Swift()})
 }
 
-// TestFailuresThatAllShareBeginNoSuspicion gives a backend server failed answers, as it gives
-// them when a service that it calls is down: then the others give as many.
-func TestFailuresThatAllShareBeginNoSuspicion(t *testing.T) {
+// TestSharedFailuresBeginNoSuspicion guards against suspecting a backend server for errors that all
+// others of its service return too, as when a service that they call is down.
+func TestSharedFailuresBeginNoSuspicion(t *testing.T) {
 	now := time.Now()
 	tests := []struct {
 		name          string
 		othersFailing float64
 		want          bool
 	}{
-		{"the others do well", 0.01, true},
+		{"the others are healthy", 0.01, true},
 		{"half of the others' answers fail", 0.5, false},
 		{"all of the others' answers fail", 1, false},
 	}
@@ -50,12 +50,12 @@
 	}
 }
 
-// TestBrokenConnectionsAlwaysBeginSuspicion keeps to what a service that is called cannot
-// cause.
+// TestBrokenConnectionsAlwaysBeginSuspicion guards against excusing broken connections, which a
+// called service cannot cause, because the others fail too.
 func TestBrokenConnectionsAlwaysBeginSuspicion(t *testing.T) {
 	task := newTestTask()
 	task.recordSuspicion(time.Now(), detect.Observation{Outcome: detect.ConnectionLost}, detect.Baseline{Failure: 1})
 	if !task.suspicion.Suspected() {
-		t.Fatal("a broken connection is not taken for one")
+		t.Fatal("a broken connection did not begin a suspicion")
 	}
 }
--- a/internal/sidecar/task.go
+++ b/internal/sidecar/task.go
@@ -13,26 +13,26 @@
 	"github.com/tideliftd/tidelift/internal/suspicion"
 )
 
-// tickEvery is how often a task does what is due without a message. Not measured: swift detection
-// allows 200 ms, the least span of its evidence.
-const tickEvery = 100 * time.Millisecond
+// tickInterval is how often a task does periodic work. It is less than 200 ms, the shortest
+// evidence window of swift detection.
+const tickInterval = 100 * time.Millisecond
 
 // task owns the state of one backend server.
 type task struct {
-	config         Config
-	server         *server
-	declared       *declared
-	queue          *admission.Queue
-	waiting        map[uint64]chan grant // who waits for a slot
-	subject        *detect.Subject
-	ledger         *floor.Ledger
-	ejecting       ejecting
-	draining       bool      // by an operator
-	hostDraining   bool      // by the platform's list of hosts
-	selfDrainUntil time.Time // by its own answer, which counts until then
-	probationRuns  bool      // a probation request runs
-	suspicion      *suspicion.Suspicion
-	refusedHosts   map[string]bool // hosts whose requests were refused for suspicion
+	config            Config
+	server            *server
+	declared          *declared
+	queue             *admission.Queue
+	waiting           map[uint64]chan grant // requests that wait for a slot, by ID
+	subject           *detect.Subject
+	ledger            *floor.Ledger
+	ejection          ejection
+	draining          bool      // by an operator
+	hostDraining      bool      // by the platform's list of hosts
+	selfDrainUntil    time.Time // reported by its own answer, until this time
+	probationInFlight bool      // a probation request is running
+	suspicion         *suspicion.Suspicion
+	refusedHosts      map[string]bool // hosts whose requests were refused for suspicion
 }
 
 func newTask(config Config, s *server, d *declared) *task {
@@ -48,7 +48,7 @@
 			Start:       time.Now(),
 			FirstNumber: rand.Uint64(),
 		}),
-		ejecting:     newEjecting(),
+		ejection:     newEjection(),
 		suspicion:    suspicion.New(),
 		refusedHosts: make(map[string]bool),
 	}
@@ -57,7 +57,7 @@
 
 // run handles messages one at a time until the server ends.
 func (t *task) run() {
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -71,22 +71,22 @@
 	}
 }
 
-// publish lets others read the load, and whether the backend server is draining, without a message.
+// publish makes the load, the failure rate and whether the backend server is draining readable
+// without a message.
 func (t *task) publish(now time.Time) {
 	t.server.loadBits.Store(math.Float64bits(t.queue.Load()))
-	t.server.failingBits.Store(math.Float64bits(t.subject.FailureRate()))
+	t.server.failureRateBits.Store(math.Float64bits(t.subject.FailureRate()))
 	t.server.draining.Store(t.isDraining(now))
 }
 
-// tick does what is due without a message.
+// tick does the periodic work.
 func (t *task) tick(now time.Time) {
-	t.countSurvivedProbe(now)
+	t.checkSurvivedProbe(now)
 	t.expire(now)
-	t.judge(now)
+	t.evaluate(now)
 	t.publish(now)
 }
 
-// handle handles one message.
 func (t *task) handle(message any) {
 	now := time.Now()
 	switch m := message.(type) {
@@ -110,27 +110,27 @@
 		t.reconfigure(m.declared)
 	case reportMessage:
 		m.reply <- t.report(now)
-	case askedMessage:
-		m.reply <- t.answerRequest(now, m.request)
-	case releasedMessage:
+	case leaseRequestMessage:
+		m.reply <- t.answerLeaseRequest(now, m.request)
+	case leaseReleaseMessage:
 		t.ledger.RecordRelease(m.release)
-	case leaseMessage:
+	case leaseAnswerMessage:
 		t.recordLease(now, m)
 	}
 	t.publish(now)
 }
 
-// observe records the outcome of a request, for the suspicion and for an ejection.
+// observe records the outcome of a request as evidence for suspicion and ejection.
 func (t *task) observe(now time.Time, m observeMessage) {
 	t.recordSuspicion(now, m.observation, m.others)
 	if t.declared.adoption() == fleet.AdoptionOff || t.subject.State(now) != detect.Serving {
 		return
 	}
 	t.subject.Observe(now, m.observation, m.others)
-	t.judge(now)
+	t.evaluate(now)
 }
 
-// reconfigure applies the declaration.
+// reconfigure applies a new declaration.
 func (t *task) reconfigure(d *declared) {
 	t.declared = d
 	t.subject.SetRules(d.rules)
--- a/internal/sidecar/usage.go
+++ b/internal/sidecar/usage.go
@@ -8,26 +8,26 @@
 	"github.com/tideliftd/tidelift/internal/detect"
 )
 
-// slotUse is what the time of a slot went to.
+// slotUse is what the time of a slot was used for.
 type slotUse string
 
-// The uses. Whoever plans capacity reads their shares: what is not good is what a service needs
-// slots for without serving anybody in time.
+// Uses of slot time, as shown in metrics. All time but useGood is capacity that a service needs
+// without answering a request in time.
 const (
-	// useGood ended in a good answer within the route's target.
+	// useGood ended with a successful answer within the route's latency target.
 	useGood slotUse = "good"
-	// useLate ended in a good answer after it.
+	// useLate ended with a successful answer after the latency target.
 	useLate slotUse = "late"
-	// useFailed ended in an answer that says that the backend server failed, by itself or by
-	// a call that it made.
+	// useFailed ended with an answer that reports a failure of the backend server or of a call that
+	// it made.
 	useFailed slotUse = "failed"
-	// useLost ended with a broken connection or a spoilt answer.
+	// useLost ended with a broken connection or an invalid answer.
 	useLost slotUse = "lost"
-	// useOverdue ended without an answer: at the deadline, or for a hedge that was faster.
+	// useOverdue ended without an answer: at the deadline, or because a hedge was faster.
 	useOverdue slotUse = "overdue"
-	// useCancelled ended because the caller went away or a hedge was not needed.
+	// useCancelled ended because the caller disconnected or a hedge was not needed.
 	useCancelled slotUse = "cancelled"
-	// useReserved was kept for a request that was not sent.
+	// useReserved was held for a request that was not sent.
 	useReserved slotUse = "reserved"
 )
 
@@ -53,7 +53,7 @@
 	}
 }
 
-// use says what the time of the slot went to.
+// use returns what the time of the slot was used for.
 func (s *slot) use() slotUse {
 	switch {
 	case s.started.IsZero():
--- a/internal/sidecar/usage_test.go
+++ b/internal/sidecar/usage_test.go
@@ -9,18 +9,18 @@
 	"github.com/tideliftd/tidelift/internal/detect"
 )
 
-// TestSlotTimeIsCountedByUse releases slots of every use after 100 ms each.
+// TestSlotTimeIsCountedByUse guards against slot time counted under another use or service.
 func TestSlotTimeIsCountedByUse(t *testing.T) {
 	const took = 100 * time.Millisecond
-	saw := func(o detect.Outcome, late bool) detect.Observation {
+	observed := func(o detect.Outcome, late bool) detect.Observation {
 		return detect.Observation{Outcome: o, PastTarget: late}
 	}
 	uses := map[slotUse]*slot{
-		useGood:      {isEvidence: true, observation: saw(detect.OK, false)},
-		useLate:      {isEvidence: true, observation: saw(detect.OK, true)},
-		useFailed:    {isEvidence: true, observation: saw(detect.Error, false)},
-		useLost:      {isEvidence: true, observation: saw(detect.ConnectionLost, false)},
-		useOverdue:   {isEvidence: true, observation: saw(detect.TimedOut, true)},
+		useGood:      {isEvidence: true, observation: observed(detect.OK, false)},
+		useLate:      {isEvidence: true, observation: observed(detect.OK, true)},
+		useFailed:    {isEvidence: true, observation: observed(detect.Error, false)},
+		useLost:      {isEvidence: true, observation: observed(detect.ConnectionLost, false)},
+		useOverdue:   {isEvidence: true, observation: observed(detect.TimedOut, true)},
 		useCancelled: {},
 		useReserved:  {},
 	}
