--- a/internal/sidecar/do.go
+++ b/internal/sidecar/do.go
@@ -26,7 +26,7 @@
 func (s *Sidecar) Do(ctx context.Context, call hop.Call, in *http.Request) (Answer, error) {
 	answer, err := s.do(ctx, call, in)
 	if err != nil {
-		s.refusals.Inc(result.From(err).Code)
+		s.refused.Inc(result.From(err).Code)
 	}
 	return answer, err
 }
--- a/internal/sidecar/exchange.go
+++ b/internal/sidecar/exchange.go
@@ -27,7 +27,7 @@
 	out := hop.Outgoing(ctx, in, server.address())
 	left := call.TimeLeft - time.Since(began)
 	out.Header.Set(names.DeadlineHeader, strconv.FormatInt(left.Milliseconds(), 10))
-	names.setRouting(out.Header, call)
+	names.address(out.Header, call)
 	response, err := server.pool.Do(ctx, out, func(r *http.Response) bool { return names.matches(r, in) })
 	if err != nil {
 		sent := !errors.Is(err, backend.ErrNotSent)
@@ -43,8 +43,8 @@
 	return response, nil
 }
 
-// setRouting sets the headers that name the backend server and the service where the request began.
-func (h *headers) setRouting(out http.Header, call hop.Call) {
+// address sets the headers that name the backend server and the service where the request began.
+func (h *headers) address(out http.Header, call hop.Call) {
 	if h.TargetHeader != "" {
 		out.Set(h.TargetHeader, call.BackendServer)
 	}
--- a/internal/sidecar/reservation.go
+++ b/internal/sidecar/reservation.go
@@ -85,7 +85,7 @@
 	id, err := s.Reserve(ctx, call)
 	if err != nil {
 		refused := result.From(err)
-		s.refusals.Inc(refused.Code)
+		s.refused.Inc(refused.Code)
 		writeRefusal(w, refused)
 		return
 	}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -98,7 +98,7 @@
 // Sidecar sends work to the backend servers of one host.
 type Sidecar struct {
 	config       Config
-	refusals     metric.Reasons
+	refused      metric.Reasons
 	connects     tally.Counter
 	ends         tally.Counter // runs that ended with their backend server
 	nextID       atomic.Uint64
@@ -121,7 +121,7 @@
 	}
 	s := &Sidecar{
 		config:       config,
-		refusals:     metric.NewReasons(config.Scope, "sidecar_refusals"),
+		refused:      metric.NewReasons(config.Scope, "sidecar_refusals"),
 		connects:     config.Scope.Counter("sidecar_connects"),
 		ends:         config.Scope.Counter("sidecar_runs_ended"),
 		reservations: newReservations(),
