--- a/internal/sidecar/admit.go
+++ b/internal/sidecar/admit.go
@@ -10,8 +10,8 @@
 
 // offer submits one request to admission control and applies the decision.
 func (t *task) offer(now time.Time, m *offerMessage) {
-	state := t.serverState(now, m)
-	decision := t.queue.Admit(now, &state, m.attempt, m.request)
+	serverState := t.serverState(now, m)
+	decision := t.queue.Admit(now, &serverState, m.attempt, m.request)
 	if decision.Evicted != 0 {
 		t.reply(decision.Evicted, refused(result.PlaceLost, t.queue.RetryAfter()))
 	}
