--- a/internal/backend/answer.go
+++ b/internal/backend/answer.go
@@ -7,16 +7,16 @@
 	"github.com/go-faster/errors"
 )
 
-// answerBody is the body of an answer; done runs once, at its end or when it is
-// closed before.
+// answerBody is the body of an answer. done runs once, when the body ends or is closed; complete
+// reports whether the body was read to its end.
 type answerBody struct {
 	io.ReadCloser
 	empty bool
-	done  func(whole bool)
+	done  func(complete bool)
 	once  sync.Once
 }
 
-// Read reads on, and gives the connection back at the end.
+// Read reads the body and calls done at its end or on an error.
 func (b *answerBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if err != nil {
@@ -25,7 +25,7 @@
 	return n, err
 }
 
-// Close gives the connection up unless the body was read to its end.
+// Close calls done unless the body was read to its end.
 func (b *answerBody) Close() error {
 	b.once.Do(func() { b.done(b.empty) })
 	return nil
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -1,11 +1,9 @@
-// Package backend sends requests to one backend server over connections that
-// are kept for many requests.
+// Package backend sends requests to one backend server over connections that are reused.
 //
-// net/http's client takes whatever answer comes next on a connection. Backend
-// servers that fail grayly send answers twice, late or cut, and such an answer
-// must not reach the wrong caller. This client checks each answer against its
-// request, reads past one that belongs to another, and never uses a connection
-// again on which anything was odd.
+// net/http's client accepts the next answer on a connection as the answer to its request. Backend
+// servers with gray failures send answers twice, late or truncated, and such an answer must not
+// reach the wrong caller. This client checks that each answer matches its request, discards answers
+// to other requests, and never reuses a connection on which anything unexpected happened.
 //
 // # Usage
 //
@@ -13,12 +11,12 @@
 //	defer cleanUp()
 //	response, err := pool.Do(ctx, request, func(r *http.Response) bool { return r.Header.Get("Request-Id") == id })
 //
-// Do sends a request once; it never sends one again by itself. An error that
-// wraps ErrNotSent proves that no byte was sent. The body of an answer must be
-// closed; the end of ctx closes the connection.
+// Do sends a request once and never retries it. An error that wraps ErrNotSent proves that no byte
+// was sent. The body of an answer must be closed; the end of ctx closes the connection.
 //
-// The pool is in backend.go, one connection in conn.go, with the check of an idle one
-// in open.go, whether the backend server has ended in ended.go, and the bodies of requests and answers in body.go and answer.go.
+// The pool is in backend.go, one connection in conn.go, the check of an idle connection in open.go,
+// the check whether the backend server has ended in ended.go, and the bodies of requests and
+// answers in body.go and answer.go.
 package backend
 
 import (
@@ -31,51 +29,51 @@
 	"github.com/go-faster/errors"
 )
 
-// ErrNotSent means that no connection was made, so that nothing was sent.
+// ErrNotSent means that no connection was made, so nothing was sent.
 var ErrNotSent = errors.New("no connection to the backend server")
 
-// Config says where the backend server is.
+// Config configures a pool.
 type Config struct {
-	// Address is its IP:port.
+	// Address is the IP:port of the backend server.
 	Address string
 	// Dial opens a connection.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// OnConnect is told of each new connection; it may be nil.
+	// OnConnect is called for each new connection; it may be nil.
 	OnConnect func()
 }
 
-// Pool is the connections to one backend server.
+// Pool holds the connections to one backend server.
 type Pool struct {
 	config Config
 
 	mu      sync.Mutex
-	idle    []*conn       // the one used last stands last
-	idleFor time.Duration // how long a connection may stay idle, by the last answer
-	ended   bool
+	idle    []*conn       // ordered by last use, the most recent last
+	idleFor time.Duration // how long a connection may stay idle, according to the last answer
+	closed  bool
 }
 
-// New returns a pool without connections and a function that closes the idle
-// ones; those in use close with their answers.
+// New returns an empty pool and a function that closes its idle connections; connections in use are
+// closed with their answers.
 func New(config Config) (*Pool, func()) {
 	if config.OnConnect == nil {
 		config.OnConnect = func() {}
 	}
-	p := &Pool{config: config, idleFor: defaultIdle}
-	return p, p.end
+	p := &Pool{config: config, idleFor: defaultIdleTimeout}
+	return p, p.closeIdle
 }
 
-func (p *Pool) end() {
+func (p *Pool) closeIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.ended = true
+	p.closed = true
 	for _, c := range p.idle {
 		c.close()
 	}
 	p.idle = nil
 }
 
-// Do sends the request and returns the head of its answer. The function says
-// whether an answer belongs to the request.
+// Do sends the request and returns the head of its answer. The function belongs reports whether an
+// answer belongs to the request.
 func (p *Pool) Do(ctx context.Context, r *http.Request, belongs func(*http.Response) bool) (*http.Response, error) {
 	c, err := p.conn(ctx)
 	if err != nil {
@@ -92,14 +90,14 @@
 		}
 		return nil, err
 	}
-	response.Body = &answerBody{ReadCloser: response.Body, empty: response.Body == http.NoBody, done: func(whole bool) {
-		inTime := stop()
-		p.giveBack(c, whole && inTime && c.reusable(response))
+	response.Body = &answerBody{ReadCloser: response.Body, empty: response.Body == http.NoBody, done: func(complete bool) {
+		stopped := stop()
+		p.putIdle(c, complete && stopped && c.reusable(response))
 	}}
 	return response, nil
 }
 
-// conn returns an idle connection that is still good, or a new one.
+// conn returns an idle connection that is still usable, or a new one.
 func (p *Pool) conn(ctx context.Context) (*conn, error) {
 	for {
 		c, ok := p.takeIdle()
@@ -113,7 +111,7 @@
 	}
 }
 
-// takeIdle takes the idle connection that was used last.
+// takeIdle removes and returns the most recently used idle connection.
 func (p *Pool) takeIdle() (*conn, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -135,11 +133,11 @@
 	return newConn(socket), nil
 }
 
-// giveBack keeps the connection for another request, or closes it.
-func (p *Pool) giveBack(c *conn, reusable bool) {
+// putIdle keeps the connection for another request, or closes it.
+func (p *Pool) putIdle(c *conn, reusable bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !reusable || p.ended {
+	if !reusable || p.closed {
 		c.close()
 		return
 	}
@@ -148,8 +146,8 @@
 	p.closeStale(time.Now())
 }
 
-// closeStale closes the connections that have been idle for too long; the one that was used
-// longest ago stands first.
+// closeStale closes the connections that have been idle for too long, starting with the least
+// recently used.
 func (p *Pool) closeStale(now time.Time) {
 	for len(p.idle) > 0 && now.After(p.idle[0].idleUntil) {
 		p.idle[0].close()
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -17,21 +17,21 @@
 	"github.com/tideliftd/tidelift/internal/backend"
 )
 
-// answering is a backend server that answers each request of a connection with
-// the text that the function returns for it.
-type answering struct {
+// answerServer is a backend server that answers each request of a connection with the text that the
+// function returns for it.
+type answerServer struct {
 	address     string
 	connections atomic.Int64
 }
 
-func newAnswering(t *testing.T, answer func(id string, n int) string) *answering {
+func newAnswerServer(t *testing.T, answer func(id string, n int) string) *answerServer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = listener.Close() })
-	a := &answering{address: listener.Addr().String()}
+	a := &answerServer{address: listener.Addr().String()}
 	go func() {
 		for {
 			socket, err := listener.Accept()
@@ -62,7 +62,7 @@
 	}
 }
 
-// reply is a whole answer to the request of that id.
+// reply returns a complete answer to the request with that ID.
 func reply(id, body, more string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Id: %s\r\n%sContent-Length: %d\r\n\r\n%s", id, more, len(body), body)
 }
@@ -92,17 +92,17 @@
 	return p
 }
 
-// TestAnswers sends five requests one after the other and looks at what each gets
-// and over how many connections.
+// TestAnswers guards against answers that reach the wrong request, and against connections that are
+// reused after an unexpected answer or not reused after a complete one.
 func TestAnswers(t *testing.T) {
 	tests := []struct {
 		name        string
 		answer      func(id string, n int) string
 		connections int64
 	}{
-		{"whole answers", func(id string, _ int) string { return reply(id, id, "") }, 1},
-		{"one that closes", func(id string, _ int) string { return reply(id, id, "Connection: close\r\n") }, 5},
-		{"no time to rest", func(id string, _ int) string { return reply(id, id, "Keep-Alive: timeout=0\r\n") }, 5},
+		{"complete answers", func(id string, _ int) string { return reply(id, id, "") }, 1},
+		{"an answer that closes the connection", func(id string, _ int) string { return reply(id, id, "Connection: close\r\n") }, 5},
+		{"no idle time", func(id string, _ int) string { return reply(id, id, "Keep-Alive: timeout=0\r\n") }, 5},
 		{"a second answer after the first", func(id string, _ int) string { return reply(id, id, "") + reply(id, "surplus", "") }, 5},
 		{"bytes after the answer", func(id string, _ int) string { return reply(id, id, "") + "noise" }, 5},
 		{"an answer to another before it", func(id string, _ int) string { return reply("other", "surplus", "") + reply(id, id, "") }, 5},
@@ -112,12 +112,12 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			a := newAnswering(t, test.answer)
+			a := newAnswerServer(t, test.answer)
 			p := newPool(t, a.address)
 			for n := range 5 {
 				id := fmt.Sprintf("r%d", n)
 				if body, err := send(p, id); err != nil || body != id {
-					t.Fatalf("request %s got %q, %v", id, body, err)
+					t.Fatalf("request %s: got %q, %v", id, body, err)
 				}
 				time.Sleep(5 * time.Millisecond) // lets surplus bytes arrive
 			}
@@ -128,8 +128,8 @@
 	}
 }
 
-// TestBrokenAnswersAreErrors never takes one for whole, nor a refused connection
-// for a request that was sent.
+// TestBrokenAnswersAreErrors guards against a truncated or invalid answer taken for a complete one,
+// and a refused connection taken for a request that was sent.
 func TestBrokenAnswersAreErrors(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -144,25 +144,25 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			a := newAnswering(t, func(string, int) string { return test.answer })
+			a := newAnswerServer(t, func(string, int) string { return test.answer })
 			body, err := send(newPool(t, a.address), "r")
 			if err == nil {
 				t.Fatalf("got %q", body)
 			}
 			if errors.Is(err, backend.ErrNotSent) {
-				t.Fatalf("a request that was sent counts as not sent: %v", err)
+				t.Fatalf("sent request reported as not sent: %v", err)
 			}
 		})
 	}
 	if _, err := send(newPool(t, "127.0.0.1:1"), "r"); !errors.Is(err, backend.ErrNotSent) {
-		t.Fatalf("a refused connection gave %v", err)
+		t.Fatalf("refused connection: got %v, want ErrNotSent", err)
 	}
 }
 
-// TestALongAnswerToAnotherIsNotReadWhole gives the request up once a foreign answer is
-// longer than one that a backend server left behind could be.
-func TestALongAnswerToAnotherIsNotReadWhole(t *testing.T) {
-	a := newAnswering(t, func(string, int) string {
+// TestLongMismatchedAnswerIsNotReadToItsEnd guards against a request that spends its time on the
+// long body of an answer to another request.
+func TestLongMismatchedAnswerIsNotReadToItsEnd(t *testing.T) {
+	a := newAnswerServer(t, func(string, int) string {
 		return "HTTP/1.1 200 OK\r\nX-Id: other\r\nContent-Length: 1000000000\r\n\r\n" + strings.Repeat("x", 2<<20)
 	})
 	began := time.Now()
@@ -170,20 +170,21 @@
 		t.Fatalf("got %q, want an error", body)
 	}
 	if took := time.Since(began); took > 2*time.Second {
-		t.Fatalf("it took %s, until the request's deadline", took)
+		t.Fatalf("request took %s, want at most 2 s", took)
 	}
 }
 
-// TestAnswerWithoutLengthEndsWithItsConnection takes an orderly end for the end.
+// TestAnswerWithoutLengthEndsWithItsConnection guards against an error for an answer that ends with
+// an orderly close of its connection.
 func TestAnswerWithoutLengthEndsWithItsConnection(t *testing.T) {
-	a := newAnswering(t, func(id string, _ int) string { return "HTTP/1.1 200 OK\r\nX-Id: " + id + "\r\n\r\nwhole" + "CLOSE" })
+	a := newAnswerServer(t, func(id string, _ int) string { return "HTTP/1.1 200 OK\r\nX-Id: " + id + "\r\n\r\nwhole" + "CLOSE" })
 	if body, err := send(newPool(t, a.address), "r"); err != nil || body != "whole" {
 		t.Fatalf("got %q, %v", body, err)
 	}
 }
 
-// TestEndOfContextClosesTheConnection makes the backend server notice that nobody
-// waits any more.
+// TestEndOfContextClosesTheConnection guards against a backend server that keeps running a request
+// whose caller has stopped waiting.
 func TestEndOfContextClosesTheConnection(t *testing.T) {
 	closed := make(chan struct{})
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -211,21 +212,21 @@
 	response, err := p.Do(ctx, r, func(*http.Response) bool { return true })
 	if err == nil {
 		_ = response.Body.Close()
-		t.Fatal("an answer came from nowhere")
+		t.Fatal("got an answer that was never sent")
 	}
 	if !errors.Is(err, context.DeadlineExceeded) {
-		t.Fatalf("the end of the context gave %v", err)
+		t.Fatalf("got %v, want the deadline error of the context", err)
 	}
 	select {
 	case <-closed:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the connection stays open")
+		t.Fatal("connection is still open 5 s after the end of the context")
 	}
 }
 
-// TestEarlyAnswerSpendsTheConnection answers a long request before it was read:
-// the rest of its body must not be taken for the next request.
-func TestEarlyAnswerSpendsTheConnection(t *testing.T) {
+// TestConnectionIsNotReusedAfterEarlyAnswer guards against the rest of an unread body being taken
+// for the next request.
+func TestConnectionIsNotReusedAfterEarlyAnswer(t *testing.T) {
 	var connections atomic.Int64
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -246,7 +247,7 @@
 					return
 				}
 				_, _ = io.WriteString(socket, reply(r.Header.Get("X-Id"), "early", ""))
-				_, _ = io.Copy(io.Discard, reader) // reads on later
+				_, _ = io.Copy(io.Discard, reader) // reads the rest after the answer
 			}()
 		}
 	}()
@@ -271,6 +272,6 @@
 		cancel()
 	}
 	if got := connections.Load(); got != 3 {
-		t.Fatalf("%d connections for 3 requests of which none was read to its end", got)
+		t.Fatalf("%d connections, want one for each of 3 requests that were not read to their end", got)
 	}
 }
--- a/internal/backend/body.go
+++ b/internal/backend/body.go
@@ -7,36 +7,36 @@
 	"github.com/go-faster/errors"
 )
 
-// continueTimeout is how long a backend server may take to ask for a body that
-// waits for it, before it is sent unasked. Source: net/http's default.
+// continueTimeout is how long a backend server may take to request a body with 100 Continue before
+// the body is sent anyway. net/http has the same default.
 const continueTimeout = time.Second
 
-// errNotContinued means that the backend server answered without asking for the body.
-var errNotContinued = errors.New("body was not asked for")
+// errNotContinued means that the backend server answered without requesting the body.
+var errNotContinued = errors.New("backend server answered without requesting the body")
 
-// reportContinue lets the request's waiting body be sent, or not.
-func (c *conn) reportContinue(asked bool) {
+// reportContinue notifies the request's delayed body whether it is to be sent.
+func (c *conn) reportContinue(requested bool) {
 	if c.proceed == nil {
 		return
 	}
 	select {
-	case c.proceed <- asked:
-	default: // it was reported already
+	case c.proceed <- requested:
+	default: // already reported
 	}
 }
 
-// waitingBody is a body that is sent once the backend server asks for it.
-type waitingBody struct {
+// delayedBody is a body that is sent once the backend server requests it.
+type delayedBody struct {
 	io.ReadCloser
-	conn  *conn
-	begun bool
+	conn    *conn
+	started bool
 }
 
-// Read waits for the first piece until the backend server asks for it or has had
-// long enough to refuse it.
-func (b *waitingBody) Read(p []byte) (int, error) {
-	if !b.begun {
-		b.begun = true
+// Read waits before the first read until the backend server requests the body or continueTimeout
+// has passed.
+func (b *delayedBody) Read(p []byte) (int, error) {
+	if !b.started {
+		b.started = true
 		if err := b.wait(); err != nil {
 			return 0, err
 		}
@@ -44,16 +44,16 @@
 	return b.ReadCloser.Read(p)
 }
 
-// wait sends the head and waits until the body is asked for, refused or due.
-func (b *waitingBody) wait() error {
+// wait sends the head and waits until the body is requested, refused or due.
+func (b *delayedBody) wait() error {
 	if err := b.conn.writer.Flush(); err != nil {
 		return err
 	}
 	timer := time.NewTimer(continueTimeout)
 	defer timer.Stop()
 	select {
-	case asked := <-b.conn.proceed:
-		if !asked {
+	case requested := <-b.conn.proceed:
+		if !requested {
 			return errNotContinued
 		}
 	case <-timer.C:
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -13,36 +13,35 @@
 )
 
 const (
-	// maxForeign is how many answers to other requests are read past. Source:
-	// a backend server that answers twice leaves one behind.
-	maxForeign = 2
-	// maxForeignBody bounds what is read of such an answer, in bytes. Not measured: reading a
-	// longer one takes longer than a new connection.
-	maxForeignBody = 1 << 20
-	// idleTimeout is how long an idle connection is kept when the backend server does not say.
-	// Not measured: most servers keep theirs for a minute or more.
+	// maxMismatched is how many answers to other requests are discarded. A backend server that
+	// answers twice leaves one behind.
+	maxMismatched = 2
+	// maxMismatchedBody bounds the body of such an answer, in bytes. Reading a longer one takes
+	// longer than a new connection.
+	maxMismatchedBody = 1 << 20
+	// idleTimeout is how long an idle connection is kept if the backend server names no timeout.
 	idleTimeout = 30 * time.Second
-	// idlePart is the part of the time that the backend server names for which an idle
-	// connection is used. Not measured: so that a request seldom meets its closing.
-	idlePart = 0.7
-	// bufferSize is the size of a connection's buffers, in bytes.
+	// idleFraction is the fraction of the timeout named by the backend server for which an idle
+	// connection is used, so that a request seldom meets the closing of its connection.
+	idleFraction = 0.7
+	// bufferSize is the size of each buffer of a connection, in bytes.
 	bufferSize = 4 << 10
 )
 
-// errForeignAnswer means that only answers to other requests came.
-var errForeignAnswer = errors.New("answer belongs to another request")
+// errMismatchedAnswer means that only answers to other requests were received.
+var errMismatchedAnswer = errors.New("answer belongs to another request")
 
 // conn is one connection.
 type conn struct {
-	socket    net.Conn
-	reader    *bufio.Reader
-	writer    *bufio.Writer
-	idleFor   time.Duration // how long it may stay idle
-	idleUntil time.Time     // until when it may
-	foreign   bool          // an answer to another request came
-	sent      chan error    // how the sending of the request ended
-
-	// proceed gets true once the backend server asks for the body (100 Continue), and false if
+	socket     net.Conn
+	reader     *bufio.Reader
+	writer     *bufio.Writer
+	idleFor    time.Duration // how long the connection may stay idle
+	idleUntil  time.Time     // until when the connection may stay idle
+	mismatched bool          // an answer to another request was received
+	sent       chan error    // receives the result of sending the request
+
+	// proceed receives true once the backend server requests the body (100 Continue), and false if
 	// it answers without; nil for a request that does not wait for that.
 	proceed chan bool
 }
@@ -58,13 +57,13 @@
 
 func (c *conn) close() { _ = c.socket.Close() }
 
-// send writes the request beside the reading of its answer, since a backend
-// server may answer before it has read all of a body.
+// send writes the request. A body is sent concurrently with reading the answer, since a backend
+// server may answer before it has read all of it.
 func (c *conn) send(r *http.Request) {
 	c.proceed = nil
 	if r.Header.Get("Expect") != "" && r.Body != nil {
 		c.proceed = make(chan bool, 1)
-		r.Body = &waitingBody{ReadCloser: r.Body, conn: c}
+		r.Body = &delayedBody{ReadCloser: r.Body, conn: c}
 	}
 	c.sent = make(chan error, 1)
 	if r.Body == nil || r.Body == http.NoBody {
@@ -78,10 +77,10 @@
 func (c *conn) write(r *http.Request) error {
 	err := r.Write(c.writer)
 	if errors.Is(err, errNotContinued) {
-		return err // the answer is there, and the connection is not used again
+		return err // the answer is being read, and the connection is not reused
 	}
 	if err != nil {
-		c.close() // a part of a request must not be taken for the whole
+		c.close() // a truncated request must not be taken for a complete one
 		return errors.Wrap(err, "send request")
 	}
 	if err := c.writer.Flush(); err != nil {
@@ -90,9 +89,9 @@
 	return nil
 }
 
-// receive reads the head of the request's answer, past answers to others.
+// receive reads the head of the request's answer and discards answers to other requests.
 func (c *conn) receive(r *http.Request, belongs func(*http.Response) bool) (*http.Response, error) {
-	for range maxForeign + 1 {
+	for range maxMismatched + 1 {
 		response, err := c.readFinal(r)
 		if err != nil {
 			return nil, errors.Wrap(err, "read answer")
@@ -100,15 +99,15 @@
 		if belongs(response) {
 			return response, nil
 		}
-		c.foreign = true
-		if err := skip(response); err != nil {
+		c.mismatched = true
+		if err := discard(response); err != nil {
 			return nil, errors.Wrap(err, "read answer to another request")
 		}
 	}
-	return nil, errForeignAnswer
+	return nil, errMismatchedAnswer
 }
 
-// readFinal reads the head of the next answer that is not an interim one.
+// readFinal reads the head of the next answer that is not an interim (1xx) one.
 func (c *conn) readFinal(r *http.Request) (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(c.reader, r)
@@ -117,61 +116,61 @@
 			return response, err
 		}
 		if response.StatusCode == http.StatusSwitchingProtocols {
-			return nil, errors.New("backend server switches protocols unasked")
+			return nil, errors.New("backend server switched protocols without a request to")
 		}
 	}
 }
 
-// skip reads an answer to its end. One that ends with its connection leaves nothing to
-// read after it; of one that is too long the rest is left, and the connection is closed.
-func skip(response *http.Response) error {
+// discard reads an answer to its end. It returns an error, after which the connection is closed, if
+// the answer ends with its connection or its body is too long.
+func discard(response *http.Response) error {
 	if response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
-		return errForeignAnswer
+		return errMismatchedAnswer
 	}
-	n, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxForeignBody+1))
+	n, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxMismatchedBody+1))
 	if err != nil {
 		return err
 	}
-	if n > maxForeignBody {
-		return errForeignAnswer
+	if n > maxMismatchedBody {
+		return errMismatchedAnswer
 	}
 	return response.Body.Close()
 }
 
-// reusable reports whether the connection is fit for another request after a
-// whole answer, and records for how long.
+// reusable reports whether the connection can be reused after a complete answer, and records for
+// how long.
 func (c *conn) reusable(response *http.Response) bool {
-	if !c.sentWhole() || c.foreign || response.Close || c.reader.Buffered() > 0 {
+	if !c.sentCompletely() || c.mismatched || response.Close || c.reader.Buffered() > 0 {
 		return false
 	}
 	c.setIdle(time.Now(), idleTimeFrom(response.Header.Get("Keep-Alive")))
 	return true
 }
 
-// setIdle lets the connection stay idle for so long.
+// setIdle sets how long the connection may stay idle from now on.
 func (c *conn) setIdle(now time.Time, idle time.Duration) {
 	c.idleFor, c.idleUntil = idle, now.Add(idle)
 }
 
-// sentWhole reports whether the request was sent to its end.
-func (c *conn) sentWhole() bool {
+// sentCompletely reports whether the request was sent to its end.
+func (c *conn) sentCompletely() bool {
 	select {
 	case err := <-c.sent:
 		return err == nil
-	default: // it is still being sent
+	default: // still being sent
 		return false
 	}
 }
 
-// idleTimeFrom returns how long a connection may stay idle, by the Keep-Alive header.
+// idleTimeFrom returns how long a connection may stay idle according to the Keep-Alive header.
 func idleTimeFrom(header string) time.Duration {
 	for field := range strings.SplitSeq(header, ",") {
 		value, ok := strings.CutPrefix(strings.TrimSpace(field), "timeout=")
 		if !ok {
 			continue
 		}
-		if whole, err := strconv.Atoi(value); err == nil && whole >= 0 {
-			return time.Duration(float64(whole) * idlePart * float64(time.Second))
+		if seconds, err := strconv.Atoi(value); err == nil && seconds >= 0 {
+			return time.Duration(float64(seconds) * idleFraction * float64(time.Second))
 		}
 	}
 	return idleTimeout
--- a/internal/backend/ended.go
+++ b/internal/backend/ended.go
@@ -10,39 +10,37 @@
 )
 
 const (
-	// endedConnect bounds the opening of a connection that shows whether the backend server has
-	// ended. Source: on the same host a connection is made or refused within microseconds.
-	endedConnect = 100 * time.Millisecond
-	// endSettles is for how long another connection has to stay open after one was lost, to show that
-	// the backend server goes on. Source: a process that ends closes its sockets one after the other,
-	// within some milliseconds.
-	endSettles = 50 * time.Millisecond
-	// defaultIdle is how long a connection that was made for the check is kept for a request before
-	// any answer has said how long connections may stay idle. Not measured: short, since nothing is
-	// known of the backend server.
-	defaultIdle = time.Second
+	// endedConnectTimeout bounds the opening of a connection that shows whether the backend server
+	// has ended.
+	endedConnectTimeout = 100 * time.Millisecond
+	// endRecheckDelay is the delay after which CheckEnded checks again. A process that ends closes
+	// its sockets one after the other, within some milliseconds.
+	endRecheckDelay = 50 * time.Millisecond
+	// defaultIdleTimeout is how long a connection made by the check may stay idle until an answer
+	// names another time.
+	defaultIdleTimeout = time.Second
 )
 
-// CheckEnded reports whether the backend server has ended. It is called right after a connection to it
-// was lost. One that goes on has left another connection open, or takes a new one, which is then kept
-// for a request; one that has ended refuses it. Since a process that ends does not close all its
-// sockets at once, that is checked again after endSettles, and later is called if the backend server
-// has ended then.
-func (p *Pool) CheckEnded(later func()) bool {
+// CheckEnded reports whether the backend server has ended. It must be called right after a
+// connection to it was lost. A backend server that still runs has another open connection or
+// accepts a new one, which is kept for a request; one that has ended refuses it. Since a process
+// that ends does not close all its sockets at the same time, a backend server that seems to run is
+// checked again after endRecheckDelay, and onEnded is called if it has ended by then.
+func (p *Pool) CheckEnded(onEnded func()) bool {
 	open, refused := p.checkListening()
 	if open {
 		go func() {
-			time.Sleep(endSettles)
+			time.Sleep(endRecheckDelay)
 			if _, refused := p.checkListening(); refused {
-				later()
+				onEnded()
 			}
 		}()
 	}
 	return refused
 }
 
-// checkListening reports whether a connection is open, an idle or a new one, or whether a new one was refused; both
-// are false if it took too long.
+// checkListening reports whether an idle or a new connection is open, or whether a new one was
+// refused; both are false on a timeout or another error.
 func (p *Pool) checkListening() (open, refused bool) {
 	if p.anyIdleOpen() {
 		return true, false
@@ -54,25 +52,25 @@
 	return c != nil, refused
 }
 
-// anyIdleOpen reports whether an idle connection is still open. It spares the backend server a new one: on a
-// quiet day with backend servers that break connections there were half as many again without it.
+// anyIdleOpen reports whether an idle connection is still open, which saves the backend server a
+// new one.
 func (p *Pool) anyIdleOpen() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.ContainsFunc(p.idle, (*conn).open)
 }
 
-// addIdle keeps a connection that was made for the check, for as long as others may stay idle.
+// addIdle keeps a connection made by the check for as long as others may stay idle.
 func (p *Pool) addIdle(c *conn) {
 	p.mu.Lock()
 	c.setIdle(time.Now(), p.idleFor)
 	p.mu.Unlock()
-	p.giveBack(c, true)
+	p.putIdle(c, true)
 }
 
-// tryConnect opens a connection, or reports that it was refused.
+// tryConnect opens a connection, or reports whether it was refused.
 func (p *Pool) tryConnect() (c *conn, refused bool) {
-	ctx, cancel := context.WithTimeout(context.Background(), endedConnect)
+	ctx, cancel := context.WithTimeout(context.Background(), endedConnectTimeout)
 	defer cancel()
 	c, err := p.connect(ctx)
 	if err != nil {
--- a/internal/backend/ended_test.go
+++ b/internal/backend/ended_test.go
@@ -9,7 +9,7 @@
 	"github.com/tideliftd/tidelift/internal/dial"
 )
 
-// listen returns a listener and a pool of connections to it.
+// listen returns a listener and a pool for its address; connects counts the new connections.
 func listen(t *testing.T, connects *int) (net.Listener, *backend.Pool) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -27,19 +27,20 @@
 	return listener, pool
 }
 
-// TestOneThatRefusesConnectionsHasEnded asks after the listener was closed.
-func TestOneThatRefusesConnectionsHasEnded(t *testing.T) {
+// TestServerThatRefusesConnectionsHasEnded guards against a missed end of a backend server that
+// refuses connections, and against reporting it twice.
+func TestServerThatRefusesConnectionsHasEnded(t *testing.T) {
 	var connects int
 	listener, pool := listen(t, &connects)
 	_ = listener.Close()
-	if !pool.CheckEnded(func() { t.Error("told twice") }) {
-		t.Fatal("nobody listens, and it has not ended")
+	if !pool.CheckEnded(func() { t.Error("end reported twice") }) {
+		t.Fatal("backend server without a listener is reported as running")
 	}
 }
 
-// TestOneThatBreaksConnectionsGoesOn asks one that takes the next connection, which then serves a
-// request.
-func TestOneThatBreaksConnectionsGoesOn(t *testing.T) {
+// TestServerThatAcceptsConnectionsHasNotEnded guards against reporting the end of a backend server
+// that accepts connections, and against wasting the connection made by the check.
+func TestServerThatAcceptsConnectionsHasNotEnded(t *testing.T) {
 	var connects int
 	listener, pool := listen(t, &connects)
 	go func() {
@@ -51,32 +52,32 @@
 			go serve(socket, func(id string, _ int) string { return reply(id, "done", "") })
 		}
 	}()
-	if pool.CheckEnded(func() { t.Error("it is said to have ended") }) {
-		t.Fatal("it is said to have ended")
+	if pool.CheckEnded(func() { t.Error("running backend server is reported as ended") }) {
+		t.Fatal("running backend server is reported as ended")
 	}
-	const secondCheckOver = 300 * time.Millisecond // due after endSettles; the connection stays idle for a second
+	const secondCheckOver = 300 * time.Millisecond // due after endRecheckDelay; the connection may stay idle for a second
 	time.Sleep(secondCheckOver)
 	if body, err := send(pool, "a"); err != nil || body != "done" {
 		t.Fatalf("%q %v", body, err)
 	}
 	if connects != 1 {
-		t.Fatalf("%d connections, want the one that the question made", connects)
+		t.Fatalf("%d connections, want only the one that the check made", connects)
 	}
 }
 
-// TestOneThatClosesItsListenerLastHasEnded takes a connection and closes it with the listener a moment
-// later.
-func TestOneThatClosesItsListenerLastHasEnded(t *testing.T) {
+// TestServerThatClosesItsListenerLastHasEnded guards against a missed end if the listener is closed
+// only after the first check.
+func TestServerThatClosesItsListenerLastHasEnded(t *testing.T) {
 	var connects int
 	listener, pool := listen(t, &connects)
 	ended := make(chan struct{})
 	if pool.CheckEnded(func() { close(ended) }) {
-		t.Fatal("it still listens")
+		t.Fatal("listening backend server is reported as ended")
 	}
-	_ = listener.Close() // also resets what it has not accepted
+	_ = listener.Close() // also resets connections that were not accepted
 	select {
 	case <-ended:
 	case <-time.After(5 * time.Second):
-		t.Fatal("nobody was told of the end")
+		t.Fatal("end was not reported")
 	}
 }
--- a/internal/backend/open.go
+++ b/internal/backend/open.go
@@ -7,8 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// open reports whether an idle connection is open and has nothing to read. Bytes
-// that come unasked belong to no request.
+// open reports whether an idle connection is open and has nothing to read. Unsolicited bytes
+// belong to no request.
 func (c *conn) open() bool {
 	tcp, ok := c.socket.(*net.TCPConn)
 	if !ok {
