--- a/internal/subrequest/subrequest_test.go
+++ b/internal/subrequest/subrequest_test.go
@@ -16,87 +16,91 @@
 	outside = route.Name{Host: "a.example", Path: "/search/"}
 )
 
-// newTracker returns the tracker of a host of which nothing is known.
+// newTracker returns a tracker without evidence.
 func newTracker() *subrequest.Tracker {
 	return subrequest.New(subrequest.Config{OnChange: func(route.Name, bool) {}})
 }
 
-// newCalm returns the tracker of a host whose backend servers have not failed for long.
-func newCalm() *subrequest.Tracker {
+// newSteadyTracker returns a tracker of a host whose backend servers have not failed for a minute.
+func newSteadyTracker() *subrequest.Tracker {
 	tracker := newTracker()
 	tracker.Failed(epoch.Add(-time.Minute), route.Name{Path: "/other/"})
 	return tracker
 }
 
-// seenOnce is what one trial shows that a failed answer follows, where they are seldom.
-func seenOnce() subrequest.Evidence {
-	tracker := newCalm()
+// singleTrialEvidence returns the evidence of one followed trial on a host where failed answers are
+// rare.
+func singleTrialEvidence() subrequest.Evidence {
+	tracker := newSteadyTracker()
 	tracker.Failed(epoch, called)
 	return tracker.Answered(epoch.Add(time.Millisecond), false)[0]
 }
 
+// TestACalledRouteIsLearned guards against a called route that is recognised too early or not at
+// all, and against routes kept after their removal.
 func TestACalledRouteIsLearned(t *testing.T) {
-	tracker := newCalm()
+	tracker := newSteadyTracker()
 	now := epoch
 	for i := range 3 {
 		now = now.Add(10 * time.Second)
 		tracker.Failed(now, called)
 		updates := tracker.Answered(now.Add(5*time.Millisecond), false)
-		if len(updates) != 1 || updates[0] != seenOnce() {
-			t.Fatalf("failure %d is told as %v", i+1, updates)
+		if len(updates) != 1 || updates[0] != singleTrialEvidence() {
+			t.Fatalf("failure %d is reported as %v", i+1, updates)
 		}
 		if tracker.IsSubrequest(called) != (i == 2) {
-			t.Fatalf("after %d failures: known %t", i+1, tracker.IsSubrequest(called))
+			t.Fatalf("after %d failures: called %t", i+1, tracker.IsSubrequest(called))
 		}
 	}
 	tracker.Retain(func(route.Name) bool { return false })
 	if tracker.IsSubrequest(called) {
-		t.Fatal("a route that is gone is kept")
+		t.Fatal("removed route is still considered called")
 	}
 }
 
-// TestHostsTeachEachOther lets three hosts see one failure each.
-func TestHostsTeachEachOther(t *testing.T) {
-	tracker := newCalm()
+// TestHostsShareEvidence guards against evidence or conclusions of other hosts that are ignored, or
+// weigh more than local ones.
+func TestHostsShareEvidence(t *testing.T) {
+	tracker := newSteadyTracker()
 	for range 2 {
-		if tracker.AddRemoteEvidence(seenOnce()) {
-			t.Fatal("two failures are enough")
+		if tracker.AddRemoteEvidence(singleTrialEvidence()) {
+			t.Fatal("route is considered called after two failures")
 		}
 	}
 	tracker.Failed(epoch, called)
 	tracker.Answered(epoch.Add(time.Millisecond), false)
-	if !tracker.IsSubrequest(called) || !tracker.AddRemoteEvidence(seenOnce()) {
-		t.Fatal("a third, seen here, teaches nothing")
+	if !tracker.IsSubrequest(called) || !tracker.AddRemoteEvidence(singleTrialEvidence()) {
+		t.Fatal("third failure, on this host, did not make the route considered called")
 	}
 	other := newTracker()
 	other.MarkCalled(outside)
 	if !other.IsSubrequest(outside) {
-		t.Fatal("what another host knows is not taken")
+		t.Fatal("route is not considered called although another host reported it")
 	}
 	for range 5 {
 		other.AddRemoteEvidence(subrequest.Evidence{Route: outside, Weight: -2})
 	}
 	if other.IsSubrequest(outside) {
-		t.Fatal("what is seldom followed is taken for called")
+		t.Fatal("route is still considered called after evidence against it")
 	}
 }
 
-// TestFailuresAtOnceShowNoMoreThanOne lets many requests to a route fail together, and one
-// answer of a backend server after them.
-func TestFailuresAtOnceShowNoMoreThanOne(t *testing.T) {
+// TestConcurrentFailuresCountOnce guards against one failed answer that counts as evidence for many
+// requests that failed together before it.
+func TestConcurrentFailuresCountOnce(t *testing.T) {
 	tracker := newTracker()
 	for i := range 50 {
 		tracker.Failed(epoch.Add(time.Duration(i)*time.Millisecond), outside)
 	}
 	tracker.Answered(epoch.Add(60*time.Millisecond), false)
 	if tracker.IsSubrequest(outside) {
-		t.Fatal("one answer speaks for fifty failures")
+		t.Fatal("one answer counted for fifty failures")
 	}
 }
 
-// TestWhatWasLearnedWronglyIsUnlearned has failures of a route that is taken for called be
-// followed by nothing.
-func TestWhatWasLearnedWronglyIsUnlearned(t *testing.T) {
+// TestWrongConclusionIsReverted guards against a route that stays considered called although no
+// failed answers follow its failures.
+func TestWrongConclusionIsReverted(t *testing.T) {
 	tracker := newTracker()
 	tracker.MarkCalled(outside)
 	now := epoch
@@ -104,14 +108,14 @@
 		now = now.Add(time.Second)
 		tracker.Failed(now, outside)
 		if i > 5 && tracker.IsSubrequest(outside) {
-			t.Fatalf("still taken for called after %d failures that nothing followed", i)
+			t.Fatalf("still considered called after %d failures that no failed answer followed", i)
 		}
 	}
 }
 
-// TestOneAnswerFollowsOnce lets one failed answer come after several failures: each is
-// followed once.
-func TestOneAnswerFollowsOnce(t *testing.T) {
+// TestFailureIsFollowedOnce guards against one failure that counts again for each failed answer
+// after it.
+func TestFailureIsFollowedOnce(t *testing.T) {
 	tracker := newTracker()
 	tracker.Failed(epoch, called)
 	tracker.Answered(epoch.Add(time.Millisecond), false)
@@ -122,28 +126,28 @@
 	}
 }
 
-// TestChanceTeachesLittle lets a host's backend servers fail by themselves, by chance, while
-// requests from outside fail at other moments.
-func TestChanceTeachesLittle(t *testing.T) {
+// TestCoincidencesAreSeldomTakenForCalls guards against routes considered called because unrelated
+// failures happen to coincide with failed answers.
+func TestCoincidencesAreSeldomTakenForCalls(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	const hosts = 1000
 	for _, rate := range []float64{0.3, 1, 3} {
 		wrong := 0
 		for range hosts {
-			if takesChanceForACall(random, rate) {
+			if takenForCalled(random, rate) {
 				wrong++
 			}
 		}
 		const most = hosts / 100
 		if wrong > most {
-			t.Errorf("%d of %d hosts took chance for a call, with %g failed answers a second", wrong, hosts, rate)
+			t.Errorf("%d of %d hosts considered the route called by chance, at %g failed answers per second", wrong, hosts, rate)
 		}
 	}
 }
 
-// takesChanceForACall plays a minute with so many failed answers a second, and twice as many
-// failures of a route. It says whether the route was ever taken for called.
-func takesChanceForACall(random *rand.Rand, rate float64) bool {
+// takenForCalled simulates a minute with the given rate of failed answers per second and twice that
+// rate of unrelated failures of a route. It reports whether the route was ever considered called.
+func takenForCalled(random *rand.Rand, rate float64) bool {
 	tracker := newTracker()
 	next := func(rate float64) time.Duration {
 		return time.Duration(random.ExpFloat64() / rate * float64(time.Second))
@@ -164,7 +168,9 @@
 	return false
 }
 
-func TestGoodAnswersAndLateOnesTeachNothing(t *testing.T) {
+// TestGoodAndLateAnswersAreNoEvidence guards against successful answers, or failed ones after
+// followWindow, that count as evidence for a route.
+func TestGoodAndLateAnswersAreNoEvidence(t *testing.T) {
 	tracker := newTracker()
 	now := epoch
 	for range 20 {
@@ -174,12 +180,13 @@
 		tracker.Answered(now.Add(500*time.Millisecond), false)
 	}
 	if tracker.IsSubrequest(outside) {
-		t.Fatal("learned from good or late answers")
+		t.Fatal("good or late answers counted as evidence")
 	}
 }
 
-// TestEachChangeIsToldOnce learns a route, sees it fail on, and unlearns it.
-func TestEachChangeIsToldOnce(t *testing.T) {
+// TestEachChangeIsReportedOnce guards against repeated reports of a route that is already
+// considered called.
+func TestEachChangeIsReportedOnce(t *testing.T) {
 	var changes []bool
 	tracker := subrequest.New(subrequest.Config{OnChange: func(name route.Name, is bool) {
 		if name == called {
@@ -191,7 +198,7 @@
 		now = now.Add(time.Second)
 		tracker.Failed(now, called)
 		if updates := tracker.Answered(now.Add(time.Millisecond), false); len(updates) > 0 && len(changes) > 0 && now.Sub(epoch) > 10*time.Second {
-			t.Fatal("other hosts are told of what has long been known")
+			t.Fatal("evidence for a route already considered called was reported again")
 		}
 	}
 	for range 20 {
@@ -199,6 +206,6 @@
 		tracker.Failed(now, called)
 	}
 	if !slices.Equal(changes, []bool{true, false}) {
-		t.Fatalf("told of %v", changes)
+		t.Fatalf("changes %v, want true, then false", changes)
 	}
 }
