--- a/internal/hop/encode.go
+++ b/internal/hop/encode.go
@@ -9,10 +9,8 @@
 	"github.com/go-faster/errors"
 )
 
-// wireCall is a call as it travels: a list without names, times in microseconds, and the
-// flags in one number. Source: as headers of its own each, a call took some 500 bytes,
-// of which its values were a tenth; requests and what is asked for them beforehand were
-// half of the bytes between data centres.
+// wireCall is the encoded form of a call: an array without field names, with times in microseconds
+// and the flags in one number, which keeps the traffic between data centres small.
 type wireCall struct {
 	_             struct{} `cbor:",toarray"`
 	BackendServer string
@@ -30,7 +28,7 @@
 	Baseline      string
 }
 
-// The flags of a call.
+// Flags of a call.
 const (
 	flagNonIdempotent uint64 = 1 << iota
 	flagWantReservation
@@ -40,19 +38,19 @@
 	flagRetry
 )
 
-// callText turns the encoded call into a header's text.
-var callText = base64.RawURLEncoding
+// callEncoding converts the encoded call to the text of a header.
+var callEncoding = base64.RawURLEncoding
 
-// Encode writes the call's header.
+// Encode sets the header of the call.
 func (c Call) Encode(h http.Header) error {
 	data, err := cbor.Marshal(wireCall{
 		BackendServer: c.BackendServer,
 		Flags:         c.flags(),
 		TimeLeft:      c.TimeLeft.Microseconds(),
-		TargetLeft:    leftOf(c.TargetLeft),
-		LatencyTarget: leftOf(c.LatencyTarget),
-		SlowAfter:     leftOf(c.SlowAfter),
-		Usual:         leftOf(c.TypicalLatency),
+		TargetLeft:    nonNegativeMicros(c.TargetLeft),
+		LatencyTarget: nonNegativeMicros(c.LatencyTarget),
+		SlowAfter:     nonNegativeMicros(c.SlowAfter),
+		Usual:         nonNegativeMicros(c.TypicalLatency),
 		Priority:      c.Priority,
 		Customer:      c.Customer,
 		Reservation:   c.Reservation,
@@ -63,21 +61,21 @@
 	if err != nil {
 		return errors.Wrap(err, "encode call")
 	}
-	h[HeaderCall] = []string{callText.EncodeToString(data)}
+	h[HeaderCall] = []string{callEncoding.EncodeToString(data)}
 	return nil
 }
 
-// leftOf returns the time in microseconds; one that is over is zero.
-func leftOf(left time.Duration) int64 { return max(0, left.Microseconds()) }
+// nonNegativeMicros returns the duration in microseconds, or zero if it is negative.
+func nonNegativeMicros(left time.Duration) int64 { return max(0, left.Microseconds()) }
 
-// flags returns the call's flags in one number.
+// flags returns the flags of the call as one number.
 func (c Call) flags() uint64 {
 	return bit(flagNonIdempotent, c.NonIdempotent) | bit(flagWantReservation, c.WantReservation) | bit(flagDespiteSuspicion, c.DespiteSuspicion) |
 		bit(flagRefuseIfBusy, c.RefuseIfBusy) | bit(flagRefuseIfHanging, c.RefuseIfHanging) |
 		bit(flagRetry, c.Retry)
 }
 
-// bit returns the flag if it is set, and else zero.
+// bit returns the flag if set is true, and zero otherwise.
 func bit(flag uint64, set bool) uint64 {
 	if set {
 		return flag
@@ -85,9 +83,9 @@
 	return 0
 }
 
-// Decode reads the call's header.
+// Decode reads the header of a call.
 func Decode(h http.Header) (Call, error) {
-	data, err := callText.DecodeString(h.Get(HeaderCall))
+	data, err := callEncoding.DecodeString(h.Get(HeaderCall))
 	if err != nil {
 		return Call{}, errors.Wrap(err, "read "+HeaderCall)
 	}
@@ -101,7 +99,7 @@
 	return w.call(), nil
 }
 
-// call returns what the wire's form says.
+// call returns the decoded call.
 func (w wireCall) call() Call {
 	return Call{
 		BackendServer:    w.BackendServer,
--- a/internal/hop/forward.go
+++ b/internal/hop/forward.go
@@ -13,7 +13,7 @@
 	"github.com/go-faster/errors"
 )
 
-// copyBufferSize is the size of the buffers that bodies pass through.
+// copyBufferSize is the size of the buffers for copying bodies, in bytes.
 const copyBufferSize = 32 << 10
 
 var copyBuffers = sync.Pool{New: func() any {
@@ -21,12 +21,12 @@
 	return &buffer
 }}
 
-// ErrUnframed means that an answer has neither a length nor chunks, so that a
-// cut one would look whole.
+// ErrUnframed means that an answer has neither a length nor chunks, so that a truncated answer
+// would look complete.
 var ErrUnframed = errors.New("answer is framed by the end of its connection")
 
-// Outgoing returns the request to send to the address in place of in. It
-// carries the same method, host, path, query, body and end-to-end headers.
+// Outgoing returns the request to send to the address in place of in. It has the same method, host,
+// path, query, body and end-to-end headers.
 func Outgoing(ctx context.Context, in *http.Request, address string) *http.Request {
 	out := &http.Request{
 		Method: in.Method,
@@ -54,16 +54,16 @@
 	return out.WithContext(ctx)
 }
 
-// forbidReplay makes the request one that http.Transport does not send again
-// by itself after a lost connection. The transport takes a request without a
-// body for idempotent if its method is GET, HEAD, OPTIONS or TRACE, or if it
-// has an Idempotency-Key header; whether to retry is not its decision here.
+// forbidReplay modifies the request so that http.Transport does not resend it after a lost
+// connection. The transport treats a request without a body as idempotent if its method is GET,
+// HEAD, OPTIONS or TRACE, or if it has an Idempotency-Key header; whether to retry is not its
+// decision here.
 //
-// A body that is empty but present is never taken for idempotent, and the
-// identity coding keeps it off the wire. It is a reader that net/http knows to be in memory;
-// another kind is copied through a buffer of 32 KB (BenchmarkSendWithoutBody). The key headers are written in lower
-// case, which means the same to a receiver and which the transport does not
-// look for.
+// The transport never treats a request with an empty but non-nil body as idempotent, and the
+// identity coding keeps that body off the wire. The body is a reader that net/http recognises as
+// being in memory; any other kind is copied through a buffer of 32 KB (BenchmarkSendWithoutBody).
+// The key headers are written in lower case, which receivers treat as equal and for which the
+// transport does not check.
 func forbidReplay(out *http.Request) {
 	for _, name := range []string{"Idempotency-Key", "X-Idempotency-Key"} {
 		values, ok := out.Header[name]
@@ -83,7 +83,7 @@
 	}
 }
 
-// CheckFraming returns ErrUnframed if a cut answer would look whole.
+// CheckFraming returns ErrUnframed if a truncated answer would look complete.
 func CheckFraming(response *http.Response) error {
 	if response.ContentLength >= 0 || len(response.TransferEncoding) > 0 {
 		return nil
@@ -97,9 +97,9 @@
 	return ErrUnframed
 }
 
-// WriteAnswer passes an answer on, body and trailers included. An error means
-// that the answer broke off; the receiver's connection must then be closed
-// without the end of the answer, by panicking with http.ErrAbortHandler.
+// WriteAnswer forwards an answer, including its body and trailers. An error means that the answer
+// was truncated; the caller must then close the receiver's connection before the end of the answer
+// by panicking with http.ErrAbortHandler.
 func WriteAnswer(w http.ResponseWriter, response *http.Response) error {
 	CopyEndToEnd(w.Header(), response.Header)
 	if response.ContentLength >= 0 && response.Request != nil && response.Request.Method != http.MethodHead && hasBody(response.StatusCode) {
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// hasBody reports whether an answer of that status may have a body.
+// hasBody reports whether an answer with that status may have a body.
 func hasBody(status int) bool {
 	return status != http.StatusNoContent && status != http.StatusNotModified
 }
@@ -140,8 +140,7 @@
 	return copyFlushing(w, response.Body, *buffer)
 }
 
-// copyFlushing passes on each piece as it comes, since it is not known when the
-// next one does.
+// copyFlushing flushes each piece immediately, since the next one may take arbitrarily long.
 func copyFlushing(w http.ResponseWriter, body io.Reader, buffer []byte) error {
 	flusher := http.NewResponseController(w)
 	if err := flusher.Flush(); err != nil {
@@ -174,7 +173,7 @@
 	return nil
 }
 
-// OnClose returns the body with a function that runs once, after it is closed.
+// OnClose returns the body wrapped so that after runs once, after the body is closed.
 func OnClose(body io.ReadCloser, after func()) io.ReadCloser {
 	return &onClose{ReadCloser: body, after: after}
 }
@@ -192,8 +191,7 @@
 	return err
 }
 
-// writerOnly and readerOnly hide the methods by which io.CopyBuffer would pass
-// the buffer by.
+// writerOnly and readerOnly hide the methods that would let io.CopyBuffer bypass the buffer.
 type (
 	writerOnly struct{ io.Writer }
 	readerOnly struct{ io.Reader }
--- a/internal/hop/hold.go
+++ b/internal/hop/hold.go
@@ -8,28 +8,26 @@
 	"github.com/go-faster/errors"
 )
 
-// maxHeld is the longest answer that is read whole before it is passed on, in
-// bytes. Source: with a thousand answers at once it stays within a quarter of a
-// daemon's 256 MB.
-const maxHeld = 64 << 10
+// maxBuffered is the size of the longest answer that is buffered, in bytes. A thousand concurrent
+// answers stay within a quarter of a daemon's 256 MB.
+const maxBuffered = 64 << 10
 
-// BufferShort reads a short answer whole, so that one that breaks off can still be
-// answered with a failure or tried elsewhere. Longer ones and those that come in
-// chunks, piece by piece, are left to be passed on as they come. An answer
-// without a length is whole if its connection ends in order.
+// BufferShort reads a short answer completely, so that a truncated one can still be replaced by an
+// error or by another attempt. Longer and chunked answers are left to be forwarded as they arrive.
+// An answer without a length is complete if its connection is closed in order.
 func BufferShort(response *http.Response) error {
-	if response.ContentLength > maxHeld || len(response.TransferEncoding) > 0 || response.Body == http.NoBody {
+	if response.ContentLength > maxBuffered || len(response.TransferEncoding) > 0 || response.Body == http.NoBody {
 		return nil
 	}
 	if response.Request != nil && response.Request.Method == http.MethodHead {
 		return nil
 	}
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxHeld+1))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxBuffered+1))
 	if err != nil {
 		_ = response.Body.Close()
 		return errors.Wrap(err, "read answer")
 	}
-	if len(data) > maxHeld {
+	if len(data) > maxBuffered {
 		response.Body = longBody{Reader: io.MultiReader(bytes.NewReader(data), response.Body), Closer: response.Body}
 		return nil
 	}
@@ -41,7 +39,7 @@
 	return nil
 }
 
-// longBody is what was read of an answer and the rest of it.
+// longBody is the part of an answer that was read, followed by the rest.
 type longBody struct {
 	io.Reader
 	io.Closer
--- a/internal/hop/hop.go
+++ b/internal/hop/hop.go
@@ -1,11 +1,9 @@
-// Package hop defines what travels between the daemon that takes a caller's
-// request (the ingress) and the daemon of the backend server that runs it (the
-// sidecar).
+// Package hop defines the protocol between the daemon that receives a caller's request (the
+// ingress) and the daemon of the backend server that runs it (the sidecar).
 //
-// A hop is an HTTP/1.1 request with headers of its own, all of which start
-// with Tidelift-; what the ingress asks is packed into one of them. They are taken off
-// before a request reaches a backend server and before an answer reaches a caller, and
-// neither can bring its own.
+// A hop is an HTTP/1.1 request with additional headers, all of which start with Tidelift-; one of
+// them carries the encoded Call. They are removed before a request reaches a backend server and
+// before an answer reaches a caller, and neither can set its own.
 //
 // # Usage
 //
@@ -14,12 +12,11 @@
 //	...
 //	call, err := hop.Decode(request.Header)
 //
-// Units: times and the wait for a slot are in microseconds on the wire, when to come back
-// in milliseconds; a load of 1 means that every slot is taken.
+// Units: durations and the wait for a slot are in microseconds on the wire, retry delays in
+// milliseconds; a load of 1 means that every slot is taken.
 //
-// What the ingress asks is in call.go and how that is written in encode.go, one sending
-// to an address in trip.go, what both daemons do with requests and answers on the way in forward.go, and the reading
-// of short answers before they are passed on in hold.go.
+// Call is in call.go and its encoding in encode.go, sending a request to an address in trip.go,
+// forwarding requests and answers in forward.go, and buffering short answers in hold.go.
 package hop
 
 import (
@@ -29,31 +26,32 @@
 	"time"
 )
 
-// Prefix starts the name of each header of a hop.
+// Prefix is the prefix of the names of a hop's headers.
 const Prefix = "Tidelift-"
 
-// The headers of a hop.
+// Headers of a hop.
 const (
 	// HeaderCall carries a Call.
 	HeaderCall = "Tidelift-Call"
-	// HeaderReservation answers a call that wants a reservation.
+	// HeaderReservation carries the ID of a granted reservation.
 	HeaderReservation = "Tidelift-Reservation"
 	// HeaderServed carries the load of the backend server and the wait for a slot.
 	HeaderServed = "Tidelift-Served"
-	// HeaderFailing carries the share of the backend server's recent requests that failed; without it none did.
+	// HeaderFailing carries the share of the backend server's recent requests that failed; it is
+	// absent if none did.
 	HeaderFailing = "Tidelift-Failing"
-	// HeaderDetail and HeaderRetryAfter go with a refusal, beside its code.
+	// HeaderDetail and HeaderRetryAfter accompany the result code of a refusal.
 	HeaderDetail     = "Tidelift-Detail"
 	HeaderRetryAfter = "Tidelift-Retry-After-Ms"
 )
 
-// EncodeServed writes on an answer the load of the backend server and how long
-// the request waited for a slot.
+// EncodeServed sets the header with the load of the backend server and the request's wait for a
+// slot.
 func EncodeServed(h http.Header, load float64, waited time.Duration) {
 	h[HeaderServed] = []string{strconv.FormatFloat(load, 'f', 2, 64) + " " + strconv.FormatInt(waited.Microseconds(), 10)}
 }
 
-// DecodeServed reads what EncodeServed wrote; what is missing is zero.
+// DecodeServed reads the header set by EncodeServed; missing values are zero.
 func DecodeServed(h http.Header) (load float64, waited time.Duration) {
 	first, second, _ := strings.Cut(h.Get(HeaderServed), " ")
 	load, _ = strconv.ParseFloat(first, 64)
@@ -61,17 +59,19 @@
 	return load, time.Duration(micros) * time.Microsecond
 }
 
-// leastFailing is the least share that is told, as it is written with two decimals.
-const leastFailing = 0.005
+// minFailing is the smallest share that is sent; smaller ones would be rounded to zero.
+const minFailing = 0.005
 
-// EncodeFailing writes on an answer the share of the backend server's recent requests that failed, from 0 to 1.
+// EncodeFailing sets the header with the share of the backend server's recent requests that failed,
+// from 0 to 1.
 func EncodeFailing(h http.Header, share float64) {
-	if share >= leastFailing {
+	if share >= minFailing {
 		h[HeaderFailing] = []string{strconv.FormatFloat(share, 'f', 2, 64)}
 	}
 }
 
-// DecodeFailing reads what EncodeFailing wrote; what is missing or is no share is zero.
+// DecodeFailing reads the header set by EncodeFailing; it returns zero if the header is missing or
+// not a share.
 func DecodeFailing(h http.Header) float64 {
 	share, err := strconv.ParseFloat(h.Get(HeaderFailing), 64)
 	if err != nil || !(share >= 0 && share <= 1) {
@@ -80,27 +80,26 @@
 	return share
 }
 
-// SuppressDate keeps net/http from writing the date of this daemon on an answer to another
-// daemon, which does not look at it.
+// SuppressDate keeps net/http from adding a Date header to an answer to another daemon, which does
+// not use it.
 func SuppressDate(h http.Header) { h["Date"] = nil }
 
-// CopyEndToEnd copies the headers that travel from end to end: neither those
-// of one connection, nor those that Connection names, nor those of a hop. The
-// values are shared, not copied.
+// CopyEndToEnd copies the end-to-end headers: neither hop-by-hop headers, nor those listed in
+// Connection, nor those of a hop. The values are shared, not copied.
 func CopyEndToEnd(dst, src http.Header) {
 	named := src["Connection"]
 	for name, values := range src {
-		if isOneConnection(name) || strings.HasPrefix(name, Prefix) {
+		if isHopByHop(name) || strings.HasPrefix(name, Prefix) {
 			continue
 		}
-		if len(named) > 0 && isNamed(named, name) {
+		if len(named) > 0 && isListed(named, name) {
 			continue
 		}
 		dst[name] = values
 	}
 }
 
-func isOneConnection(name string) bool {
+func isHopByHop(name string) bool {
 	switch name {
 	case "Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 		"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade":
@@ -109,7 +108,7 @@
 	return false
 }
 
-func isNamed(connection []string, name string) bool {
+func isListed(connection []string, name string) bool {
 	for _, line := range connection {
 		for token := range strings.SplitSeq(line, ",") {
 			if strings.EqualFold(strings.TrimSpace(token), name) {
--- a/internal/hop/hop_test.go
+++ b/internal/hop/hop_test.go
@@ -8,7 +8,7 @@
 	"github.com/tideliftd/tidelift/internal/hop"
 )
 
-func TestCallTravels(t *testing.T) {
+func TestCallRoundTrip(t *testing.T) {
 	want := hop.Call{
 		BackendServer: "csepel/lookup-1", TimeLeft: 1500 * time.Millisecond, Customer: "county-7", NonIdempotent: true,
 		WantReservation: true, Reservation: "t", Baseline: "1,2,3,4,5", Origin: "records", Priority: 2, DespiteSuspicion: true, RefuseIfBusy: true,
@@ -21,7 +21,7 @@
 	}
 	got, err := hop.Decode(h)
 	if err != nil || got != want {
-		t.Fatalf("%+v, %v", got, err)
+		t.Fatalf("got %+v, %v", got, err)
 	}
 }
 
@@ -33,12 +33,12 @@
 	out := http.Header{}
 	hop.CopyEndToEnd(out, in)
 	if len(out) != 1 || len(out["Accept"]) != 2 {
-		t.Fatalf("%v", out)
+		t.Fatalf("copied headers %v, want only Accept", out)
 	}
 }
 
-// FuzzDecode reads what a peer may send: no header may panic, and none may be
-// accepted without a backend server.
+// FuzzDecode guards against a panic on any header that a peer may send, and against a call without
+// a backend server.
 func FuzzDecode(f *testing.F) {
 	h := http.Header{}
 	if err := (hop.Call{BackendServer: "csepel/lookup-1", TimeLeft: time.Second, Customer: "county-7"}).Encode(h); err != nil {
@@ -56,8 +56,8 @@
 	})
 }
 
-// TestACallIsShort holds the size of a call, which travels between data centres with
-// each request and each question for a slot.
+// TestACallIsShort guards against growth of the encoded call, which travels between data centres
+// with each request and each reservation.
 func TestACallIsShort(t *testing.T) {
 	h := http.Header{}
 	call := hop.Call{
@@ -70,20 +70,21 @@
 	}
 	const most = 110
 	if size := len(h.Get(hop.HeaderCall)); size > most {
-		t.Fatalf("%d bytes, want %d at most", size, most)
+		t.Fatalf("encoded call has %d bytes, want at most %d", size, most)
 	}
 }
 
-func TestServedTravels(t *testing.T) {
+func TestServedRoundTrip(t *testing.T) {
 	h := http.Header{}
 	hop.EncodeServed(h, 1.25, 1500*time.Microsecond)
 	load, waited := hop.DecodeServed(h)
 	if load != 1.25 || waited != 1500*time.Microsecond {
-		t.Fatalf("%v, %v", load, waited)
+		t.Fatalf("got %v, %v", load, waited)
 	}
 }
 
-// TestFailingIsAShare reads back what was written, and takes nothing else for a share.
+// TestFailingIsAShare guards against a share that is lost or altered, and against other texts taken
+// for a share.
 func TestFailingIsAShare(t *testing.T) {
 	for share, want := range map[float64]float64{0: 0, 0.004: 0, 0.256: 0.26, 1: 1} {
 		h := make(http.Header)
--- a/internal/hop/trip.go
+++ b/internal/hop/trip.go
@@ -10,40 +10,38 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// Sender is one sending of a request to one address.
+// Sender sends requests to one address.
 type Sender struct {
-	// Transport sends it.
+	// Transport sends the requests.
 	Transport *http.Transport
-	// TLS says that the receiver proves itself by a certificate.
+	// TLS means that the receiver authenticates itself with a certificate.
 	TLS bool
 	// Address is the IP:port of the receiver.
 	Address string
 	// Unreachable is the code for a receiver to which no connection was made.
 	Unreachable result.Code
-	// SetHeaders adds to the headers that are sent; it may be nil. Nothing is sent if it
-	// fails.
+	// SetHeaders adds headers to a request; it may be nil. Nothing is sent if it fails.
 	SetHeaders func(http.Header) error
 }
 
-// Send sends the request once and returns the head of the answer, whose body
-// must be closed. The error is a *result.Error; one whose code says RanNo is
-// proof that nothing was sent.
-func (t Sender) Send(ctx context.Context, in *http.Request) (*http.Response, error) {
+// Send sends the request once and returns the head of the answer, whose body must be closed. The
+// error is a *result.Error; a code with RanNo proves that nothing was sent.
+func (s Sender) Send(ctx context.Context, in *http.Request) (*http.Response, error) {
 	connected := false
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }}
-	out := Outgoing(httptrace.WithClientTrace(ctx, trace), in, t.Address)
+	out := Outgoing(httptrace.WithClientTrace(ctx, trace), in, s.Address)
 	forbidReplay(out)
-	if t.TLS {
+	if s.TLS {
 		out.URL.Scheme = "https"
 	}
-	if t.SetHeaders != nil {
-		if err := t.SetHeaders(out.Header); err != nil {
+	if s.SetHeaders != nil {
+		if err := s.SetHeaders(out.Header); err != nil {
 			return nil, result.Wrap(result.MalformedRequest, err)
 		}
 	}
-	response, err := t.Transport.RoundTrip(out)
+	response, err := s.Transport.RoundTrip(out)
 	if err != nil {
-		return nil, Classify(ctx, connected, t.Unreachable, err)
+		return nil, Classify(ctx, connected, s.Unreachable, err)
 	}
 	if err := CheckFraming(response); err != nil {
 		_ = response.Body.Close()
@@ -52,9 +50,8 @@
 	return response, nil
 }
 
-// Classify tells a request that was never sent from one that may have run. A
-// request is sent only on a connection, so without one it was not; unreachable
-// is the code for that.
+// Classify distinguishes a request that was never sent from one that may have run. Without a
+// connection a request was not sent; unreachable is the code for that case.
 func Classify(ctx context.Context, connected bool, unreachable result.Code, err error) *result.Error {
 	expired := errors.Is(ctx.Err(), context.DeadlineExceeded)
 	gone := errors.Is(ctx.Err(), context.Canceled)
--- a/internal/hop/trip_test.go
+++ b/internal/hop/trip_test.go
@@ -14,10 +14,10 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-var farAway = time.Now().Add(time.Hour)
+var farFuture = time.Now().Add(time.Hour)
 
-// newTrip returns a trip to a server that answers each request in one way.
-func newTrip(t testing.TB, answer http.HandlerFunc) hop.Sender {
+// newSender returns a sender to a server that handles requests with the function.
+func newSender(t testing.TB, answer http.HandlerFunc) hop.Sender {
 	t.Helper()
 	server := httptest.NewServer(answer)
 	t.Cleanup(server.Close)
@@ -26,7 +26,8 @@
 	return hop.Sender{Transport: transport, Address: server.Listener.Addr().String(), Unreachable: result.PeerUnreachable}
 }
 
-// TestABodyArrivesAsItIs sends none, an announced one and one in chunks.
+// TestABodyArrivesAsItIs guards against a body that arrives altered, or with another length or
+// transfer coding.
 func TestABodyArrivesAsItIs(t *testing.T) {
 	type arrived struct {
 		length int64
@@ -34,7 +35,7 @@
 		text   string
 	}
 	got := make(chan arrived, 1)
-	trip := newTrip(t, func(w http.ResponseWriter, r *http.Request) {
+	sender := newSender(t, func(w http.ResponseWriter, r *http.Request) {
 		text, _ := io.ReadAll(r.Body)
 		got <- arrived{r.ContentLength, strings.Join(r.TransferEncoding, ","), string(text)}
 		w.WriteHeader(http.StatusNoContent)
@@ -55,7 +56,7 @@
 			if test.text == "" {
 				in.Body = http.NoBody
 			}
-			response, err := trip.Send(context.Background(), in)
+			response, err := sender.Send(context.Background(), in)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -67,17 +68,17 @@
 	}
 }
 
-// TestALostRequestIsNotSentAgain loses the connection of a request that net/http would send
-// again by itself.
+// TestALostRequestIsNotSentAgain guards against net/http resending a request after its connection
+// was lost.
 func TestALostRequestIsNotSentAgain(t *testing.T) {
-	came := 0
-	trip := newTrip(t, func(http.ResponseWriter, *http.Request) {
-		if came++; came > 1 {
+	received := 0
+	sender := newSender(t, func(http.ResponseWriter, *http.Request) {
+		if received++; received > 1 {
 			panic(http.ErrAbortHandler)
 		}
 	})
 	for i := range 2 {
-		response, err := trip.Send(context.Background(), httptest.NewRequest(http.MethodGet, "/x", http.NoBody))
+		response, err := sender.Send(context.Background(), httptest.NewRequest(http.MethodGet, "/x", http.NoBody))
 		if i == 0 {
 			if err != nil {
 				t.Fatal(err)
@@ -89,19 +90,18 @@
 			t.Fatalf("got %v", err)
 		}
 	}
-	if came != 2 {
-		t.Fatalf("%d requests came", came)
+	if received != 2 {
+		t.Fatalf("server received %d requests, want 2", received)
 	}
 }
 
-// BenchmarkSendWithoutBody sends what has no body, as most requests and every look for a slot.
-// Both ends together: 44,015 B and 63 allocations each time while net/http did not know that the
-// body is in memory, and 10,277 B and 63 since.
+// BenchmarkSendWithoutBody sends a request without a body, as most requests and every reservation
+// are. The figures cover both ends.
 func BenchmarkSendWithoutBody(b *testing.B) {
-	trip := newTrip(b, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
+	sender := newSender(b, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
 	b.ReportAllocs()
 	for b.Loop() {
-		response, err := trip.Send(context.Background(), httptest.NewRequest(http.MethodGet, "/x", http.NoBody))
+		response, err := sender.Send(context.Background(), httptest.NewRequest(http.MethodGet, "/x", http.NoBody))
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -109,22 +109,22 @@
 	}
 }
 
-// BenchmarkSendShortBody sends a body of 300 bytes that is kept whole for another attempt.
+// BenchmarkSendShortBody sends a body of 300 bytes that is buffered for another attempt.
 func BenchmarkSendShortBody(b *testing.B) {
-	trip := newTrip(b, func(w http.ResponseWriter, r *http.Request) {
+	sender := newSender(b, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		w.WriteHeader(http.StatusNoContent)
 	})
 	ingress := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		kept := body.New(w, r, 1<<20)
 		defer kept.Finish()
-		if err := kept.Prepare(farAway); err != nil {
+		if err := kept.Prepare(farFuture); err != nil {
 			b.Error(err)
 			return
 		}
 		own := *r
 		kept.Rewind(&own)
-		response, err := trip.Send(r.Context(), &own)
+		response, err := sender.Send(r.Context(), &own)
 		if err != nil {
 			b.Error(err)
 			return
