--- a/internal/backend/answer.go
+++ b/internal/backend/answer.go
@@ -16,7 +16,7 @@
 	once  sync.Once
 }
 
-// Read reads the body and calls done at its end or on an error.
+// Read reads the body, and releases the connection at its end or on an error.
 func (b *answerBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if err != nil {
@@ -25,7 +25,7 @@
 	return n, err
 }
 
-// Close calls done unless the body was read to its end.
+// Close gives up the connection unless the body is empty or was read to its end.
 func (b *answerBody) Close() error {
 	b.once.Do(func() { b.done(b.empty) })
 	return nil
