--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -50,16 +50,16 @@
 	// the peer has, and for its text if it is above the one given.
 	MethodNotice   Method = "declaration.notice"
 	MethodRevision Method = "declaration.revision"
-	// MethodTold tells of hosts.
-	MethodTold Method = "hosts.told"
+	// MethodHostUpdates tells of hosts.
+	MethodHostUpdates Method = "hosts.told"
 	// MethodLend asks for a retry to a service that the other host can spare.
 	MethodLend Method = "retries.lend"
 	// MethodQuarantine tells of suspected and quarantined requests.
 	MethodQuarantine Method = "quarantine.told"
 	// MethodReportCounts tells what was counted of customers' requests, and asks for the verdict.
 	MethodReportCounts Method = "customers.counted"
-	// MethodAsk asks a backend server for a lease to keep serving.
-	MethodAsk Method = "floor.ask"
+	// MethodRequestLease asks a backend server for a lease to keep serving.
+	MethodRequestLease Method = "floor.ask"
 	// MethodRelease gives such a lease back.
 	MethodRelease Method = "floor.release"
 )
@@ -87,8 +87,8 @@
 	Seen    []subrequest.Evidence `json:"seen"`
 }
 
-// Known answers MethodSubrequest.
-type Known struct {
+// SubrequestResponse answers MethodSubrequest.
+type SubrequestResponse struct {
 	// Routes are those that the one asked knows to be called.
 	Routes []route.Name `json:"routes,omitempty"`
 }
@@ -110,8 +110,8 @@
 	Revision int64  `json:"revision"`
 }
 
-// Above is the parameter of MethodRevision.
-type Above struct {
+// RevisionQuery is the parameter of MethodRevision.
+type RevisionQuery struct {
 	Revision int64 `json:"revision"`
 	// Hosts is a hash of all that the asking daemon knows of hosts; zero if it
 	// does not ask for them.
@@ -120,8 +120,8 @@
 	Quarantines uint64 `json:"quarantines,omitempty"`
 }
 
-// Told is the parameter of MethodTold.
-type Told struct {
+// HostUpdates is the parameter of MethodTold.
+type HostUpdates struct {
 	// Host is who tells.
 	Host  string `json:"host"`
 	Hosts Hosts  `json:"hosts"`
@@ -130,13 +130,13 @@
 	Digest []byte `json:"digest,omitempty"`
 }
 
-// Rest answers MethodTold with what the teller does not know.
-type Rest struct {
+// HostUpdatesResponse answers MethodTold with what the teller does not know.
+type HostUpdatesResponse struct {
 	Hosts Hosts `json:"hosts,omitempty"`
 }
 
-// Held answers MethodRevision.
-type Held struct {
+// RevisionResponse answers MethodRevision.
+type RevisionResponse struct {
 	// Revision is what the peer has in force, with its text only if that is
 	// above what was asked.
 	Revision Revision `json:"revision"`
@@ -159,8 +159,8 @@
 	Service string `json:"service"`
 }
 
-// Lent answers it.
-type Lent struct {
+// LendResponse answers it.
+type LendResponse struct {
 	// Granted says that the one who asked may make a retry at once, which counts at the lender.
 	Granted bool `json:"granted"`
 }
@@ -175,8 +175,8 @@
 	Urgent bool `json:"urgent,omitempty"`
 }
 
-// Ask is the parameter of MethodAsk.
-type Ask struct {
+// LeaseRequest is the parameter of MethodAsk.
+type LeaseRequest struct {
 	Name    string        `json:"name"`
 	Request floor.Request `json:"request"`
 }
--- a/internal/control/hosts_test.go
+++ b/internal/control/hosts_test.go
@@ -30,12 +30,12 @@
 // TestHostsComeAsTheyWereTold goes both ways with few hosts and many.
 func TestHostsComeAsTheyWereTold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		told := control.Told{Host: "obuda-1", Hosts: someHosts(rapid.IntRange(0, 300).Draw(t, "hosts"))}
+		told := control.HostUpdates{Host: "obuda-1", Hosts: someHosts(rapid.IntRange(0, 300).Draw(t, "hosts"))}
 		data, err := json.Marshal(told)
 		if err != nil {
 			t.Fatal(err)
 		}
-		var got control.Told
+		var got control.HostUpdates
 		if err := json.Unmarshal(data, &got); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/control/revision_test.go
+++ b/internal/control/revision_test.go
@@ -17,11 +17,11 @@
 		fmt.Fprintf(&routes, "- {host: a.example, path: /p%d/, service: lookup, deadline: 5s, target: 1s}\n", i)
 	}
 	for name, text := range map[string]string{"long": routes.String(), "short": "hosts: []", "none": ""} {
-		data, err := json.Marshal(control.Held{Revision: control.Revision{Number: 7, YAML: text}})
+		data, err := json.Marshal(control.RevisionResponse{Revision: control.Revision{Number: 7, YAML: text}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		var held control.Held
+		var held control.RevisionResponse
 		if err := json.Unmarshal(data, &held); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/control/tell.go
+++ b/internal/control/tell.go
@@ -8,9 +8,9 @@
 	"github.com/tideliftd/tidelift/internal/fleet"
 )
 
-// TellTimeout bounds a call whose answer nobody waits for. Not measured: it only keeps calls to
+// NotifyTimeout bounds a call whose answer nobody waits for. Not measured: it only keeps calls to
 // silent daemons from adding up, and is many times what a call between data centres takes.
-const TellTimeout = 2 * time.Second
+const NotifyTimeout = 2 * time.Second
 
 // Address returns where the host takes control calls from this data centre.
 func (c *Client) Address(host fleet.Host) string { return host.ControlFrom(c.config.DataCentre) }
@@ -20,15 +20,15 @@
 	return c.Call(ctx, c.Address(host), method, params, answer)
 }
 
-// Tell makes a call whose answer says nothing to each of the hosts, and waits for none.
-func (c *Client) Tell(hosts []fleet.Host, method Method, params any) {
+// Notify makes a call whose answer says nothing to each of the hosts, and waits for none.
+func (c *Client) Notify(hosts []fleet.Host, method Method, params any) {
 	for _, host := range hosts {
 		go c.tell(host, method, params)
 	}
 }
 
 func (c *Client) tell(host fleet.Host, method Method, params any) {
-	ctx, cancel := context.WithTimeout(context.Background(), TellTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), NotifyTimeout)
 	defer cancel()
 	_ = c.CallLogged(ctx, c.Address(host), method, params, nil) // nobody waits, and it is logged
 }
--- a/internal/daemon/calls.go
+++ b/internal/daemon/calls.go
@@ -18,12 +18,12 @@
 		control.MethodSubrequest:   d.callSubrequest,
 		control.MethodHost:         d.hostList.HandleHost,
 		control.MethodNotice:       d.declarations.HandleNotice,
-		control.MethodTold:         d.members.HandleUpdates,
+		control.MethodHostUpdates:  d.members.HandleUpdates,
 		control.MethodRevision:     d.declarations.HandleRevision,
 		control.MethodQuarantine:   d.callQuarantine,
 		control.MethodLend:         d.lender.HandleLend,
 		control.MethodReportCounts: d.limits.HandleCounted,
-		control.MethodAsk:          d.callAsk,
+		control.MethodRequestLease: d.callAsk,
 		control.MethodRelease:      d.callRelease,
 	}
 }
@@ -68,7 +68,7 @@
 }
 
 func (d *daemon) callAsk(_ context.Context, params json.RawMessage) (any, error) {
-	var ask control.Ask
+	var ask control.LeaseRequest
 	if err := control.Decode(params, &ask); err != nil {
 		return nil, err
 	}
@@ -100,7 +100,7 @@
 		return nil, err
 	}
 	if told.Service != d.config.Settings.Service {
-		return control.Known{}, nil
+		return control.SubrequestResponse{}, nil
 	}
-	return control.Known{Routes: d.ingress.MergeSubrequestEvidence(told.Seen)}, nil
+	return control.SubrequestResponse{Routes: d.ingress.MergeSubrequestEvidence(told.Seen)}, nil
 }
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -31,7 +31,7 @@
 			continue
 		}
 		if host, ok := index.Host(name); ok {
-			d.peers.Tell([]fleet.Host{host}, control.MethodTrusted, trusted)
+			d.peers.Notify([]fleet.Host{host}, control.MethodTrusted, trusted)
 		}
 	}
 }
@@ -48,7 +48,7 @@
 		return d.sidecar.GrantLease(name, r)
 	}
 	var lease sidecar.LeaseAnswer
-	err := d.peers.CallHost(ctx, other.Host, control.MethodAsk, control.Ask{Name: name, Request: r}, &lease)
+	err := d.peers.CallHost(ctx, other.Host, control.MethodRequestLease, control.LeaseRequest{Name: name, Request: r}, &lease)
 	return lease, err
 }
 
--- a/internal/daemon/quarantine.go
+++ b/internal/daemon/quarantine.go
@@ -31,7 +31,7 @@
 // tellQuarantine tells the daemons that keep backend servers of the service of suspected and quarantined requests. Whoever
 // is left out learns of a quarantine from others or the store, and of what is suspected when it sees an end itself.
 func (d *daemon) tellQuarantine(service string, records []quarantine.Record) {
-	d.peers.Tell(d.hostsOfService(service), control.MethodQuarantine, control.Quarantine{Records: records})
+	d.peers.Notify(d.hostsOfService(service), control.MethodQuarantine, control.Quarantine{Records: records})
 }
 
 // spreadQuarantine tells a few others, near and far, of a quarantine that has begun or ended.
@@ -40,5 +40,5 @@
 	if plan == nil {
 		return // whoever is found later reads it in the store
 	}
-	d.peers.Tell(plan.NotifyTargets(), control.MethodQuarantine, control.Quarantine{Records: records})
+	d.peers.Notify(plan.NotifyTargets(), control.MethodQuarantine, control.Quarantine{Records: records})
 }
--- a/internal/daemon/subrequest.go
+++ b/internal/daemon/subrequest.go
@@ -26,9 +26,9 @@
 
 // tellSubrequestTo tells one host, and learns from it what it knows already.
 func (d *daemon) tellSubrequestTo(host fleet.Host, told control.Subrequest) {
-	ctx, cancel := context.WithTimeout(context.Background(), control.TellTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), control.NotifyTimeout)
 	defer cancel()
-	var known control.Known
+	var known control.SubrequestResponse
 	if err := d.peers.CallLogged(ctx, d.peers.Address(host), control.MethodSubrequest, told, &known); err != nil {
 		return
 	}
--- a/internal/declaration/ask.go
+++ b/internal/declaration/ask.go
@@ -26,8 +26,8 @@
 func (f *Follower) Sync(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
-	above := control.Above{Revision: f.Revision(), Hosts: f.config.Members.Sum(), Quarantines: f.config.Quarantines.Sum()}
-	var held control.Held
+	above := control.RevisionQuery{Revision: f.Revision(), Hosts: f.config.Members.Sum(), Quarantines: f.config.Quarantines.Sum()}
+	var held control.RevisionResponse
 	if err := f.config.Peers.Call(ctx, address, control.MethodRevision, above, &held); err != nil {
 		return false
 	}
@@ -41,7 +41,7 @@
 }
 
 // recordQuarantines records the quarantines that a daemon answers with, if there are others than here.
-func (f *Follower) recordQuarantines(held control.Held) {
+func (f *Follower) recordQuarantines(held control.RevisionResponse) {
 	f.peerAnswered.Store(true)
 	if len(held.Quarantines) > 0 {
 		f.config.Quarantines.Merge(held.Quarantines)
@@ -53,7 +53,7 @@
 
 // HandleRevision answers another daemon that asks which revision this one has.
 func (f *Follower) HandleRevision(_ context.Context, params json.RawMessage) (any, error) {
-	var above control.Above
+	var above control.RevisionQuery
 	if err := control.Decode(params, &above); err != nil {
 		return nil, err
 	}
@@ -61,9 +61,9 @@
 }
 
 // answer returns what a daemon that asks does not know yet.
-func (f *Follower) answer(asked control.Above) control.Held {
+func (f *Follower) answer(asked control.RevisionQuery) control.RevisionResponse {
 	above := asked.Revision
-	held := control.Held{SilentMs: time.Since(f.config.Health.LastSeen()).Milliseconds()}
+	held := control.RevisionResponse{SilentMs: time.Since(f.config.Health.LastSeen()).Milliseconds()}
 	f.config.Members.AddDigest(asked, &held)
 	if asked.Quarantines != f.config.Quarantines.Sum() {
 		held.Quarantines = f.config.Quarantines.Quarantines()
--- a/internal/declaration/notice.go
+++ b/internal/declaration/notice.go
@@ -29,7 +29,7 @@
 // notifyPeers tells a few other daemons of the revision that was just put in force.
 func (f *Follower) notifyPeers(r revision.Revision, plan *gossip.Plan) {
 	notice := control.Notice{Host: f.config.Host, Revision: r.Number}
-	f.config.Peers.Tell(plan.NotifyTargets(), control.MethodNotice, notice)
+	f.config.Peers.Notify(plan.NotifyTargets(), control.MethodNotice, notice)
 }
 
 // HandleNotice answers another daemon that tells of a revision.
--- a/internal/declaration/notice_test.go
+++ b/internal/declaration/notice_test.go
@@ -27,7 +27,7 @@
 	asked := make(chan control.Method, 1)
 	cleanUp := control.Serve(control.ServerConfig{Listener: listener, Handle: func(_ context.Context, method control.Method, _ json.RawMessage) (any, error) {
 		asked <- method
-		return control.Held{}, nil
+		return control.RevisionResponse{}, nil
 	}})
 	defer cleanUp()
 	peers, cleanUp := control.NewClient(control.ClientConfig{})
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -70,7 +70,7 @@
 	RegistrationRefused = Event{402, slog.LevelWarn, "check-in refused", "A check-in could not be read, or names a service that is not declared, and changed nothing."}
 	HostLearned         = Event{403, slog.LevelInfo, "host learned", "Another daemon or the store told of a host something new."}
 	RecordRefused       = Event{404, slog.LevelWarn, "record refused", "A record of a host or of a quarantine in the store could not be read, or stands under another's key, and was passed over."}
-	HostAway            = Event{406, slog.LevelWarn, "host away", "A request could not reach another host's daemon; the host is passed over until it answers."}
+	HostUnreachable     = Event{406, slog.LevelWarn, "host away", "A request could not reach another host's daemon; the host is passed over until it answers."}
 	HostBack            = Event{407, slog.LevelInfo, "host back", "The other host's daemon answers again, or its time of being passed over is up."}
 	HostGone            = Event{408, slog.LevelWarn, "host gone", "A host was silent for long and its record in the store has lapsed; others are told that it is gone."}
 	UpdatesDropped      = Event{409, slog.LevelWarn, "news dropped", "So much news of hosts came at once that some was not told on; other daemons ask for it."}
@@ -99,7 +99,7 @@
 		DeclarationInForce, DeclarationRefused, PlatformUnreachable, PlatformReachable, DeclarationAccepted, DeclarationFromPeers,
 		ServerAvoided, ServerEjected, ServerReturned, FloorHeld, ServerDraining, ServerBack, ServerSuspected, ServerTrusted, ServerProbed, ServerEnded,
 		RequestFailed, AttemptFailed, RequestRefused, RequestHedged, RouteSubrequest, RequestQuarantined, QuarantineEnded, QuarantineTrial, QuarantineUntried, QuarantineDropped,
-		ServersRegistered, RegistrationRefused, HostLearned, RecordRefused, PeerSilent, HostAway, HostBack, HostGone, UpdatesDropped, HostListRefused,
+		ServersRegistered, RegistrationRefused, HostLearned, RecordRefused, PeerSilent, HostUnreachable, HostBack, HostGone, UpdatesDropped, HostListRefused,
 	}
 }
 
--- a/internal/hostlist/hostlist.go
+++ b/internal/hostlist/hostlist.go
@@ -126,7 +126,7 @@
 		f.config.Draining(draining)
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, control.TellTimeout)
+	ctx, cancel := context.WithTimeout(ctx, control.NotifyTimeout)
 	defer cancel()
 	_ = f.config.Peers.CallHost(ctx, host, control.MethodHost, control.Host{Draining: draining}, nil) // told again soon
 }
--- a/internal/ingress/reach.go
+++ b/internal/ingress/reach.go
@@ -47,7 +47,7 @@
 		return
 	}
 	x.away[host.Name] = true
-	event.Log(x.in.config.Logger, event.HostAway, "host", host.Name)
+	event.Log(x.in.config.Logger, event.HostUnreachable, "host", host.Name)
 	x.pause(host.Name, time.Now().Add(reachFor))
 	go x.awaitAnswers(host)
 }
--- a/internal/lend/lend.go
+++ b/internal/lend/lend.go
@@ -111,7 +111,7 @@
 func (l *Lender) ask(ctx context.Context, host fleet.Host, service string) bool {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
-	var lent control.Lent
+	var lent control.LendResponse
 	err := l.config.Call(ctx, host, control.MethodLend, control.Lend{Service: service}, &lent)
 	return err == nil && lent.Granted
 }
@@ -122,5 +122,5 @@
 	if err := control.Decode(params, &lend); err != nil {
 		return nil, err
 	}
-	return control.Lent{Granted: l.config.Budgets.Lend(time.Now(), lend.Service)}, nil
+	return control.LendResponse{Granted: l.config.Budgets.Lend(time.Now(), lend.Service)}, nil
 }
--- a/internal/lend/lend_test.go
+++ b/internal/lend/lend_test.go
@@ -51,7 +51,7 @@
 					if host.Name != test.lends {
 						return errors.New("no answer")
 					}
-					answer.(*control.Lent).Granted = true
+					answer.(*control.LendResponse).Granted = true
 					return nil
 				},
 				Scope: tally.NoopScope,
@@ -77,7 +77,7 @@
 		Unreachable: func(string) bool { return false },
 		Call: func(_ context.Context, host fleet.Host, _ control.Method, _, answer any) error {
 			asked = append(asked, host.Name)
-			answer.(*control.Lent).Granted = true
+			answer.(*control.LendResponse).Granted = true
 			return nil
 		},
 		Scope: tally.NoopScope,
--- a/internal/membership/exchange.go
+++ b/internal/membership/exchange.go
@@ -17,7 +17,7 @@
 
 // AddDigest adds the digest of what is known here if the asking daemon does not
 // know the same.
-func (m *Membership) AddDigest(asked control.Above, held *control.Held) {
+func (m *Membership) AddDigest(asked control.RevisionQuery, held *control.RevisionResponse) {
 	if asked.Hosts == 0 || !m.config.Registers || asked.Hosts == m.Sum() {
 		return
 	}
@@ -26,14 +26,14 @@
 
 // Exchange tells the peer what it does not know of hosts, and records what
 // it answers.
-func (m *Membership) Exchange(ctx context.Context, address string, held control.Held) {
+func (m *Membership) Exchange(ctx context.Context, address string, held control.RevisionResponse) {
 	if held.Digest == nil || !m.known.beginExchange(time.Now()) {
 		return
 	}
-	told := control.Told{Host: m.config.Self.Name}
+	told := control.HostUpdates{Host: m.config.Self.Name}
 	told.Hosts, told.Digest = m.known.compare(held.Digest)
-	var rest control.Rest
-	if err := m.config.Peers.CallLogged(ctx, address, control.MethodTold, told, &rest); err != nil {
+	var rest control.HostUpdatesResponse
+	if err := m.config.Peers.CallLogged(ctx, address, control.MethodHostUpdates, told, &rest); err != nil {
 		return
 	}
 	m.Learn(address, rest.Hosts)
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -18,7 +18,7 @@
 //	m := membership.New(membership.Config{Self: self, Registers: true, Peers: client, Record: recordConfig, ...})
 //	go m.Run(ctx)
 //	declaration := m.Complete(declared)
-//	handlers[control.MethodTold] = m.HandleTold
+//	handlers[control.MethodHostUpdates] = m.HandleTold
 //	m.Stop() // tells others that this daemon stops
 package membership
 
--- a/internal/membership/updates.go
+++ b/internal/membership/updates.go
@@ -104,22 +104,22 @@
 	if plan == nil {
 		return // whoever is found later is told all
 	}
-	told := control.Told{Host: m.config.Self.Name, Hosts: slices.Collect(maps.Values(batch.hosts))}
+	told := control.HostUpdates{Host: m.config.Self.Name, Hosts: slices.Collect(maps.Values(batch.hosts))}
 	to := plan.UpdateTargets()
 	if batch.own {
 		to = append(to, plan.RemoteUpdateTargets()...)
 	}
-	m.config.Peers.Tell(to, control.MethodTold, told)
+	m.config.Peers.Notify(to, control.MethodHostUpdates, told)
 }
 
 // HandleUpdates answers another daemon that tells of hosts, with what it does not know.
 func (m *Membership) HandleUpdates(_ context.Context, params json.RawMessage) (any, error) {
-	var told control.Told
+	var told control.HostUpdates
 	if err := control.Decode(params, &told); err != nil {
 		return nil, err
 	}
 	m.Learn(told.Host, told.Hosts)
-	var rest control.Rest
+	var rest control.HostUpdatesResponse
 	if told.Digest != nil {
 		rest.Hosts = m.known.missing(told.Digest)
 	}
--- a/internal/operator/history.go
+++ b/internal/operator/history.go
@@ -96,7 +96,7 @@
 	var held struct {
 		Revision revision.Revision `json:"revision"`
 	}
-	if err := s.ask(ctx, host, control.MethodRevision, control.Above{Revision: wanted}, &held); err != nil {
+	if err := s.ask(ctx, host, control.MethodRevision, control.RevisionQuery{Revision: wanted}, &held); err != nil {
 		return silent
 	}
 	return held.Revision.Number
