--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -15,35 +15,36 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// idleTimeout is how long a connection without calls is kept. Not measured: longer than the pauses between
-// calls that a daemon makes to the same others, such as reports and leases.
+// idleTimeout is how long an unused connection is kept open. It exceeds the interval between periodic calls to
+// the same peer, such as reports and leases.
 const idleTimeout = 30 * time.Second
 
-// Client calls peers, over one connection to each that it has called of late.
+// Client calls peers over one connection per recently called peer.
 type Client struct {
 	config ClientConfig
 
-	mu    sync.Mutex
-	conns map[string]*peer
-	swept time.Time
+	mu        sync.Mutex
+	conns     map[string]*peer
+	lastSweep time.Time
 }
 
-// peer is the connection to one peer.
+// peer holds the connection to one peer.
 type peer struct {
-	conn *jsonrpc2.Conn
-	used time.Time
+	conn     *jsonrpc2.Conn
+	lastUsed time.Time
 }
 
-// ClientConfig says how a client connects.
+// ClientConfig configures a Client.
 type ClientConfig struct {
-	// TLS is what the daemon proves itself with to others; nil for none.
+	// TLS authenticates this daemon to its peers; nil disables TLS.
 	TLS *tls.Config
-	// Far reports whether bytes to the address are dear and travel compressed, which they do
-	// without TLS alone; nil if none do.
+	// Far reports whether traffic to the address is expensive and is therefore compressed, which
+	// happens only without TLS; nil if no traffic is compressed.
 	Far func(address string) bool
-	// DataCentre is this daemon's; hosts take calls from it and from others at different addresses.
+	// DataCentre is the data centre of this daemon. Hosts accept calls from their own data centre and from
+	// others at different addresses.
 	DataCentre string
-	// Logger receives events of calls that were not answered.
+	// Logger receives events of failed calls.
 	Logger *slog.Logger
 }
 
@@ -62,8 +63,8 @@
 	clear(c.conns)
 }
 
-// Call calls the peer at the address and reads its answer into answer, which may
-// be nil.
+// Call calls the peer at the address and decodes its response into answer, which
+// may be nil.
 func (c *Client) Call(ctx context.Context, address string, method Method, params, answer any) error {
 	conn, err := c.conn(ctx, address)
 	if err != nil {
@@ -71,16 +72,16 @@
 	}
 	if err := conn.Call(ctx, string(method), params, answer); err != nil {
 		if ctx.Err() != nil {
-			c.drop(address, conn) // a silent path; the next call tries a new one
+			c.drop(address, conn) // the connection may be dead; the next call opens a new one
 		}
 		return decodeError(errors.Wrapf(err, "call %s of %s", method, address))
 	}
 	return nil
 }
 
-// conn returns the connection to the address, opened now if there is none.
+// conn returns the connection to the address and opens one if there is none.
 func (c *Client) conn(ctx context.Context, address string) (*jsonrpc2.Conn, error) {
-	if conn, ok := c.known(address, time.Now()); ok {
+	if conn, ok := c.existing(address, time.Now()); ok {
 		return conn, nil
 	}
 	socket, err := c.dial(ctx, address)
@@ -88,9 +89,9 @@
 		return nil, err
 	}
 	refuse := jsonrpc2.HandlerWithError(func(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) (any, error) {
-		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: "calls go the other way"}
+		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: "this connection carries calls in the other direction only"}
 	})
-	conn := jsonrpc2.NewConn(context.Background(), newStream(socket), refuse, unlogged)
+	conn := jsonrpc2.NewConn(context.Background(), newStream(socket), refuse, discardLog)
 	return c.keep(address, conn, time.Now()), nil
 }
 
@@ -103,7 +104,7 @@
 	return secure.DialContext(ctx, "tcp", address)
 }
 
-func (c *Client) known(address string, now time.Time) (*jsonrpc2.Conn, bool) {
+func (c *Client) existing(address string, now time.Time) (*jsonrpc2.Conn, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.sweep(now)
@@ -116,12 +117,12 @@
 		delete(c.conns, address)
 		return nil, false
 	default:
-		p.used = now
+		p.lastUsed = now
 		return p.conn, true
 	}
 }
 
-// drop closes a connection on which no answer came.
+// drop closes a connection on which a call received no response.
 func (c *Client) drop(address string, conn *jsonrpc2.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -131,22 +132,23 @@
 	_ = conn.Close()
 }
 
-// sweep closes the connections that have not been used for a while, so that a
-// daemon that calls others at random does not keep one to each.
+// sweep closes idle connections, so that a daemon that calls peers at random
+// does not keep a connection to each of them.
 func (c *Client) sweep(now time.Time) {
-	if now.Sub(c.swept) < idleTimeout {
+	if now.Sub(c.lastSweep) < idleTimeout {
 		return
 	}
-	c.swept = now
+	c.lastSweep = now
 	for address, p := range c.conns {
-		if now.Sub(p.used) >= idleTimeout {
+		if now.Sub(p.lastUsed) >= idleTimeout {
 			_ = p.conn.Close()
 			delete(c.conns, address)
 		}
 	}
 }
 
-// keep remembers the connection, or closes it for one that came first.
+// keep registers the connection. If another one was registered first, keep closes
+// the new connection and returns the registered one.
 func (c *Client) keep(address string, conn *jsonrpc2.Conn, now time.Time) *jsonrpc2.Conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -154,6 +156,6 @@
 		_ = conn.Close()
 		return first.conn
 	}
-	c.conns[address] = &peer{conn: conn, used: now}
+	c.conns[address] = &peer{conn: conn, lastUsed: now}
 	return conn
 }
--- a/internal/control/client_test.go
+++ b/internal/control/client_test.go
@@ -16,7 +16,7 @@
 	"github.com/tideliftd/tidelift/internal/control"
 )
 
-// serve answers calls on either kind of connection, and returns the address.
+// serve starts a server that accepts plain and compressed connections, and returns its address.
 func serve(t *testing.T, handle control.Handle) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -27,9 +27,9 @@
 	return listener.Addr().String()
 }
 
-// TestASilentConnectionIsGivenUp calls a peer behind a connection that goes silent:
-// the call after the one that ended without an answer takes a new connection.
-func TestASilentConnectionIsGivenUp(t *testing.T) {
+// TestUnresponsiveConnectionIsReplaced guards against calls that stay on a dead connection:
+// the call after one that timed out uses a new connection.
+func TestUnresponsiveConnectionIsReplaced(t *testing.T) {
 	inner := serve(t, func(context.Context, control.Method, json.RawMessage) (any, error) {
 		return struct{}{}, nil
 	})
@@ -47,14 +47,14 @@
 		return client.Call(ctx, outer.Addr().String(), control.MethodPing, struct{}{}, nil)
 	}
 	if ping() == nil {
-		t.Fatal("a silent peer answered")
+		t.Fatal("a call to an unresponsive peer succeeded")
 	}
 	if err := ping(); err != nil {
-		t.Fatalf("the next call went the same way: %v", err)
+		t.Fatalf("the next call failed; it must use a new connection: %v", err)
 	}
 }
 
-// relay passes connections on, all but the first, which it leaves silent.
+// relay forwards all connections but the first, which it leaves unanswered.
 func relay(listener net.Listener, address string) {
 	for n := 0; ; n++ {
 		in, err := listener.Accept()
@@ -73,9 +73,9 @@
 	}
 }
 
-// TestACallToAnotherDataCentreTravelsCompressed calls a peer that takes both kinds of
-// connection, by either.
-func TestACallToAnotherDataCentreTravelsCompressed(t *testing.T) {
+// TestCallsOverPlainAndCompressedConnections calls a server that accepts both kinds of
+// connection over each of them.
+func TestCallsOverPlainAndCompressedConnections(t *testing.T) {
 	address := serve(t, func(_ context.Context, _ control.Method, params json.RawMessage) (any, error) {
 		return params, nil
 	})
@@ -91,33 +91,32 @@
 	}
 }
 
-// childVariable makes the test below play its part in a process of its own, whose standard
-// error output can be read whole.
-const childVariable = "TIDELIFT_TEST_BROKEN_CONNECTION"
+// childProcessEnv makes the test below run its server in a child process, so that the complete
+// standard error output can be captured.
+const childProcessEnv = "TIDELIFT_TEST_BROKEN_CONNECTION"
 
-// TestABrokenConnectionLeavesNoLineOfItsOwn sends a server bytes that are no call: what the
-// library would say of it goes around the daemon's log, which is bounded and keeps nobody
-// waiting.
-func TestABrokenConnectionLeavesNoLineOfItsOwn(t *testing.T) {
-	if os.Getenv(childVariable) != "" {
-		breakAConnection(t)
+// TestBrokenConnectionIsNotLoggedToStderr guards against the jsonrpc2 library logging malformed
+// calls to standard error, which bypasses the daemon's bounded, non-blocking log.
+func TestBrokenConnectionIsNotLoggedToStderr(t *testing.T) {
+	if os.Getenv(childProcessEnv) != "" {
+		sendMalformedCall(t)
 		return
 	}
 	child := exec.Command(os.Args[0], "-test.run=^"+t.Name()+"$")
-	child.Env = append(os.Environ(), childVariable+"=1")
-	var said bytes.Buffer
-	child.Stderr = &said
+	child.Env = append(os.Environ(), childProcessEnv+"=1")
+	var stderr bytes.Buffer
+	child.Stderr = &stderr
 	if err := child.Run(); err != nil {
 		t.Fatal(err)
 	}
-	if said.Len() > 0 {
-		t.Fatalf("a line went around the log: %s", said.String())
+	if stderr.Len() > 0 {
+		t.Fatalf("unexpected output on standard error: %s", stderr.String())
 	}
 }
 
-// breakAConnection sends a server bytes that are no call, and waits until it has closed the
-// connection and a moment more, in which the library says what it has to say.
-func breakAConnection(t *testing.T) {
+// sendMalformedCall sends malformed bytes to a server, waits until the connection is closed, and
+// then a little longer for log output of the library.
+func sendMalformedCall(t *testing.T) {
 	t.Helper()
 	socket, err := net.Dial("tcp", serve(t, nil))
 	if err != nil {
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,5 +1,5 @@
-// Package control carries the calls that daemons make to each other beside
-// callers' requests: jsonrpc2 over TCP, one connection to each peer.
+// Package control implements the control calls between daemons, which are separate
+// from callers' requests: jsonrpc2 over TCP, with one connection per peer.
 //
 // # Usage
 //
@@ -9,12 +9,12 @@
 //	var report sidecar.Report
 //	err := client.Call(ctx, "127.0.0.1:7402", control.MethodReport, control.Name{Name: "csepel/lookup-1"}, &report)
 //
-// A call's failure says nothing about whether the peer acted on it, so every
-// method may be called again with the same effect.
+// A failed call does not show whether the peer acted on it, so every method is
+// idempotent.
 //
-// The calls and their parameters are in control.go. Serve hands each to the handler of its method
-// (handlers.go); a Client makes them, knows where a host takes them, and tells many (tell.go). The package owns
-// the connections; it decides nothing, and what a call means stands with its handler.
+// control.go defines the methods and their parameters. Serve dispatches each call to the handler of its method
+// (handlers.go). A Client makes calls, resolves the control addresses of hosts and notifies several hosts (tell.go).
+// The package owns the connections; the semantics of a call are defined by its handler.
 package control
 
 import (
@@ -25,42 +25,42 @@
 	"github.com/tideliftd/tidelift/internal/subrequest"
 )
 
-// Method names a call.
+// Method is the name of a control call.
 type Method string
 
-// The calls.
+// The control calls.
 const (
-	// MethodReport asks a sidecar for the state of one of its backend servers.
+	// MethodReport requests the state of one of a sidecar's backend servers.
 	MethodReport Method = "sidecar.report"
-	// MethodDrain tells a sidecar that one of its backend servers is draining, or no longer.
+	// MethodDrain notifies a sidecar that one of its backend servers is draining, or no longer.
 	MethodDrain Method = "sidecar.drain"
-	// MethodDraining tells that backend servers of another host take no more work.
+	// MethodDraining notifies a daemon that backend servers of another host accept no new work.
 	MethodDraining Method = "ingress.leaving"
-	// MethodPing asks for any answer.
+	// MethodPing checks that a daemon responds.
 	MethodPing Method = "daemon.ping"
-	// MethodTrusted tells that backend servers of another host are no longer
-	// suspected.
+	// MethodTrusted notifies a daemon that backend servers of another host are no
+	// longer suspected.
 	MethodTrusted Method = "ingress.trusted"
-	// MethodSubrequest tells a daemon what was seen of routes that the backend servers of its
-	// service may call, and asks which of them it knows to be called.
+	// MethodSubrequest sends a daemon the evidence for routes that the backend servers of its
+	// service may call, and requests the routes that it knows to be called.
 	MethodSubrequest Method = "ingress.subrequest"
-	// MethodHost tells a daemon what the platform's list says of its host.
+	// MethodHost notifies a daemon of the state of its host in the platform's list.
 	MethodHost Method = "sidecar.host"
-	// MethodNotice tells that there is a revision; MethodRevision asks which one
-	// the peer has, and for its text if it is above the one given.
+	// MethodNotice announces a revision. MethodRevision requests the peer's
+	// revision in force, with its text if it is newer than the given one.
 	MethodNotice   Method = "declaration.notice"
 	MethodRevision Method = "declaration.revision"
-	// MethodHostUpdates tells of hosts.
+	// MethodHostUpdates sends updates of host records.
 	MethodHostUpdates Method = "hosts.told"
-	// MethodLend asks for a retry to a service that the other host can spare.
+	// MethodLend requests a retry to a service from another host's surplus.
 	MethodLend Method = "retries.lend"
-	// MethodQuarantine tells of suspected and quarantined requests.
+	// MethodQuarantine sends records of suspected and quarantined requests.
 	MethodQuarantine Method = "quarantine.told"
-	// MethodReportCounts tells what was counted of customers' requests, and asks for the verdict.
+	// MethodReportCounts reports counts of customers' requests and requests the verdict.
 	MethodReportCounts Method = "customers.counted"
-	// MethodRequestLease asks a backend server for a lease to keep serving.
+	// MethodRequestLease requests a lease to keep serving from a backend server.
 	MethodRequestLease Method = "floor.ask"
-	// MethodRelease gives such a lease back.
+	// MethodRelease returns such a lease.
 	MethodRelease Method = "floor.release"
 )
 
@@ -82,14 +82,14 @@
 
 // Subrequest is the parameter of MethodSubrequest.
 type Subrequest struct {
-	// Service is whose backend servers may call the routes.
+	// Service is the service whose backend servers may call the routes.
 	Service string                `json:"service"`
 	Seen    []subrequest.Evidence `json:"seen"`
 }
 
-// SubrequestResponse answers MethodSubrequest.
+// SubrequestResponse is the response to MethodSubrequest.
 type SubrequestResponse struct {
-	// Routes are those that the one asked knows to be called.
+	// Routes are the routes that the receiver knows to be called.
 	Routes []route.Name `json:"routes,omitempty"`
 }
 
@@ -105,7 +105,7 @@
 
 // Notice is the parameter of MethodNotice.
 type Notice struct {
-	// Host has the revision.
+	// Host is the host that has the revision.
 	Host     string `json:"host"`
 	Revision int64  `json:"revision"`
 }
@@ -113,39 +113,39 @@
 // RevisionQuery is the parameter of MethodRevision.
 type RevisionQuery struct {
 	Revision int64 `json:"revision"`
-	// Hosts is a hash of all that the asking daemon knows of hosts; zero if it
-	// does not ask for them.
+	// Hosts is a hash of all host records of the caller; zero if it does not
+	// request them.
 	Hosts uint64 `json:"hosts,omitempty"`
-	// Quarantines is a hash of all that it knows of quarantines of requests.
+	// Quarantines is a hash of all quarantine records of the caller.
 	Quarantines uint64 `json:"quarantines,omitempty"`
 }
 
-// HostUpdates is the parameter of MethodTold.
+// HostUpdates is the parameter of MethodHostUpdates.
 type HostUpdates struct {
-	// Host is who tells.
+	// Host is the sending host.
 	Host  string `json:"host"`
 	Hosts Hosts  `json:"hosts"`
-	// Digest is of all that it knows, by which it asks for the rest; it may be
-	// empty.
+	// Digest summarizes all host records of the sender, to request those that it
+	// lacks; it may be empty.
 	Digest []byte `json:"digest,omitempty"`
 }
 
-// HostUpdatesResponse answers MethodTold with what the teller does not know.
+// HostUpdatesResponse is the response to MethodHostUpdates, with the records that the sender lacks.
 type HostUpdatesResponse struct {
 	Hosts Hosts `json:"hosts,omitempty"`
 }
 
-// RevisionResponse answers MethodRevision.
+// RevisionResponse is the response to MethodRevision.
 type RevisionResponse struct {
-	// Revision is what the peer has in force, with its text only if that is
-	// above what was asked.
+	// Revision is the peer's revision in force, with its text only if it is newer
+	// than the requested one.
 	Revision Revision `json:"revision"`
-	// SilentMs is how long ago the peer knew the platform to answer.
+	// SilentMs is the time since the peer last knew the platform to respond, in milliseconds.
 	SilentMs int64 `json:"silent_ms"`
-	// Digest is of all that the peer knows of hosts; it is left out if the asking
-	// daemon knows the same.
+	// Digest summarizes all host records of the peer; it is empty if the caller
+	// has the same records.
 	Digest []byte `json:"digest,omitempty"`
-	// Quarantines are those that the peer knows; they are left out if the asking daemon knows the same.
+	// Quarantines are the peer's quarantine records; they are empty if the caller has the same records.
 	Quarantines []quarantine.Record `json:"quarantines,omitempty"`
 }
 
@@ -159,23 +159,23 @@
 	Service string `json:"service"`
 }
 
-// LendResponse answers it.
+// LendResponse is the response to MethodLend.
 type LendResponse struct {
-	// Granted says that the one who asked may make a retry at once, which counts at the lender.
+	// Granted means that the caller may retry immediately. The retry counts against the lender's budget.
 	Granted bool `json:"granted"`
 }
 
-// CountReport is the parameter of MethodCounted.
+// CountReport is the parameter of MethodReportCounts.
 type CountReport struct {
 	Report quota.Report `json:"report"`
-	// Fleet says that it is a data centre's, for the ledger, not a daemon's for its
-	// collector.
+	// Fleet marks the report of a data centre to the ledger, as opposed to that of a
+	// daemon to its collector.
 	Fleet bool `json:"fleet,omitempty"`
-	// Urgent says that the daemon refuses requests until it is answered.
+	// Urgent means that the daemon refuses requests until it receives a response.
 	Urgent bool `json:"urgent,omitempty"`
 }
 
-// LeaseRequest is the parameter of MethodAsk.
+// LeaseRequest is the parameter of MethodRequestLease.
 type LeaseRequest struct {
 	Name    string        `json:"name"`
 	Request floor.Request `json:"request"`
--- a/internal/control/handlers.go
+++ b/internal/control/handlers.go
@@ -10,22 +10,22 @@
 // Handler answers the calls of one method.
 type Handler func(ctx context.Context, params json.RawMessage) (any, error)
 
-// Handlers holds the handler of each method.
+// Handlers maps methods to their handlers.
 type Handlers map[Method]Handler
 
-// Handle answers a call by its method's handler; it is a Handle.
+// Handle passes a call to the handler of its method. It can be used as a Handle.
 func (h Handlers) Handle(ctx context.Context, method Method, params json.RawMessage) (any, error) {
 	handler, ok := h[method]
 	if !ok {
-		return nil, result.New(result.MalformedCall).WithDetail("no method %q", method)
+		return nil, result.New(result.MalformedCall).WithDetail("unknown method %q", method)
 	}
 	return handler(ctx, params)
 }
 
-// Done answers a call that has nothing to say.
+// Done is the empty response to a call.
 type Done struct{}
 
-// Decode reads the parameter of a call.
+// Decode decodes the parameter of a call. Its error carries MalformedCall.
 func Decode(params json.RawMessage, into any) error {
 	if err := json.Unmarshal(params, into); err != nil {
 		return result.Wrap(result.MalformedCall, err)
--- a/internal/control/handlers_test.go
+++ b/internal/control/handlers_test.go
@@ -9,7 +9,7 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// TestHandlers calls a method that has a handler, one that has none, and one with a parameter that cannot be read.
+// TestHandlers covers a method with a handler, one without, and a parameter that cannot be decoded.
 func TestHandlers(t *testing.T) {
 	handlers := control.Handlers{
 		control.MethodReport: func(_ context.Context, params json.RawMessage) (any, error) {
@@ -34,10 +34,10 @@
 		t.Run(name, func(t *testing.T) {
 			got, err := handlers.Handle(context.Background(), test.method, json.RawMessage(test.params))
 			if test.want != nil && (err != nil || got != test.want) {
-				t.Fatalf("answer %v, %v; want %v", got, err, test.want)
+				t.Fatalf("got %v, %v; want %v", got, err, test.want)
 			}
 			if test.want == nil && (err == nil || result.From(err).Code != test.code) {
-				t.Fatalf("answer %v, %v; want %v", got, err, test.code)
+				t.Fatalf("got %v, %v; want %v", got, err, test.code)
 			}
 		})
 	}
--- a/internal/control/hosts.go
+++ b/internal/control/hosts.go
@@ -9,36 +9,36 @@
 	"github.com/tideliftd/tidelift/internal/member"
 )
 
-// Hosts is what is told of hosts. Many are packed on the wire: after a start of the
-// whole fleet each daemon hears of every other host several times.
+// Hosts is a list of host records. Long lists are compressed on the wire, because each
+// daemon receives every record several times after a start of the whole fleet.
 type Hosts []member.Host
 
-// MarshalJSON writes an array, or the packed array as a text.
+// MarshalJSON encodes the list as an array, or as a string with the compressed array.
 func (h Hosts) MarshalJSON() ([]byte, error) {
 	plain, err := json.Marshal([]member.Host(h))
 	if err != nil {
-		return nil, errors.Wrap(err, "write hosts")
+		return nil, errors.Wrap(err, "encode hosts")
 	}
-	if len(plain) < packFrom {
+	if len(plain) < compressThreshold {
 		return plain, nil
 	}
-	packed, err := pack(plain)
+	compressed, err := compress(plain)
 	if err != nil {
-		return nil, errors.Wrap(err, "pack hosts")
+		return nil, errors.Wrap(err, "compress hosts")
 	}
-	return json.Marshal(packed)
+	return json.Marshal(compressed)
 }
 
-// UnmarshalJSON reads either form.
+// UnmarshalJSON decodes either form.
 func (h *Hosts) UnmarshalJSON(data []byte) error {
 	if bytes.HasPrefix(data, []byte(`"`)) {
-		var packed []byte
-		if err := json.Unmarshal(data, &packed); err != nil {
-			return errors.Wrap(err, "read packed hosts")
+		var compressed []byte
+		if err := json.Unmarshal(data, &compressed); err != nil {
+			return errors.Wrap(err, "decode compressed hosts")
 		}
-		plain, err := unpack(packed)
+		plain, err := decompress(compressed)
 		if err != nil {
-			return errors.Wrap(err, "unpack hosts")
+			return errors.Wrap(err, "decompress hosts")
 		}
 		data = plain
 	}
--- a/internal/control/hosts_test.go
+++ b/internal/control/hosts_test.go
@@ -14,7 +14,7 @@
 	"github.com/tideliftd/tidelift/internal/member"
 )
 
-func someHosts(count int) control.Hosts {
+func makeHosts(count int) control.Hosts {
 	hosts := make(control.Hosts, 0, count)
 	for n := range count {
 		address := fmt.Sprintf("10.1.%d.%d", n/250, n%250)
@@ -27,11 +27,11 @@
 	return hosts
 }
 
-// TestHostsComeAsTheyWereTold goes both ways with few hosts and many.
-func TestHostsComeAsTheyWereTold(t *testing.T) {
+// TestHostsRoundTrip guards against hosts that change in transit, in short and long lists.
+func TestHostsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		told := control.HostUpdates{Host: "obuda-1", Hosts: someHosts(rapid.IntRange(0, 300).Draw(t, "hosts"))}
-		data, err := json.Marshal(told)
+		updates := control.HostUpdates{Host: "obuda-1", Hosts: makeHosts(rapid.IntRange(0, 300).Draw(t, "hosts"))}
+		data, err := json.Marshal(updates)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -39,52 +39,52 @@
 		if err := json.Unmarshal(data, &got); err != nil {
 			t.Fatal(err)
 		}
-		if len(got.Hosts) != len(told.Hosts) || len(told.Hosts) > 0 && !reflect.DeepEqual(got, told) {
-			t.Fatalf("%d hosts came as %d", len(told.Hosts), len(got.Hosts))
+		if len(got.Hosts) != len(updates.Hosts) || len(updates.Hosts) > 0 && !reflect.DeepEqual(got, updates) {
+			t.Fatalf("%d hosts decoded as %d, or with other content", len(updates.Hosts), len(got.Hosts))
 		}
 	})
 }
 
-// TestManyHostsArePacked holds what a start of many hosts costs.
-func TestManyHostsArePacked(t *testing.T) {
-	hosts := someHosts(100)
+// TestLongHostListIsCompressed guards the size of a long list, which limits the traffic after a start of many hosts.
+func TestLongHostListIsCompressed(t *testing.T) {
+	hosts := makeHosts(100)
 	plain, err := json.Marshal([]member.Host(hosts))
 	if err != nil {
 		t.Fatal(err)
 	}
-	packed, err := json.Marshal(hosts)
+	compressed, err := json.Marshal(hosts)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if 3*len(packed) > len(plain) {
-		t.Fatalf("%d bytes packed of %d", len(packed), len(plain))
+	if 3*len(compressed) > len(plain) {
+		t.Fatalf("%d bytes compressed from %d; want at most a third", len(compressed), len(plain))
 	}
 }
 
-// TestPackedHostsThatAreNone refuses what is not packed, is cut, or is far too much.
-func TestPackedHostsThatAreNone(t *testing.T) {
-	packed, err := json.Marshal(someHosts(100))
+// TestInvalidCompressedHosts covers a list that is not compressed, is truncated, or decompresses to too many bytes.
+func TestInvalidCompressedHosts(t *testing.T) {
+	encoded, err := json.Marshal(makeHosts(100))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var cut []byte
-	if err := json.Unmarshal(packed, &cut); err != nil {
+	var compressed []byte
+	if err := json.Unmarshal(encoded, &compressed); err != nil {
 		t.Fatal(err)
 	}
-	for name, raw := range map[string][]byte{"not packed": []byte("abc"), "cut": cut[:len(cut)/2], "endless": packedZeros(t)} {
+	for name, raw := range map[string][]byte{"not compressed": []byte("abc"), "truncated": compressed[:len(compressed)/2], "too large": compressedZeros(t)} {
 		data, err := json.Marshal(raw)
 		if err != nil {
 			t.Fatal(err)
 		}
 		var hosts control.Hosts
 		if err := json.Unmarshal(data, &hosts); err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: decoded without an error", name)
 		}
 	}
 }
 
-// packedZeros is small and unpacks to 20 MB.
-func packedZeros(t *testing.T) []byte {
+// compressedZeros returns a short input that decompresses to 20 MB.
+func compressedZeros(t *testing.T) []byte {
 	t.Helper()
 	var b bytes.Buffer
 	w, err := flate.NewWriter(&b, flate.BestSpeed)
--- a/internal/control/revision_test.go
+++ b/internal/control/revision_test.go
@@ -9,9 +9,9 @@
 	"github.com/tideliftd/tidelift/internal/control"
 )
 
-// TestARevisionTravelsPacked holds that a long text arrives as it was, in a fifth of its
-// bytes, and that a short one does as well.
-func TestARevisionTravelsPacked(t *testing.T) {
+// TestRevisionRoundTrip guards against texts that change in transit, and against long ones
+// that take more than a fifth of their size.
+func TestRevisionRoundTrip(t *testing.T) {
 	var routes strings.Builder
 	for i := range 300 {
 		fmt.Fprintf(&routes, "- {host: a.example, path: /p%d/, service: lookup, deadline: 5s, target: 1s}\n", i)
@@ -26,7 +26,7 @@
 			t.Fatal(err)
 		}
 		if held.Revision.YAML != text || held.Revision.Number != 7 {
-			t.Errorf("%s: another text arrived", name)
+			t.Errorf("%s: the revision changed in transit", name)
 		}
 		if name == "long" && len(data) > len(text)/5 {
 			t.Errorf("%d bytes for a text of %d", len(data), len(text))
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -14,16 +14,16 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// Handle answers a call. A *result.Error reaches the peer with its code.
+// Handle answers a call. If it returns a *result.Error, the peer receives its code.
 type Handle func(ctx context.Context, method Method, params json.RawMessage) (any, error)
 
-// ServerConfig says what a server listens on and who answers.
+// ServerConfig configures Serve.
 type ServerConfig struct {
 	Listener net.Listener
 	Handle   Handle
 }
 
-// Serve answers peers' calls until the clean-up function is called.
+// Serve answers peers' calls until the returned clean-up function is called.
 func Serve(config ServerConfig) func() {
 	ctx, cancel := context.WithCancel(context.Background())
 	go acceptAll(ctx, config)
@@ -33,11 +33,10 @@
 	}
 }
 
-// acceptPause is between a failed accept and the next. Not measured: file descriptors come free within
-// some requests' time, and twenty tries a second cost nothing.
-const acceptPause = 50 * time.Millisecond
+// acceptRetryDelay is the delay after a failed accept.
+const acceptRetryDelay = 50 * time.Millisecond
 
-// acceptAll takes connections until the listener is closed.
+// acceptAll accepts connections until the listener is closed.
 func acceptAll(ctx context.Context, config ServerConfig) {
 	handler := jsonrpc2.AsyncHandler(jsonrpc2.HandlerWithError(adapt(config.Handle)))
 	for {
@@ -46,24 +45,24 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(acceptPause) // such as no file descriptor left for the moment
+			time.Sleep(acceptRetryDelay) // for example, no file descriptor is available
 			continue
 		}
-		conn := jsonrpc2.NewConn(ctx, newStream(socket), handler, unlogged)
+		conn := jsonrpc2.NewConn(ctx, newStream(socket), handler, discardLog)
 		context.AfterFunc(ctx, func() { _ = conn.Close() })
 	}
 }
 
-// unlogged keeps the library from writing of broken connections to the standard error output,
-// unbounded and around the daemon's log. Whoever called hears of them by the call's error.
-var unlogged = jsonrpc2.SetLogger(log.New(io.Discard, "", 0))
+// discardLog keeps the jsonrpc2 library from logging broken connections to standard error, which is
+// unbounded and bypasses the daemon's log. Callers receive an error from their call.
+var discardLog = jsonrpc2.SetLogger(log.New(io.Discard, "", 0))
 
-// newStream frames messages by their length.
+// newStream returns a stream of length-prefixed messages.
 func newStream(socket net.Conn) jsonrpc2.ObjectStream {
 	return jsonrpc2.NewBufferedStream(socket, jsonrpc2.VarintObjectCodec{})
 }
 
-// adapt makes the function the library's handler.
+// adapt converts handle to a handler of the jsonrpc2 library.
 func adapt(handle Handle) func(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) (any, error) {
 	return func(ctx context.Context, _ *jsonrpc2.Conn, r *jsonrpc2.Request) (any, error) {
 		var params json.RawMessage
@@ -78,14 +77,14 @@
 	}
 }
 
-// encodeError carries a result code to the peer.
+// encodeError converts an error to a jsonrpc2 error with its result code.
 func encodeError(err error) *jsonrpc2.Error {
 	e := result.From(err)
 	return &jsonrpc2.Error{Code: int64(e.Code.Number), Message: e.Detail}
 }
 
-// decodeError reads the result code that the peer answered; a call without an answer
-// is a silent peer.
+// decodeError returns an error with the result code of the peer's response, or with PeerSilent
+// if there was no valid response.
 func decodeError(err error) error {
 	var remote *jsonrpc2.Error
 	if !errors.As(err, &remote) {
--- a/internal/control/tell.go
+++ b/internal/control/tell.go
@@ -8,11 +8,11 @@
 	"github.com/tideliftd/tidelift/internal/fleet"
 )
 
-// NotifyTimeout bounds a call whose answer nobody waits for. Not measured: it only keeps calls to
-// silent daemons from adding up, and is many times what a call between data centres takes.
+// NotifyTimeout limits a call whose response is not awaited, so that calls to unresponsive daemons do not
+// accumulate. It is many times the duration of a call between data centres.
 const NotifyTimeout = 2 * time.Second
 
-// Address returns where the host takes control calls from this data centre.
+// Address returns the host's address for control calls from this data centre.
 func (c *Client) Address(host fleet.Host) string { return host.ControlFrom(c.config.DataCentre) }
 
 // CallHost calls the daemon of the host.
@@ -20,20 +20,20 @@
 	return c.Call(ctx, c.Address(host), method, params, answer)
 }
 
-// Notify makes a call whose answer says nothing to each of the hosts, and waits for none.
+// Notify calls the method on each of the hosts in the background and ignores the responses.
 func (c *Client) Notify(hosts []fleet.Host, method Method, params any) {
 	for _, host := range hosts {
-		go c.tell(host, method, params)
+		go c.notify(host, method, params)
 	}
 }
 
-func (c *Client) tell(host fleet.Host, method Method, params any) {
+func (c *Client) notify(host fleet.Host, method Method, params any) {
 	ctx, cancel := context.WithTimeout(context.Background(), NotifyTimeout)
 	defer cancel()
-	_ = c.CallLogged(ctx, c.Address(host), method, params, nil) // nobody waits, and it is logged
+	_ = c.CallLogged(ctx, c.Address(host), method, params, nil) // CallLogged logs a failure
 }
 
-// CallLogged calls the daemon at the address like Call, and logs it if there is no answer.
+// CallLogged calls the daemon at the address like Call, and logs a failed call.
 func (c *Client) CallLogged(ctx context.Context, address string, method Method, params, answer any) error {
 	err := c.Call(ctx, address, method, params, answer)
 	if err != nil {
