--- a/internal/result/codes.go
+++ b/internal/result/codes.go
@@ -2,11 +2,11 @@
 
 import "net/http"
 
-// StatusCallerGone is the status logged for a caller that went away; no caller
-// sees it.
+// StatusCallerGone is the status logged for a request whose caller disconnected; no
+// caller receives it.
 const StatusCallerGone = 499
 
-// The codes for a request that is wrong.
+// Codes of invalid requests.
 var (
 	MalformedRequest = Code{1001, "malformed-request", http.StatusBadRequest, RanNo, "The request cannot be understood."}
 	NoRoute          = Code{1002, "no-route", http.StatusNotFound, RanNo, "No declared route leads from this host name and path to a service."}
@@ -20,7 +20,7 @@
 	KeyUnknown       = Code{1010, "key-unknown", http.StatusUnauthorized, RanNo, "The key belongs to no customer of the declaration in force."}
 )
 
-// The codes for a request that was refused and not run.
+// Codes of requests that were refused and not run.
 var (
 	NotReady              = Code{2001, "not-ready", http.StatusServiceUnavailable, RanNo, "The daemon has no declaration in force yet."}
 	Stopping              = Code{2002, "stopping", http.StatusServiceUnavailable, RanNo, "The daemon is stopping and takes no new work."}
@@ -50,7 +50,7 @@
 	ReservationUnanswered = Code{2015, "reservation-unanswered", http.StatusServiceUnavailable, RanNo, "The backend server's daemon did not grant a reservation in time; the request was never sent."}
 )
 
-// The codes for a request whose outcome is unknown.
+// Codes of requests whose outcome is unknown.
 var (
 	DeadlineWhileRunning = Code{3001, "deadline-while-running", http.StatusGatewayTimeout, RanUnknown, "The deadline passed after the request had been sent."}
 	ConnectionLost       = Code{3002, "connection-lost", http.StatusBadGateway, RanUnknown, "The connection was lost after the request had been sent."}
@@ -64,7 +64,7 @@
 	AnswerCut            = Code{3005, "answer-cut", http.StatusBadGateway, RanUnknown, "The answer broke off; the caller's connection was closed so that it does not look whole."}
 )
 
-// The codes for an operator's call that was refused.
+// Codes of operators' calls that were refused.
 var (
 	BadDeclaration  = Code{4001, "bad-declaration", http.StatusUnprocessableEntity, RanNo, "The declaration is wrong; nothing was changed."}
 	RevisionChanged = Code{4002, "revision-changed", http.StatusConflict, RanNo, "Another revision is in force than the one the change was based on; nothing was changed."}
@@ -79,7 +79,7 @@
 	PeerSilent      = Code{4008, "peer-silent", http.StatusServiceUnavailable, RanUnknown, "The daemon that has to act did not answer the control call."}
 )
 
-// All returns every code in the order of their numbers.
+// All returns every code, ordered by the first digit.
 func All() []Code {
 	return []Code{
 		MalformedRequest, NoRoute, AmbiguousFraming, HeadersTooLarge, BodyTooLarge, BadDeadline, UpgradeRefused, ProtocolVersion, KeyMissing, KeyUnknown,
--- a/internal/result/result.go
+++ b/internal/result/result.go
@@ -1,11 +1,11 @@
-// Package result numbers the ways in which tidelift refuses or fails a
-// request.
+// Package result defines the numbered result codes of requests that tidelift
+// refuses or fails.
 //
-// The first digit of a code says what the receiver may conclude:
+// The first digit of a code gives the class of the result:
 //
-//	1xxx  the request is wrong; it was not run and will not be
-//	2xxx  refused; it was not run and will not be; come back later
-//	3xxx  its outcome is unknown; it may have run
+//	1xxx  invalid request; it was not run and will not be
+//	2xxx  refused; it was not run and will not be; retry later
+//	3xxx  unknown outcome; it may have run
 //	4xxx  an operator's call was refused
 //
 // # Usage
@@ -15,7 +15,7 @@
 //	refusal := result.From(err)
 //	if refusal.Code.Ran == result.RanNo { ... }
 //
-// docs/RESULT-CODES.md is written from All, and a test holds it to that.
+// docs/RESULT-CODES.md is generated from All, and a test checks that they agree.
 package result
 
 import (
@@ -25,10 +25,10 @@
 	"github.com/go-faster/errors"
 )
 
-// Ran says what is known about whether a request was run.
+// Ran states whether a request was run, as far as that is known.
 type Ran string
 
-// What can be known about a request.
+// The values of Ran.
 const (
 	// RanNo means that the request was not run and will not be.
 	RanNo Ran = "no"
@@ -36,38 +36,38 @@
 	RanUnknown Ran = "unknown"
 )
 
-// Code is a numbered result.
+// Code is a numbered result code.
 type Code struct {
-	// Number is stable for ever.
+	// Number never changes.
 	Number int
-	// Name is the code's name in metrics and answers.
+	// Name is the code's name in metrics and responses.
 	Name string
-	// Status is the HTTP status the caller sees.
+	// Status is the HTTP status of the response.
 	Status int
-	// Ran says what the caller may conclude.
+	// Ran states whether the request may have run.
 	Ran Ran
-	// Meaning says what happened, for the table in the docs.
+	// Meaning describes the result, in responses and in the docs.
 	Meaning string
 }
 
-// Error is a failure with its code.
+// Error is an error with a result code.
 type Error struct {
-	// Code says what happened.
+	// Code is the result code.
 	Code Code
-	// Detail adds what the code's meaning does not say; it may be empty.
+	// Detail supplements the code's meaning; it may be empty.
 	Detail string
-	// RetryAfter says when to come back; zero says nothing about it.
+	// RetryAfter is the time to wait before a retry; zero if unspecified.
 	RetryAfter time.Duration
 	// Cause is the underlying error; it may be nil.
 	Cause error
 }
 
-// New returns an error of that code.
+// New returns an error with the code.
 func New(code Code) *Error {
 	return &Error{Code: code}
 }
 
-// Wrap returns an error of that code with the cause that led to it.
+// Wrap returns an error with the code and the underlying error.
 func Wrap(code Code, cause error) *Error {
 	return &Error{Code: code, Cause: cause}
 }
@@ -79,7 +79,7 @@
 	return &c
 }
 
-// WithRetryAfter returns a copy of e that says when to come back.
+// WithRetryAfter returns a copy of e with the time to wait before a retry.
 func (e *Error) WithRetryAfter(after time.Duration) *Error {
 	c := *e
 	c.RetryAfter = after
@@ -101,8 +101,8 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// From returns err as an *Error; one without a code becomes ConnectionLost,
-// which promises nothing.
+// From returns err as an *Error. An error without a code becomes ConnectionLost,
+// since the request may have run.
 func From(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
@@ -111,7 +111,7 @@
 	return Wrap(ConnectionLost, err)
 }
 
-// ByNumber returns the code of that number.
+// ByNumber returns the code with the number and reports whether it exists.
 func ByNumber(number int) (Code, bool) {
 	code, ok := byNumber[number]
 	return code, ok
--- a/internal/result/write.go
+++ b/internal/result/write.go
@@ -12,24 +12,23 @@
 	"time"
 )
 
-// Header is the answer header that carries a code, such as "2004 queue-full".
+// Header is the response header that carries a code, such as "2004 queue-full".
 const Header = "Tidelift-Result"
 
-// Write answers a caller with the error: the code's status, the Header,
-// Retry-After in whole seconds where the error says when to come back, and a
-// JSON body.
+// Write writes the error as a response: the code's status, the Header,
+// Retry-After in whole seconds if the error specifies it, and a JSON body.
 func Write(w http.ResponseWriter, e *Error) {
 	write(w, e, retryAfterSeconds(e.RetryAfter))
 }
 
-// WriteDecimals does the same with Retry-After in seconds with decimals, for callers that
-// read such.
+// WriteDecimals is like Write, but gives Retry-After in seconds with decimals, for callers that
+// support them.
 func WriteDecimals(w http.ResponseWriter, e *Error) {
 	write(w, e, retryAfterDecimals(e.RetryAfter))
 }
 
-// WriteConn writes the answer that Write gives onto a connection, with the request to close it. It is one write,
-// so that whoever reads a part of it at once can tell what it is.
+// WriteConn writes the response of Write to a connection, with Connection: close. It uses a single write, so that
+// a client can identify the response by its first read.
 func WriteConn(c io.Writer, e *Error) error {
 	body := encode(e)
 	response := http.Response{
@@ -49,8 +48,8 @@
 	return err
 }
 
-// write answers with the error, and with that text of Retry-After where the error says
-// when to come back.
+// write writes the error as a response, with the given Retry-After text if the error
+// specifies a time.
 func write(w http.ResponseWriter, e *Error, retryAfter string) {
 	body := encode(e)
 	h := w.Header()
@@ -60,7 +59,7 @@
 	_, _ = w.Write(body)
 }
 
-// header returns the headers of an answer with the error.
+// header returns the headers of the response for the error.
 func header(e *Error, retryAfter string) http.Header {
 	h := make(http.Header)
 	h.Set("Content-Type", "application/json")
@@ -71,7 +70,7 @@
 	return h
 }
 
-// encode returns the body of an answer with the error.
+// encode returns the body of the response for the error.
 func encode(e *Error) []byte {
 	body, err := json.Marshal(struct {
 		Code         int    `json:"code"`
@@ -94,20 +93,19 @@
 	return body
 }
 
-// retryAfterDecimals returns the time in seconds, to the millisecond.
+// retryAfterDecimals formats the duration in seconds, to the millisecond.
 func retryAfterDecimals(after time.Duration) string {
 	const decimals = 3
 	return strconv.FormatFloat(after.Seconds(), 'f', decimals, 64)
 }
 
-// retryAfterSeconds returns the time in whole seconds, rounded up, at least one.
+// retryAfterSeconds formats the duration in whole seconds, rounded up and at least one.
 func retryAfterSeconds(after time.Duration) string {
 	seconds := math.Ceil(after.Seconds())
 	return strconv.Itoa(int(math.Max(1, seconds)))
 }
 
-// WriteRefusal answers an operator's call with the error, in the form of the
-// operator API.
+// WriteRefusal writes the error as a response of the operator API.
 func WriteRefusal(w http.ResponseWriter, e *Error) {
 	body, err := json.Marshal(struct {
 		Code   int    `json:"code"`
