--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -1,14 +1,13 @@
-// Package event numbers what the daemon logs.
+// Package event defines the numbered events that the daemon logs.
 //
 // # Usage
 //
 //	event.Log(logger, event.DaemonStarted, "callers", address)
 //
-// Each line carries event=<number> beside the message, so that an alarm can be set on the number
-// whatever the words become. It owns the numbers, levels and messages; the attributes belong to
-// whoever logs. docs/EVENTS.md is written from All, and a test holds it to that. Messages and
-// attribute names keep the words of the log format, which docs/GLOSSARY.md relates to those of
-// the code.
+// Each line carries event=<number> beside the message, so that alerts can match the number even if
+// the message changes. The package owns the numbers, levels and messages; callers choose the
+// attributes. docs/EVENTS.md is generated from All, and a test checks that they agree. Messages and
+// attribute names keep the terms of the log format; docs/GLOSSARY.md maps them to those of the code.
 package event
 
 import (
@@ -18,17 +17,17 @@
 
 // Event is a numbered log event.
 type Event struct {
-	// Number is stable for ever.
+	// Number never changes.
 	Number int
 	// Level is the log level.
 	Level slog.Level
 	// Message is the log line's message.
 	Message string
-	// Meaning is what an operator may conclude and do.
+	// Meaning states what operators may conclude from the event and do about it.
 	Meaning string
 }
 
-// The events of a daemon's life.
+// Events of a daemon's life cycle.
 var (
 	DaemonStarted   = Event{101, slog.LevelInfo, "daemon started", "The daemon listens on the addresses given."}
 	DaemonStopping  = Event{102, slog.LevelInfo, "daemon stopping", "A planned stop began: no new work is taken, what is in flight is finished."}
@@ -40,7 +39,7 @@
 	ServeFailed     = Event{105, slog.LevelError, "listener failed", "A listener ended with an error; the daemon stops."}
 )
 
-// The events of the declaration in force.
+// Events of the declaration in force.
 var (
 	DeclarationInForce   = Event{201, slog.LevelInfo, "declaration in force", "A newer declaration was put in force here."}
 	DeclarationRefused   = Event{202, slog.LevelError, "declaration refused", "The platform holds a declaration that this daemon cannot read; the one before stays in force."}
@@ -50,7 +49,7 @@
 	DeclarationFromPeers = Event{206, slog.LevelInfo, "declaration taken from peers", "The platform did not answer and other daemons gave the declaration."}
 )
 
-// The events of backend servers.
+// Events of backend servers.
 var (
 	ServerAvoided   = Event{301, slog.LevelWarn, "backend server avoided", "This daemon prefers others, from what it sees on the path to the backend server."}
 	ServerEjected   = Event{302, slog.LevelWarn, "backend server ejected", "The backend server's own daemon refuses work for it."}
@@ -64,7 +63,7 @@
 	ServerBack      = Event{307, slog.LevelInfo, "backend server no longer leaving", "The backend server takes new work again."}
 )
 
-// The events of hosts and backend servers that register themselves.
+// Events of hosts and of backend servers that register themselves.
 var (
 	ServersRegistered   = Event{401, slog.LevelInfo, "backend servers registered", "A backend server of this host checked in with news or left; the line says which of them serve now."}
 	RegistrationRefused = Event{402, slog.LevelWarn, "check-in refused", "A check-in could not be read, or names a service that is not declared, and changed nothing."}
@@ -78,7 +77,7 @@
 	PeerSilent          = Event{405, slog.LevelDebug, "peer silent", "Another daemon did not answer a control call; it learns the news from the next."}
 )
 
-// The events of callers' requests.
+// Events of callers' requests.
 var (
 	RequestFailed      = Event{501, slog.LevelInfo, "request failed", "A caller got a refusal or a failure; the line has its id, the result code and what led to it."}
 	AttemptFailed      = Event{502, slog.LevelInfo, "attempt failed", "One sending of a request failed; the line says where, how, whether it is tried elsewhere, and how many backend servers were passed over before, by reason."}
@@ -92,7 +91,7 @@
 	RequestRefused     = Event{503, slog.LevelDebug, "work refused", "This daemon refused work for a backend server of its host, for the reason given."}
 )
 
-// All returns every event in the order of their numbers.
+// All returns every event, ordered by number.
 func All() []Event {
 	return []Event{
 		DaemonStarted, DaemonStopping, DaemonStopped, StopCut, ServeFailed, SettingsTaken, SettingsRefused, KeysRefused,
@@ -103,7 +102,7 @@
 	}
 }
 
-// Log writes the event with its number and the attributes given as pairs.
+// Log logs the event with its number and the given attributes, which are key-value pairs.
 func Log(logger *slog.Logger, e Event, args ...any) {
 	logger.Log(context.Background(), e.Level, e.Message, append([]any{"event", e.Number}, args...)...)
 }
