--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,4 +1,4 @@
-// Package trace puts together what the daemons' logs say of one request.
+// Package trace reconstructs the history of one request from the daemons' logs.
 //
 // # Usage
 //
@@ -6,12 +6,13 @@
 //	err := s.Read(file) // for the log of each host, in any order
 //	err = s.Write(os.Stdout)
 //
-// A line is JSON, with or without something before it, as log collectors put it
-// there. Lines of one host keep their order; those of several are put together by
-// their times, which may differ between hosts by as much as their clocks do.
+// A line is JSON, optionally with a prefix from a log collector. Lines of one host
+// keep their order; lines of several hosts are merged by time, so that their order
+// is only as accurate as the hosts' clocks.
 //
-// Besides the request's own lines the story holds the last change of state of each
-// backend server that the request met, since that is why it was refused or failed.
+// In addition to the request's own lines, the story contains the last state change
+// of each backend server that the request met, because it explains a refusal or
+// failure.
 package trace
 
 import (
@@ -31,14 +32,14 @@
 )
 
 const (
-	// maxLine is the longest line that is read, in bytes.
+	// maxLine is the maximum length of a line, in bytes.
 	maxLine = 1 << 20
-	// before is how far back a change of a backend server's state counts. Source:
-	// the longest time that a backend server fails for is some ten seconds.
-	before = 30 * time.Second
+	// stateWindow is how long a state change of a backend server remains relevant. Failures of
+	// backend servers last some ten seconds at most.
+	stateWindow = 30 * time.Second
 )
 
-// line is what is read of a log line.
+// line holds the fields of a log line that the package uses.
 type line struct {
 	Time          time.Time `json:"time"`
 	Event         int       `json:"event"`
@@ -59,17 +60,17 @@
 	TookMs        int64     `json:"took_ms"`
 }
 
-// Story is what is known of one request.
+// Story is the history of one request.
 type Story struct {
-	request string
-	own     []line
-	states  []line // changes of backend servers' states, of every one
+	request      string
+	requestLines []line
+	stateChanges []line // state changes of all backend servers
 }
 
-// New returns an empty story of the request of that id.
+// New returns an empty story of the request with the given id.
 func New(request string) *Story { return &Story{request: request} }
 
-// Read reads a log. Lines that are not a daemon's are passed over.
+// Read reads a log. It ignores lines that were not written by a daemon.
 func (s *Story) Read(log io.Reader) error {
 	scanner := bufio.NewScanner(log)
 	scanner.Buffer(nil, maxLine)
@@ -93,13 +94,13 @@
 	}
 	switch {
 	case l.Request == s.request:
-		s.own = append(s.own, l)
-	case isState(l.Event):
-		s.states = append(s.states, l)
+		s.requestLines = append(s.requestLines, l)
+	case isStateChange(l.Event):
+		s.stateChanges = append(s.stateChanges, l)
 	}
 }
 
-func isState(number int) bool {
+func isStateChange(number int) bool {
 	for _, e := range []event.Event{event.ServerSuspected, event.ServerTrusted, event.ServerEjected, event.ServerReturned, event.ServerDraining} {
 		if e.Number == number {
 			return true
@@ -108,49 +109,49 @@
 	return false
 }
 
-// Write writes the story in words, in the order of time. It is an error if no log has a line of it.
+// Write writes the story as text, ordered by time. It returns an error if no log has a line of the request.
 func (s *Story) Write(w io.Writer) error {
-	if len(s.own) == 0 {
-		return errors.Errorf("no log has a line of request %q: it was answered at once, or it is in a log that was not read", s.request)
+	if len(s.requestLines) == 0 {
+		return errors.Errorf("no log has a line of request %q: it was answered on the first attempt, or its log was not read", s.request)
 	}
 	byTime := func(a, b line) int { return a.Time.Compare(b.Time) }
-	slices.SortStableFunc(s.own, byTime)
-	slices.SortStableFunc(s.states, byTime)
-	began := s.own[0].Time
-	lines := []string{fmt.Sprintf("request %s came to %s", s.request, s.cameTo())}
-	for _, l := range s.own {
-		lines = append(lines, fmt.Sprintf("%8s  %s", offset(l.Time.Sub(began)), l.words()))
+	slices.SortStableFunc(s.requestLines, byTime)
+	slices.SortStableFunc(s.stateChanges, byTime)
+	start := s.requestLines[0].Time
+	lines := []string{fmt.Sprintf("request %s came to %s", s.request, s.receivedBy())}
+	for _, l := range s.requestLines {
+		lines = append(lines, fmt.Sprintf("%8s  %s", offset(l.Time.Sub(start)), l.describe()))
 		if state, ok := s.stateAt(l.BackendServer, l.Time); ok {
-			lines = append(lines, fmt.Sprintf("%8s    %s: %s", "", state.BackendServer, state.stateWords(l.Time)))
+			lines = append(lines, fmt.Sprintf("%8s    %s: %s", "", state.BackendServer, state.describeState(l.Time)))
 		}
 	}
 	_, err := io.WriteString(w, strings.Join(lines, "\n")+"\n")
 	return err
 }
 
-// cameTo returns the daemon that took the request from its caller. The others only say that a backend server
-// ended under it.
-func (s *Story) cameTo() string {
-	for _, l := range s.own {
+// receivedBy returns the daemon that received the request from its caller. Other daemons only log that a backend
+// server ended while it ran the request.
+func (s *Story) receivedBy() string {
+	for _, l := range s.requestLines {
 		if l.Event != event.ServerEnded.Number {
 			return l.Daemon
 		}
 	}
-	return s.own[0].Daemon
+	return s.requestLines[0].Daemon
 }
 
-// stateAt returns the last change of the backend server's state before then.
+// stateAt returns the last state change of the backend server up to the given time and within stateWindow.
 func (s *Story) stateAt(backendServer string, at time.Time) (line, bool) {
-	for _, l := range slices.Backward(s.states) {
-		if l.BackendServer == backendServer && !l.Time.After(at) && at.Sub(l.Time) < before {
+	for _, l := range slices.Backward(s.stateChanges) {
+		if l.BackendServer == backendServer && !l.Time.After(at) && at.Sub(l.Time) < stateWindow {
 			return l, true
 		}
 	}
 	return line{}, false
 }
 
-// words returns one line of the request's own in words.
-func (l line) words() string {
+// describe returns the text for one of the request's own lines.
+func (l line) describe() string {
 	code, _ := result.ByNumber(l.Code)
 	if l.Event == event.RequestFailed.Number {
 		return fmt.Sprintf("answered with %d %s after %d ms: %s", code.Status, l.Result, l.TookMs, code.Meaning)
@@ -175,8 +176,8 @@
 	}
 }
 
-// stateWords returns a change of state that came before in words.
-func (l line) stateWords(at time.Time) string {
+// describeState returns the text for a state change that preceded a line of the request.
+func (l line) describeState(at time.Time) string {
 	text := fmt.Sprintf("%s %s earlier", l.Message, offset(at.Sub(l.Time)))
 	for _, why := range []string{l.Outcome, l.Cause, l.Why} {
 		if why != "" {
