--- a/internal/logline/logline.go
+++ b/internal/logline/logline.go
@@ -1,4 +1,4 @@
-// Package logline writes log lines without blocking whoever logs.
+// Package logline writes log lines without blocking the caller.
 //
 // # Usage
 //
@@ -6,10 +6,10 @@
 //	defer cleanUp()
 //	logger := slog.New(slog.NewJSONHandler(w, nil))
 //
-// A line is put into a bounded buffer, which one goroutine writes out; the package owns both. A
-// line that finds the buffer full, because the reader of the log has stopped reading, is
-// dropped, and so is one beyond the rate. Once there is room, a line of its own says how many
-// were dropped. Lines keep their order.
+// Lines are put into a bounded buffer, which one goroutine writes out; the package owns both. A
+// line is dropped if the buffer is full, because the reader of the log has stopped reading, or if
+// it exceeds the rate. The next line that is written is preceded by one that reports how many were
+// dropped. Lines keep their order.
 package logline
 
 import (
@@ -20,39 +20,37 @@
 )
 
 const (
-	// buffered is how many lines may wait to be written. Source: two seconds of lines at
-	// DefaultPerSecond, 300 KB at 300 bytes a line.
-	buffered = 1024
-	// DefaultPerSecond is how many lines are written in a second at most. Source: a daemon
-	// with a hundred requests a second that all fail logs five lines for each.
+	// bufferedLines is the maximum number of lines that wait to be written: about two seconds of lines
+	// at DefaultPerSecond.
+	bufferedLines = 1024
+	// DefaultPerSecond is the default maximum number of lines per second.
 	DefaultPerSecond = 500
-	// endWithin bounds the wait for what is buffered when the log ends. Not measured: a
-	// reader that reads takes the whole buffer in far less.
-	endWithin = 200 * time.Millisecond
+	// closeTimeout limits the wait for buffered lines to be written when the writer is closed.
+	closeTimeout = 200 * time.Millisecond
 )
 
 // Config configures a Writer.
 type Config struct {
 	// Out receives the lines, one with each Write.
 	Out io.Writer
-	// PerSecond bounds the lines of a second; 0 means DefaultPerSecond.
+	// PerSecond is the maximum number of lines per second; 0 means DefaultPerSecond.
 	PerSecond int
-	// OnDrop is called for each line that is dropped; it may be nil.
+	// OnDrop is called for each dropped line; it may be nil.
 	OnDrop func()
 }
 
-// Writer takes one line with each Write. It is safe for concurrent use.
+// Writer accepts one line with each Write. It is safe for concurrent use.
 type Writer struct {
 	config  Config
 	lines   chan []byte
 	dropped atomic.Int64
-	second  atomic.Int64 // the second whose lines are counted, in Unix time
-	taken   atomic.Int64 // the lines of that second, with those beyond the rate
-	ending  chan struct{}
-	ended   chan struct{}
+	second  atomic.Int64 // Unix time of the second whose lines are counted
+	count   atomic.Int64 // lines in that second, including those beyond the rate
+	closing chan struct{}
+	closed  chan struct{}
 }
 
-// New returns a writer, and a function that writes what is buffered and ends it.
+// New returns a writer and a function that writes the buffered lines and stops the writer.
 func New(config Config) (*Writer, func()) {
 	if config.PerSecond == 0 {
 		config.PerSecond = DefaultPerSecond
@@ -61,16 +59,16 @@
 		config.OnDrop = func() {}
 	}
 	w := &Writer{
-		config: config,
-		lines:  make(chan []byte, buffered),
-		ending: make(chan struct{}),
-		ended:  make(chan struct{}),
+		config:  config,
+		lines:   make(chan []byte, bufferedLines),
+		closing: make(chan struct{}),
+		closed:  make(chan struct{}),
 	}
 	go w.run()
-	return w, w.end
+	return w, w.close
 }
 
-// Write takes a line. It never waits and never fails.
+// Write queues a line. It never blocks and never returns an error.
 func (w *Writer) Write(line []byte) (int, error) {
 	if !w.withinRate(time.Now().Unix()) {
 		w.drop()
@@ -84,36 +82,36 @@
 	return len(line), nil
 }
 
-// drop counts a line that is not written.
+// drop counts a dropped line.
 func (w *Writer) drop() {
 	w.dropped.Add(1)
 	w.config.OnDrop()
 }
 
-// withinRate counts a line in its second and reports whether it may be written.
+// withinRate counts a line in the given second and reports whether the rate allows it.
 func (w *Writer) withinRate(second int64) bool {
 	if old := w.second.Load(); old != second && w.second.CompareAndSwap(old, second) {
-		w.taken.Store(0)
+		w.count.Store(0)
 	}
-	return w.taken.Add(1) <= int64(w.config.PerSecond)
+	return w.count.Add(1) <= int64(w.config.PerSecond)
 }
 
-// run writes the buffered lines until the log ends.
+// run writes the buffered lines until the writer is closed.
 func (w *Writer) run() {
-	defer close(w.ended)
+	defer close(w.closed)
 	for {
 		select {
 		case line := <-w.lines:
 			w.write(line)
-		case <-w.ending:
-			w.writeRest()
+		case <-w.closing:
+			w.flush()
 			return
 		}
 	}
 }
 
-// writeRest writes what is buffered without waiting for more.
-func (w *Writer) writeRest() {
+// flush writes the buffered lines without waiting for more.
+func (w *Writer) flush() {
 	for {
 		select {
 		case line := <-w.lines:
@@ -124,19 +122,19 @@
 	}
 }
 
-// write writes a line, and before it how many were dropped.
+// write writes a line, preceded by the number of dropped lines if there are any.
 func (w *Writer) write(line []byte) {
 	if dropped := w.dropped.Swap(0); dropped > 0 {
 		_, _ = fmt.Fprintf(w.config.Out, `{"level":"WARN","msg":"log lines dropped","count":%d}`+"\n", dropped)
 	}
-	_, _ = w.config.Out.Write(line) // a log that cannot be written has nowhere to say so
+	_, _ = w.config.Out.Write(line) // there is nowhere to report an error of the log itself
 }
 
-// end ends the log once what is buffered is written, or after endWithin if nobody reads it.
-func (w *Writer) end() {
-	close(w.ending)
+// close stops the writer once the buffered lines are written, or after closeTimeout if the log is not read.
+func (w *Writer) close() {
+	close(w.closing)
 	select {
-	case <-w.ended:
-	case <-time.After(endWithin):
+	case <-w.closed:
+	case <-time.After(closeTimeout):
 	}
 }
--- a/internal/logline/logline_test.go
+++ b/internal/logline/logline_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// TestAReaderThatStopsReadingCostsNobody fills a pipe that nobody reads.
-func TestAReaderThatStopsReadingCostsNobody(t *testing.T) {
+// TestWriteDoesNotBlock guards against callers that block on a full pipe whose reader has stopped.
+func TestWriteDoesNotBlock(t *testing.T) {
 	in, out, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
@@ -37,11 +37,11 @@
 	dropped := 0
 	w, cleanUp := logline.New(logline.Config{Out: out, PerSecond: 1 << 20, OnDrop: func() { dropped++ }})
 	line := bytes.Repeat([]byte("x"), 300)
-	began := time.Now()
+	start := time.Now()
 	for range 5000 {
 		_, _ = w.Write(line)
 	}
-	if took := time.Since(began); took > time.Second {
+	if took := time.Since(start); took > time.Second {
 		t.Fatalf("5000 lines took %s", took)
 	}
 	if dropped == 0 {
@@ -53,11 +53,11 @@
 	_ = out.Close()
 }
 
-func TestWhatIsDroppedIsSaid(t *testing.T) {
+func TestDroppedLinesAreReported(t *testing.T) {
 	var out bytes.Buffer
 	w, cleanUp := logline.New(logline.Config{Out: &out, PerSecond: 3})
 	for time.Now().Nanosecond() > int(700*time.Millisecond) {
-		time.Sleep(10 * time.Millisecond) // so that all fall into one second
+		time.Sleep(10 * time.Millisecond) // so that all lines are written within one second
 	}
 	for range 10 {
 		_, _ = io.WriteString(w, "line\n")
