--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -1,4 +1,4 @@
-// Package metric sets up the daemon's metrics and their page for scraping.
+// Package metric sets up the daemon's metrics and the page from which they are scraped.
 //
 // # Usage
 //
@@ -7,10 +7,9 @@
 //	metrics.Scope.Counter("requests").Inc(1)
 //	http.Handle("/metrics", metrics.Handler)
 //
-// It owns the registry and the task that moves counts there; names and tags belong to whoever
-// counts. Names carry the prefix tidelift_. Times are in seconds unless the name says
-// otherwise. Every refusal and retry reason is a value of the tag "reason", taken from package
-// result.
+// The package owns the registry and the goroutine that updates it; callers choose names and tags.
+// Names have the prefix tidelift_. Times are in seconds unless the name states another unit. Every
+// refusal and retry reason is a value of the tag "reason", taken from package result.
 package metric
 
 import (
@@ -25,9 +24,8 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// reportEvery is how old the figures of the page may be. Not measured: pages are scraped every
-// ten seconds or more.
-const reportEvery = time.Second
+// reportInterval is the maximum age of the values on the metrics page.
+const reportInterval = time.Second
 
 // Config configures metrics.
 type Config struct {
@@ -35,13 +33,13 @@
 	DataCentre string
 }
 
-// Metrics is the root scope and the page for scraping.
+// Metrics holds the root scope and the handler of the metrics page.
 type Metrics struct {
 	Scope   tally.Scope
 	Handler http.Handler
 }
 
-// New returns the metrics and a function that stops their reporting.
+// New returns the metrics and a function that stops reporting them.
 func New(config Config) (Metrics, func()) {
 	registry := prom.NewRegistry()
 	reporter := prometheus.NewReporter(prometheus.Options{Registerer: registry, Gatherer: registry})
@@ -50,7 +48,7 @@
 		Tags:           map[string]string{"data_centre": config.DataCentre},
 		CachedReporter: reporter,
 		Separator:      prometheus.DefaultSeparator,
-	}, reportEvery)
+	}, reportInterval)
 	return Metrics{Scope: scope, Handler: reporter.HTTPHandler()}, closeQuietly(closer)
 }
 
@@ -58,12 +56,12 @@
 	return func() { _ = closer.Close() }
 }
 
-// Reasons counts by result code, in the tag "reason". It is safe for concurrent use.
+// Reasons counts events by result code, with the tag "reason". It is safe for concurrent use.
 type Reasons struct {
 	counters map[int]tally.Counter
 }
 
-// NewReasons returns a counter of that name for each result code.
+// NewReasons returns Reasons with a counter of the given name for each result code.
 func NewReasons(scope tally.Scope, name string) Reasons {
 	counters := make(map[int]tally.Counter)
 	for _, code := range result.All() {
@@ -72,7 +70,7 @@
 	return Reasons{counters: counters}
 }
 
-// Inc counts one of that code. A code that result.All does not have counts nothing.
+// Inc increments the counter of the code. It ignores codes that are not in result.All.
 func (r Reasons) Inc(code result.Code) {
 	if counter, ok := r.counters[code.Number]; ok {
 		counter.Inc(1)
