--- a/internal/operator/describe.go
+++ b/internal/operator/describe.go
@@ -21,18 +21,17 @@
 	"github.com/tideliftd/tidelift/internal/sidecar"
 )
 
-// askTimeout bounds a control call made for an operator. Not measured: many times what a call between data
-// centres takes, and an operator waits for it.
-const askTimeout = 2 * time.Second
+// callTimeout limits a control call made for an operator, who waits for the result.
+const callTimeout = 2 * time.Second
 
 const (
-	witnessIngress = "ingress"
-	witnessSidecar = "sidecar"
+	observerIngress = "ingress"
+	observerSidecar = "sidecar"
 
-	stateServing = "serving"
-	stateAvoided = "avoided"
-	stateRefuses = "refuses-work"
-	stateUnknown = "unknown"
+	stateServing     = "serving"
+	stateAvoided     = "avoided"
+	stateRefusesWork = "refuses-work"
+	stateUnknown     = "unknown"
 )
 
 func (s *server) describeService(declared fleet.Service) operatorapi.Service {
@@ -67,14 +66,14 @@
 
 func (s *server) describeTarget(declared fleet.Service, pool *balance.Pool, target *balance.Target) operatorapi.BackendServer {
 	placement := target.Placement()
-	seen, _, _ := s.config.Ingress.Explain(declared.Name, target.Name)
+	explanation, _, _ := s.config.Ingress.Explain(declared.Name, target.Name)
 	return operatorapi.BackendServer{
 		Name:       target.Name,
 		Service:    declared.Name,
 		DataCentre: placement.Host.DataCentre,
 		Host:       placement.Host.Name,
-		State:      pathState(pool, target, seen),
-		Cause:      string(seen.Cause),
+		State:      pathState(pool, target, explanation),
+		Cause:      string(explanation.Cause),
 		InFlight:   target.InFlight(),
 		Load:       target.Load(),
 		Requests:   target.Requests(),
@@ -82,16 +81,16 @@
 	}
 }
 
-// pathState names what this daemon does with a target: it may have learned
-// from the target itself that it takes no work, or conclude it from the path.
-func pathState(pool *balance.Pool, target *balance.Target, seen detect.Explanation) string {
+// pathState returns the state of a target as this daemon treats it, based on
+// refusals from the target itself or on observations of the path to it.
+func pathState(pool *balance.Pool, target *balance.Target, explanation detect.Explanation) string {
 	switch {
-	case seen.State == detect.Ejected:
+	case explanation.State == detect.Ejected:
 		return stateAvoided
-	case seen.State == detect.Probation:
+	case explanation.State == detect.Probation:
 		return string(detect.Probation)
 	case pool.Paused(target, time.Now()):
-		return stateRefuses
+		return stateRefusesWork
 	default:
 		return stateServing
 	}
@@ -134,40 +133,41 @@
 	}
 }
 
-// ingressObserver describes what this daemon sees on the path.
+// ingressObserver describes what this daemon observes on the path to the backend
+// server. It reports false if the ingress does not know the backend server.
 func (s *server) ingressObserver(placement fleet.Placement) (operatorapi.Witness, bool) {
 	name := placement.BackendServer.Name
-	seen, floor, ok := s.config.Ingress.Explain(placement.Service.Name, name)
+	explanation, floor, ok := s.config.Ingress.Explain(placement.Service.Name, name)
 	if !ok {
 		return operatorapi.Witness{}, false
 	}
-	observer := newObserver(witnessIngress, s.config.Host, seen)
+	observer := newObserver(observerIngress, s.config.Host, explanation)
 	observer.Floor = floor
 	if pool, ok := s.config.Ingress.Pool(placement.Service.Name); ok {
 		for _, target := range pool.Targets() {
 			if target.Name == name {
-				observer.State = pathState(pool, target, seen)
+				observer.State = pathState(pool, target, explanation)
 			}
 		}
 	}
 	return observer, true
 }
 
-// sidecarObserver describes what the backend server's own daemon sees, or that it
-// does not answer.
+// sidecarObserver describes what the backend server's own daemon observes, or that
+// it did not respond.
 func (s *server) sidecarObserver(ctx context.Context, placement fleet.Placement) operatorapi.Witness {
 	var report sidecar.Report
-	err := s.ask(ctx, placement.Host, control.MethodReport, control.Name{Name: placement.BackendServer.Name}, &report)
+	err := s.call(ctx, placement.Host, control.MethodReport, control.Name{Name: placement.BackendServer.Name}, &report)
 	if err != nil {
 		return operatorapi.Witness{
-			Witness:  witnessSidecar,
+			Witness:  observerSidecar,
 			Daemon:   placement.Host.Name,
 			State:    stateUnknown,
 			Cause:    result.From(err).Error(),
 			Evidence: []operatorapi.Evidence{},
 		}
 	}
-	observer := newObserver(witnessSidecar, placement.Host.Name, report.Detection)
+	observer := newObserver(observerSidecar, placement.Host.Name, report.Detection)
 	observer.State = string(report.State)
 	observer.Floor = report.Floor
 	observer.Evidence = append(observer.Evidence,
@@ -178,43 +178,43 @@
 	return observer
 }
 
-func newObserver(kind, daemon string, seen detect.Explanation) operatorapi.Witness {
+func newObserver(kind, daemon string, explanation detect.Explanation) operatorapi.Witness {
 	return operatorapi.Witness{
 		Witness:  kind,
 		Daemon:   daemon,
-		State:    string(seen.State),
-		Cause:    string(seen.Cause),
-		Rule:     seen.Rule,
-		SinceMs:  seen.Since.Milliseconds(),
-		Evidence: evidence(seen),
+		State:    string(explanation.State),
+		Cause:    string(explanation.Cause),
+		Rule:     explanation.Rule,
+		SinceMs:  explanation.Since.Milliseconds(),
+		Evidence: evidence(explanation),
 	}
 }
 
-func evidence(seen detect.Explanation) []operatorapi.Evidence {
+func evidence(explanation detect.Explanation) []operatorapi.Evidence {
 	const percent = 100
 	compared := func(own, others float64) string {
 		return fmt.Sprintf("%.0f%% of late, the others %.0f%%", own*percent, others*percent)
 	}
 	millis := func(d time.Duration) string { return d.Round(100 * time.Microsecond).String() }
 	return []operatorapi.Evidence{
-		{Name: "requests", Value: strconv.FormatInt(seen.Observed, 10)},
-		{Name: "failures", Value: fmt.Sprintf("%d; %s", seen.Failures, compared(seen.FailureRate, seen.OthersFailure))},
-		{Name: "slow", Value: compared(seen.SlowRate, seen.OthersSlow)},
-		{Name: "takes", Value: fmt.Sprintf("%s, the others %s", millis(seen.TypicalLatency), millis(seen.OthersTypicalLatency))},
+		{Name: "requests", Value: strconv.FormatInt(explanation.Observed, 10)},
+		{Name: "failures", Value: fmt.Sprintf("%d; %s", explanation.Failures, compared(explanation.FailureRate, explanation.OthersFailure))},
+		{Name: "slow", Value: compared(explanation.SlowRate, explanation.OthersSlow)},
+		{Name: "takes", Value: fmt.Sprintf("%s, the others %s", millis(explanation.TypicalLatency), millis(explanation.OthersTypicalLatency))},
 	}
 }
 
-// ask makes a control call to the host's daemon, which may be this one.
-func (s *server) ask(ctx context.Context, host fleet.Host, method control.Method, params, answer any) error {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+// call makes a control call to the daemon of the host, which may be this one.
+func (s *server) call(ctx context.Context, host fleet.Host, method control.Method, params, answer any) error {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if host.Name == s.config.Host {
-		return s.askLocal(ctx, method, params, answer)
+		return s.callLocal(ctx, method, params, answer)
 	}
 	return s.config.Call(ctx, host, method, params, answer)
 }
 
-func (s *server) askLocal(ctx context.Context, method control.Method, params, answer any) error {
+func (s *server) callLocal(ctx context.Context, method control.Method, params, answer any) error {
 	encoded, err := json.Marshal(params)
 	if err != nil {
 		return errors.Wrap(err, "encode call")
@@ -225,16 +225,16 @@
 	}
 	data, err := json.Marshal(got)
 	if err != nil {
-		return errors.Wrap(err, "encode answer")
+		return errors.Wrap(err, "encode response")
 	}
 	if err := json.Unmarshal(data, answer); err != nil {
-		return errors.Wrap(err, "decode answer")
+		return errors.Wrap(err, "decode response")
 	}
 	return nil
 }
 
-// describeHeld describes a suspected or quarantined request.
-func describeHeld(record quarantine.Record) operatorapi.HeldRequest {
+// describeHeldRequest describes a suspected or quarantined request.
+func describeHeldRequest(record quarantine.Record) operatorapi.HeldRequest {
 	held := operatorapi.HeldRequest{
 		Fingerprint: record.ID,
 		Standing:    string(record.Status()),
--- a/internal/operator/history.go
+++ b/internal/operator/history.go
@@ -10,11 +10,10 @@
 	"github.com/tideliftd/tidelift/internal/revision"
 )
 
-// askedAtOnce bounds the daemons that are asked for their revision at once. Not measured: each takes a
-// connection, and 4,600 are asked in 72 rounds.
-const askedAtOnce = 64
+// maxConcurrentCalls limits concurrent requests for daemons' revisions, each of which needs a connection.
+const maxConcurrentCalls = 64
 
-// GetHistory answers with the last changes.
+// GetHistory returns the most recent changes.
 func (s *server) GetHistory(ctx context.Context) ([]operatorapi.Accepted, error) {
 	changes, err := s.config.Ledger.History(ctx)
 	if err != nil {
@@ -33,7 +32,7 @@
 	return described, nil
 }
 
-// GetRevision answers with the text of one of the last revisions.
+// GetRevision returns the text of one of the most recent revisions.
 func (s *server) GetRevision(ctx context.Context, params operatorapi.GetRevisionParams) (*operatorapi.Declaration, error) {
 	found, err := s.config.Ledger.Read(ctx, params.Revision)
 	if err != nil {
@@ -42,62 +41,62 @@
 	return describeRevision(found.YAML, found.Accepted), nil
 }
 
-// GetProgress asks every daemon which revision it has in force.
+// GetProgress queries every daemon for its revision in force and returns the counts by data centre.
 func (s *server) GetProgress(ctx context.Context, params operatorapi.GetProgressParams) ([]operatorapi.Progress, error) {
 	inForce, err := s.inForce()
 	if err != nil {
 		return nil, err
 	}
 	hosts := inForce.Index.Declaration.Hosts
-	revisions := s.askRevisions(ctx, hosts, params.Revision)
+	revisions := s.fetchRevisions(ctx, hosts, params.Revision)
 	var all []operatorapi.Progress
-	places := make(map[string]int)
+	positions := make(map[string]int)
 	for i, host := range hosts {
-		place, ok := places[host.DataCentre]
+		position, ok := positions[host.DataCentre]
 		if !ok {
-			place = len(all)
-			places[host.DataCentre] = place
+			position = len(all)
+			positions[host.DataCentre] = position
 			all = append(all, operatorapi.Progress{DataCentre: host.DataCentre})
 		}
-		progress := &all[place]
+		progress := &all[position]
 		progress.Daemons++
 		switch {
 		case revisions[i] >= params.Revision:
 			progress.InForce++
-		case revisions[i] == silent:
+		case revisions[i] == unresponsive:
 			progress.Silent++
 		}
 	}
 	return all, nil
 }
 
-// silent stands for the revision of a daemon that did not answer.
-const silent = -1
+// unresponsive is used as the revision of a daemon that did not respond.
+const unresponsive = -1
 
-// askRevisions returns the revision of each host's daemon, in the hosts' order.
-func (s *server) askRevisions(ctx context.Context, hosts []fleet.Host, wanted int64) []int64 {
+// fetchRevisions returns the revision of each host's daemon, in the order of hosts.
+func (s *server) fetchRevisions(ctx context.Context, hosts []fleet.Host, wanted int64) []int64 {
 	revisions := make([]int64, len(hosts))
-	room := make(chan struct{}, askedAtOnce)
+	semaphore := make(chan struct{}, maxConcurrentCalls)
 	var wg sync.WaitGroup
 	for i, host := range hosts {
-		room <- struct{}{}
+		semaphore <- struct{}{}
 		wg.Go(func() {
-			defer func() { <-room }()
-			revisions[i] = s.askRevision(ctx, host, wanted)
+			defer func() { <-semaphore }()
+			revisions[i] = s.fetchRevision(ctx, host, wanted)
 		})
 	}
 	wg.Wait()
 	return revisions
 }
 
-// askRevision asks without the text, which comes only for what is above the
-// revision asked.
-func (s *server) askRevision(ctx context.Context, host fleet.Host, wanted int64) int64 {
-	var held struct {
+// fetchRevision returns the revision of the host's daemon. It passes the wanted
+// revision, because the response contains the text only of a newer one.
+func (s *server) fetchRevision(ctx context.Context, host fleet.Host, wanted int64) int64 {
+	var response struct {
 		Revision revision.Revision `json:"revision"`
 	}
-	if err := s.ask(ctx, host, control.MethodRevision, control.RevisionQuery{Revision: wanted}, &held); err != nil {
-		return silent
+	if err := s.call(ctx, host, control.MethodRevision, control.RevisionQuery{Revision: wanted}, &response); err != nil {
+		return unresponsive
 	}
-	return held.Revision.Number
+	return response.Revision.Number
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,14 +1,15 @@
-// Package operator answers the operator API: what the fleet believes and why,
-// and changes to what is declared.
+// Package operator implements the operator API, which shows the state of the fleet
+// with the evidence behind it and changes the declaration.
 //
 // # Usage
 //
 //	handler, err := operator.New(operator.Config{ ... })
 //	http.Serve(listener, handler)
 //
-// Any daemon answers for the fleet. What it shows of a backend server is its
-// own ingress's view; why adds the view of the backend server's sidecar, asked
-// over a control call. api/operator.yaml describes the API.
+// Every daemon serves the API for the whole fleet. The state of a backend server
+// is that observed by the daemon's own ingress; why adds the view of the backend
+// server's sidecar, which is requested by a control call. api/operator.yaml
+// describes the API.
 package operator
 
 import (
@@ -27,46 +28,47 @@
 	"github.com/tideliftd/tidelift/internal/sidecar"
 )
 
-// Config holds what the API asks.
+// Config configures the API.
 type Config struct {
 	// Host and DataCentre name the daemon.
 	Host, DataCentre string
-	// Ingress gives this daemon's view of the path to the backend servers.
+	// Ingress provides this daemon's view of the path to the backend servers.
 	Ingress *ingress.Ingress
-	// Status returns what the daemon says of itself.
+	// Status returns the status of this daemon.
 	Status func() operatorapi.Status
-	// InForce returns the declaration in force; false if there is none yet.
+	// InForce returns the declaration in force and reports false if there is none yet.
 	InForce func() (declaration.InForce, bool)
-	// Customers returns the allowances of the customers near their limit, and how many requests of
-	// each were refused here.
+	// Customers returns the allowances of the customers near their limit, and the number of requests
+	// that this daemon refused, by customer.
 	Customers func() (map[string]quota.Allowance, map[string]int64)
-	// Quarantine returns the suspected and quarantined requests, and Lift lets one of that fingerprint run again.
+	// Quarantine returns the suspected and quarantined requests. Lift allows the request with the fingerprint to
+	// run again.
 	Quarantine func() []quarantine.Record
 	Lift       func(ctx context.Context, fingerprint string) (quarantine.Record, error)
 	// Ledger reads past revisions.
 	Ledger *revision.Ledger
-	// Publish makes a change the next revision.
+	// Publish publishes a change as the next revision.
 	Publish func(context.Context, revision.Change) (revision.Accepted, error)
 	// Call makes a control call to the daemon of another host.
 	Call func(ctx context.Context, host fleet.Host, method control.Method, params, answer any) error
-	// Local answers a control call at this daemon.
+	// Local handles a control call to this daemon.
 	Local control.Handle
 }
 
-// New returns the API's handler.
+// New returns the handler of the API.
 func New(config Config) (http.Handler, error) {
 	return operatorapi.NewServer(&server{config: config})
 }
 
 type server struct{ config Config }
 
-// Status answers with who the daemon is.
+// Status returns the status of the daemon.
 func (s *server) Status(context.Context) (*operatorapi.Status, error) {
 	status := s.config.Status()
 	return &status, nil
 }
 
-// ListServices answers with the services in force.
+// ListServices returns the services in force.
 func (s *server) ListServices(context.Context) ([]operatorapi.Service, error) {
 	inForce, err := s.inForce()
 	if err != nil {
@@ -79,7 +81,7 @@
 	return services, nil
 }
 
-// ListBackendServers answers with this daemon's view of the backend servers.
+// ListBackendServers returns this daemon's view of the backend servers.
 func (s *server) ListBackendServers(_ context.Context, params operatorapi.ListBackendServersParams) ([]operatorapi.BackendServer, error) {
 	inForce, err := s.inForce()
 	if err != nil {
@@ -99,7 +101,7 @@
 	return servers, nil
 }
 
-// ListCustomers answers with the customers in force and their allowances.
+// ListCustomers returns the customers in force and their allowances.
 func (s *server) ListCustomers(context.Context) ([]operatorapi.Customer, error) {
 	inForce, err := s.inForce()
 	if err != nil {
@@ -113,28 +115,28 @@
 	return customers, nil
 }
 
-// ListQuarantine answers with the suspected and quarantined requests.
+// ListQuarantine returns the suspected and quarantined requests.
 func (s *server) ListQuarantine(context.Context) ([]operatorapi.HeldRequest, error) {
 	held := []operatorapi.HeldRequest{}
 	for _, record := range s.config.Quarantine() {
 		if record.Suspected() {
-			held = append(held, describeHeld(record))
+			held = append(held, describeHeldRequest(record))
 		}
 	}
 	return held, nil
 }
 
-// LiftQuarantine lets backend servers be sent a request again.
+// LiftQuarantine allows a request to be sent to backend servers again.
 func (s *server) LiftQuarantine(ctx context.Context, r *operatorapi.Lift) (*operatorapi.HeldRequest, error) {
 	record, err := s.config.Lift(ctx, r.Fingerprint)
 	if err != nil {
 		return nil, err
 	}
-	held := describeHeld(record)
+	held := describeHeldRequest(record)
 	return &held, nil
 }
 
-// Why answers with the evidence of both observers.
+// Why returns the evidence of the ingress and the sidecar for the state of a backend server.
 func (s *server) Why(ctx context.Context, params operatorapi.WhyParams) (*operatorapi.Why, error) {
 	placement, err := s.placement(params.BackendServer)
 	if err != nil {
@@ -152,7 +154,7 @@
 	return why, nil
 }
 
-// Drain tells the backend server's sidecar that it is draining, or no longer.
+// Drain notifies the sidecar of a backend server that it is draining, or no longer.
 func (s *server) Drain(ctx context.Context, r *operatorapi.Drain) (*operatorapi.BackendServer, error) {
 	placement, err := s.placement(r.BackendServer)
 	if err != nil {
@@ -160,14 +162,14 @@
 	}
 	var report sidecar.Report
 	params := control.Drain{Name: r.BackendServer, Draining: r.Leaving}
-	if err := s.ask(ctx, placement.Host, control.MethodDrain, params, &report); err != nil {
+	if err := s.call(ctx, placement.Host, control.MethodDrain, params, &report); err != nil {
 		return nil, err
 	}
 	described := describeReport(placement, report)
 	return &described, nil
 }
 
-// GetDeclaration answers with the declaration in force.
+// GetDeclaration returns the declaration in force.
 func (s *server) GetDeclaration(context.Context) (*operatorapi.Declaration, error) {
 	inForce, err := s.inForce()
 	if err != nil {
@@ -176,7 +178,7 @@
 	return describeRevision(inForce.Revision.YAML, inForce.Revision.Accepted), nil
 }
 
-// ApplyDeclaration checks a declaration and makes it the next revision.
+// ApplyDeclaration validates a declaration and publishes it as the next revision.
 func (s *server) ApplyDeclaration(ctx context.Context, r *operatorapi.Change) (*operatorapi.Declaration, error) {
 	if _, err := fleet.Parse("declaration", []byte(r.Yaml)); err != nil {
 		return nil, result.New(result.BadDeclaration).WithDetail("%s", err)
@@ -198,7 +200,7 @@
 	return describeRevision(r.Yaml, accepted), nil
 }
 
-// NewError turns a failure into the API's refusal.
+// NewError converts an error to an error response of the API.
 func (s *server) NewError(_ context.Context, err error) *operatorapi.RefusedStatusCode {
 	e := result.From(err)
 	refusal := operatorapi.Refusal{Code: e.Code.Number, Name: e.Code.Name, Detail: e.Detail}
