--- a/cmd/tidelift/main.go
+++ b/cmd/tidelift/main.go
@@ -1,4 +1,4 @@
-// Command tidelift is the operators' command line.
+// Command tidelift is the command-line client for operators.
 package main
 
 import (
--- a/cmd/tideliftd/main.go
+++ b/cmd/tideliftd/main.go
@@ -1,4 +1,4 @@
-// Command tideliftd is the daemon that runs on each backend server host.
+// Command tideliftd is the daemon that runs on each host of backend servers.
 package main
 
 import (
