--- a/internal/cli/apply.go
+++ b/internal/cli/apply.go
@@ -21,7 +21,7 @@
 	flagWait     = "wait"
 )
 
-// newApply returns the command that puts a declaration in force.
+// newApply returns the command that applies a declaration.
 func newApply() *cli.Command {
 	return &cli.Command{
 		Name:      "apply",
@@ -34,7 +34,7 @@
 	}
 }
 
-// changeFlags are the flags of the commands that change the declaration.
+// changeFlags returns the flags of the commands that change the declaration.
 func changeFlags() []cli.Flag {
 	return []cli.Flag{
 		&cli.StringFlag{Name: flagAuthor, Usage: "who makes the change", Sources: cli.EnvVars("USER")},
@@ -53,7 +53,7 @@
 	return applyText(ctx, c, client, text)
 }
 
-// applyText applies a declaration and, if asked to, waits for every daemon.
+// applyText applies a declaration and, with the wait flag, waits until every daemon has it in force.
 func applyText(ctx context.Context, c *cli.Command, client *operatorapi.Client, text string) error {
 	base, err := baseRevision(ctx, c, client)
 	if err != nil {
@@ -62,7 +62,7 @@
 	change := newChange(c, text, base)
 	accepted, err := client.ApplyDeclaration(ctx, change)
 	if err != nil {
-		return errors.Wrapf(changeFailed(err), "apply (change id %s, base %d)", change.ChangeID, base)
+		return errors.Wrapf(changeError(err), "apply (change id %s, base %d)", change.ChangeID, base)
 	}
 	if err := showAccepted(c, accepted); err != nil {
 		return err
@@ -73,7 +73,7 @@
 	return waitInForce(ctx, c, client, accepted.Revision)
 }
 
-// showAccepted prints the revision that the change became.
+// showAccepted prints the revision that the change created.
 func showAccepted(c *cli.Command, accepted *operatorapi.Declaration) error {
 	if c.Bool(flagJSON) {
 		return showJSON(c.Root().Writer, accepted)
@@ -85,36 +85,34 @@
 }
 
 const (
-	// waitLimit bounds how long a change is waited for. Not measured: it is in force within
-	// seconds, so that what takes longer is a fault.
-	waitLimit = 30 * time.Second
-	// waitPause is the pause between two questions how far the change has come. Not measured:
-	// each question asks every daemon.
-	waitPause = 200 * time.Millisecond
+	// waitTimeout limits the wait for a change to be in force everywhere, which normally takes seconds.
+	waitTimeout = 30 * time.Second
+	// progressInterval is the delay between progress requests, each of which queries every daemon.
+	progressInterval = 200 * time.Millisecond
 )
 
-// waitInForce waits until every daemon has the revision in force, and prints how many have in
-// each data centre, also if the wait ends without. A daemon that does not answer is asked again.
+// waitInForce waits until every daemon has the revision in force and prints the counts by data centre,
+// even if the wait times out. It repeats requests that fail or find daemons unresponsive.
 func waitInForce(ctx context.Context, c *cli.Command, client *operatorapi.Client, revision int64) error {
-	ctx, cancel := context.WithTimeout(ctx, waitLimit)
+	ctx, cancel := context.WithTimeout(ctx, waitTimeout)
 	defer cancel()
-	var last []operatorapi.Progress // of the last answer
+	var last []operatorapi.Progress // the last response
 	for {
 		progress, err := client.GetProgress(ctx, operatorapi.GetProgressParams{Revision: revision})
-		if err == nil && everywhere(progress) {
+		if err == nil && inForceEverywhere(progress) {
 			return showProgress(c, progress)
 		}
 		if err == nil {
 			last = progress
 		}
-		if !wait.For(ctx, waitPause) {
-			missing := errors.Wrapf(errNotEverywhere, "revision %d, after up to %s", revision, waitLimit)
+		if !wait.For(ctx, progressInterval) {
+			missing := errors.Wrapf(errNotEverywhere, "revision %d, waited up to %s", revision, waitTimeout)
 			return errors.Join(showProgress(c, last), missing, err)
 		}
 	}
 }
 
-func everywhere(progress []operatorapi.Progress) bool {
+func inForceEverywhere(progress []operatorapi.Progress) bool {
 	for _, p := range progress {
 		if p.InForce < p.Daemons {
 			return false
@@ -123,8 +121,8 @@
 	return true
 }
 
-// showProgress prints how many daemons have a revision in force. With JSON the accepted revision is the one
-// document, and the exit code says whether it is in force everywhere.
+// showProgress prints how many daemons have a revision in force. With the JSON flag it prints nothing, so that the
+// accepted revision remains the only document; the exit code shows whether it is in force everywhere.
 func showProgress(c *cli.Command, progress []operatorapi.Progress) error {
 	if c.Bool(flagJSON) {
 		return nil
@@ -162,5 +160,5 @@
 	if isNotReady(err) {
 		return 0, nil
 	}
-	return 0, errors.Wrap(err, "ask for the revision in force")
+	return 0, errors.Wrap(err, "get the revision in force")
 }
--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -39,7 +39,7 @@
 	return err
 }
 
-// readDeclaration reads and checks a declaration's file.
+// readDeclaration reads and validates a declaration file, and returns its text as well.
 func readDeclaration(file string) (string, fleet.Declaration, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,15 +1,16 @@
-// Package cli holds the commands of the programs tideliftd and tidelift, one file a command.
-// It parses command lines, prints answers and sets exit codes. tidelift's commands call the
-// operator API of a daemon (client.go) and keep nothing; tideliftd's command reads the settings,
-// joins package platform to package daemon, and owns the process: its signals, its log and what
-// it may take of the host (daemon.go, reload.go).
+// Package cli implements the commands of the programs tideliftd and tidelift, one file per command.
+// It parses command lines, prints results and sets exit codes. The commands of tidelift call the
+// operator API of a daemon (client.go) and keep no state. The command of tideliftd reads the
+// settings, connects package platform to package daemon, and manages the process: its signals, its
+// log and its resource limits (daemon.go, reload.go).
 //
 // # Usage
 //
 //	os.Exit(cli.RunOperator(ctx, os.Args, os.Stdout, os.Stderr))
 //
-// Exit codes: 0 done, 1 refused or failed, 2 the command line or a file is
-// wrong, 3 the outcome of a change is unknown.
+// Exit codes: 0 success, 1 refused or failed, 2 invalid command line or file,
+// 3 outcome of a change unknown, 4 change accepted but not seen in force
+// everywhere.
 package cli
 
 import (
@@ -31,15 +32,15 @@
 	ExitRefused = 1
 	ExitUsage   = 2
 	ExitUnknown = 3
-	// ExitNotEverywhere: the change was accepted and was not seen in force at every daemon.
+	// ExitNotEverywhere means that the change was accepted but not seen in force at every daemon.
 	ExitNotEverywhere = 4
 )
 
-// errUsage marks a wrong command line.
+// errUsage marks an invalid command line.
 var errUsage = errors.New("wrong command line")
 
-// errNotEverywhere marks a change that was accepted and was not seen in force at every daemon.
-var errNotEverywhere = errors.New("accepted, not seen in force everywhere")
+// errNotEverywhere marks a change that was accepted but not seen in force at every daemon.
+var errNotEverywhere = errors.New("change accepted, but not seen in force everywhere")
 
 // RunOperator runs the program tidelift and returns its exit code.
 func RunOperator(ctx context.Context, args []string, out, errOut io.Writer) int {
@@ -89,8 +90,8 @@
 	return exitCode(err)
 }
 
-// explain returns what to print of an error: a refusal's code and detail, or
-// the error as it is.
+// explain returns the text to print for an error: the code and detail of a
+// refusal, or the text of any other error.
 func explain(err error) string {
 	var refused *operatorapi.RefusedStatusCode
 	if !errors.As(err, &refused) {
@@ -102,7 +103,7 @@
 
 func exitCode(err error) int {
 	var wrongFile *yamlfile.Error
-	var unknown *unknownError
+	var unknown *outcomeUnknownError
 	switch {
 	case errors.Is(err, errUsage), errors.As(err, &wrongFile):
 		return ExitUsage
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -42,15 +42,15 @@
 	}
 }
 
-// bearer sends calls with the operator's token.
+// bearer is an HTTP client that adds the operator's token to requests.
 type bearer struct{ token string }
 
-// Do sends one call.
+// Do sends one request.
 func (b bearer) Do(r *http.Request) (*http.Response, error) {
 	if b.token != "" {
 		r.Header.Set("Authorization", "Bearer "+b.token)
 	}
-	return http.DefaultClient.Do(r) //nolint:gosec // the operator says where the daemon is
+	return http.DefaultClient.Do(r) //nolint:gosec // the operator chooses the URL of the daemon
 }
 
 func jsonFlag() cli.Flag {
@@ -60,12 +60,12 @@
 func newClient(c *cli.Command) (*operatorapi.Client, error) {
 	client, err := operatorapi.NewClient(c.String(flagDaemon), operatorapi.WithClient(bearer{token: c.String(flagToken)}))
 	if err != nil {
-		return nil, errors.Wrap(err, "make client")
+		return nil, errors.Wrap(err, "create client")
 	}
 	return client, nil
 }
 
-// show prints the answer as JSON if that was asked for, else as a table.
+// show prints the response as JSON if the JSON flag is set, and as a table otherwise.
 func show(c *cli.Command, answer any, header []string, rows [][]string) error {
 	if c.Bool(flagJSON) {
 		return showJSON(c.Root().Writer, answer)
@@ -101,7 +101,7 @@
 		return errors.Wrap(err, "fill table")
 	}
 	if err := table.Render(); err != nil {
-		return errors.Wrap(err, "lay out table")
+		return errors.Wrap(err, "render table")
 	}
 	for line := range strings.Lines(text.String()) {
 		if _, err := fmt.Fprintln(out, strings.TrimRight(line, " \n")); err != nil {
--- a/internal/cli/customers.go
+++ b/internal/cli/customers.go
@@ -35,7 +35,7 @@
 	return show(c, customers, []string{"CUSTOMER", "KEYS", "PRIORITY", "RATE", "BURST", "ADMITTED", "BUCKET", "REFUSED HERE"}, rows)
 }
 
-// customerRow is one customer's line.
+// customerRow returns the table row of a customer.
 func customerRow(c operatorapi.Customer) []string {
 	priority, level := "-", "-"
 	if rank, ok := c.Priority.Get(); ok {
--- a/internal/cli/daemon.go
+++ b/internal/cli/daemon.go
@@ -32,8 +32,8 @@
 )
 
 const (
-	// memoryLimit makes the collector work harder in time to stay within the
-	// 256 MB that a daemon may take.
+	// memoryLimit is the soft memory limit of the Go runtime, which leaves a
+	// margin to the 256 MB that a daemon may use.
 	memoryLimit = 192 << 20
 )
 
@@ -55,12 +55,12 @@
 	}
 }
 
-// runDaemon reads the settings and checks them or runs a daemon with them.
+// runDaemon reads the settings, and either validates them or runs a daemon with them.
 func runDaemon(ctx context.Context, c *cli.Command) error {
 	if c.Args().Len() > 0 {
 		return errors.Wrapf(errUsage, "%q is not a command", c.Args().First())
 	}
-	hangUps, cleanUp := hangUpSignals() // first of all: the signal may come at any moment, also in a planned stop
+	hangUps, cleanUp := hangUpSignals() // first, because the signal may arrive at any time, even during a planned stop
 	defer cleanUp()
 	file := c.String(flagSettings)
 	s, data, err := readSettings(file)
@@ -71,10 +71,10 @@
 		_, err := fmt.Fprintf(c.Root().Writer, "%s is right: daemon %s in data centre %s\n", file, s.Name, s.DataCentre)
 		return err
 	}
-	return startDaemon(ctx, c.Root().Writer, s, &settingsFile{name: file, seen: data}, hangUps)
+	return startDaemon(ctx, c.Root().Writer, s, &settingsFile{name: file, content: data}, hangUps)
 }
 
-// readSettings reads the settings file and returns what is in it, too.
+// readSettings reads the settings file and returns its content as well.
 func readSettings(file string) (settings.Settings, []byte, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -84,34 +84,34 @@
 	return s, data, err
 }
 
-// startDaemon runs a daemon with these settings until it is told to stop.
-func startDaemon(ctx context.Context, out io.Writer, s settings.Settings, followed *settingsFile, hangUps <-chan os.Signal) error {
+// startDaemon runs a daemon with these settings until it is stopped by a signal.
+func startDaemon(ctx context.Context, out io.Writer, s settings.Settings, watched *settingsFile, hangUps <-chan os.Signal) error {
 	limitResources(s)
 	ctx, force, cleanUp := stopSignals(ctx)
 	defer cleanUp()
 	lines, endLog := logline.New(logline.Config{Out: out, PerSecond: s.Log.PerSecond})
 	defer endLog()
 	logger, level := newLogger(lines, s)
-	followed.logger = logger
+	watched.logger = logger
 	kv, closeStore := platform.NewStore(platform.StoreConfig{Address: s.Platform.Address})
 	defer closeStore()
 	config := DaemonConfig(s, kv)
 	config.Logger = logger
 	config.Level = level
 	config.Force = force
-	config.Reloads = followed.follow(ctx, hangUps)
+	config.Reloads = watched.watch(ctx, hangUps)
 	return daemon.Run(ctx, config)
 }
 
-// limitResources bounds what the process takes of the host.
+// limitResources limits the processors and the memory that the process uses.
 func limitResources(s settings.Settings) {
 	runtime.GOMAXPROCS(s.Processors)
 	debug.SetGCPercent(s.HeapGrowth)
 	debug.SetMemoryLimit(memoryLimit)
 }
 
-// DaemonConfig returns what a daemon with these settings needs to meet the users'
-// platform: its store, the declaration there, registrations and readiness.
+// DaemonConfig returns the configuration of a daemon with these settings on the users'
+// platform: its store, the format of its declaration, registrations and readiness.
 func DaemonConfig(s settings.Settings, kv store.Store) daemon.Config {
 	return daemon.Config{
 		Settings:          s,
@@ -122,7 +122,7 @@
 	}
 }
 
-// newStoredDeclaration reads the declaration that the platform's operator writes.
+// newStoredDeclaration returns the location and format of the declaration that the platform's operator writes.
 func newStoredDeclaration() declaration.Stored {
 	return declaration.Stored{
 		Key:    platform.DesiredKey,
@@ -139,12 +139,12 @@
 	}
 }
 
-// newRegistrations returns the handler for the registrations of the platform's format.
+// newRegistrations returns the handler for registrations in the platform's format.
 func newRegistrations(c membership.Registrations) http.Handler {
 	return platform.NewCheckIns(platform.CheckInsConfig{CheckIn: c.Register, Leave: c.Leave, OnError: c.OnError})
 }
 
-// newLogger returns the daemon's logger and what sets its level.
+// newLogger returns the daemon's logger and the variable that controls its level.
 func newLogger(out io.Writer, s settings.Settings) (*slog.Logger, *slog.LevelVar) {
 	level := new(slog.LevelVar)
 	level.Set(s.Log.SlogLevel())
@@ -152,9 +152,9 @@
 	return slog.New(handler).With("daemon", s.Name), level
 }
 
-// stopSignals returns a context that the first signal ends and a channel that SIGINT
-// closes after that. SIGTERM may come again without that: who replaces daemons in series
-// that overlap sends it more than once.
+// stopSignals returns a context that the first signal cancels and a channel that a later SIGINT
+// closes. A repeated SIGTERM is ignored, because overlapping series of daemon replacements send it
+// more than once.
 func stopSignals(ctx context.Context) (context.Context, <-chan struct{}, func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	signals := make(chan os.Signal, 2)
--- a/internal/cli/drain.go
+++ b/internal/cli/drain.go
@@ -9,7 +9,7 @@
 	"github.com/tideliftd/tidelift/internal/operatorapi"
 )
 
-// newDrain returns the command that makes a backend server leave.
+// newDrain returns the command that drains a backend server.
 func newDrain() *cli.Command {
 	return &cli.Command{
 		Name:      "drain",
@@ -19,7 +19,7 @@
 	}
 }
 
-// newUndrain returns the command that takes a drain back.
+// newUndrain returns the command that ends the draining of a backend server.
 func newUndrain() *cli.Command {
 	return &cli.Command{
 		Name:      "undrain",
@@ -40,7 +40,7 @@
 	}
 	server, err := client.Drain(ctx, &operatorapi.Drain{BackendServer: name, Leaving: draining})
 	if err != nil {
-		return changeFailed(err)
+		return changeError(err)
 	}
 	if c.Bool(flagJSON) {
 		return showJSON(c.Root().Writer, server)
--- a/internal/cli/history.go
+++ b/internal/cli/history.go
@@ -12,7 +12,7 @@
 	"github.com/tideliftd/tidelift/internal/operatorapi"
 )
 
-// newHistory returns the command that lists the last changes.
+// newHistory returns the command that lists the most recent changes.
 func newHistory() *cli.Command {
 	return &cli.Command{
 		Name:   "history",
@@ -70,5 +70,5 @@
 	return applyText(ctx, c, client, old.Yaml)
 }
 
-// newChangeID returns an id that no other change has.
+// newChangeID returns a unique change id.
 func newChangeID() string { return uuid.NewString() }
--- a/internal/cli/key.go
+++ b/internal/cli/key.go
@@ -14,7 +14,7 @@
 
 const flagStdin = "stdin"
 
-// newKey returns the command that makes a customer's key.
+// newKey returns the command that generates a customer's key.
 func newKey() *cli.Command {
 	return &cli.Command{
 		Name:  "key",
@@ -41,13 +41,13 @@
 	}{key, customer.Digest(key)}
 	rows := [][]string{{"key", shown.Key}, {"digest", shown.Digest}}
 	if c.Bool(flagStdin) {
-		shown.Key = "" // whoever gave it has it
+		shown.Key = "" // the user already has the key
 		rows = rows[1:]
 	}
 	return show(c, shown, []string{"FIELD", "VALUE"}, rows)
 }
 
-// readKey reads the first line.
+// readKey returns the first line of in without surrounding space.
 func readKey(in io.Reader) (string, error) {
 	line, err := bufio.NewReader(in).ReadString('\n')
 	if err != nil && !errors.Is(err, io.EOF) {
@@ -55,7 +55,7 @@
 	}
 	key := strings.TrimSpace(line)
 	if key == "" || len(key) > customer.MaxKeyBytes {
-		return "", errors.Wrapf(errUsage, "the key has %d signs; want 1 to %d", len(key), customer.MaxKeyBytes)
+		return "", errors.Wrapf(errUsage, "the key has %d bytes; want 1 to %d", len(key), customer.MaxKeyBytes)
 	}
 	return key, nil
 }
--- a/internal/cli/plan.go
+++ b/internal/cli/plan.go
@@ -43,8 +43,8 @@
 	return nil
 }
 
-// fileAndClient returns the declaration's file with its text, checked, and a
-// client of the daemon.
+// fileAndClient returns the name and the validated text of the declaration file,
+// and a client of the daemon.
 func fileAndClient(c *cli.Command) (file, text string, client *operatorapi.Client, err error) {
 	file, err = oneArgument(c, "the declaration's file")
 	if err != nil {
@@ -58,7 +58,7 @@
 	return file, text, client, err
 }
 
-// isNotReady reports whether the daemon refused since it has no declaration in force.
+// isNotReady reports whether the daemon refused because it has no declaration in force.
 func isNotReady(err error) bool {
 	var refused *operatorapi.RefusedStatusCode
 	return errors.As(err, &refused) && refused.Response.Code == result.NotReady.Number
--- a/internal/cli/quarantine.go
+++ b/internal/cli/quarantine.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// newLift returns the command that lifts one.
+// newLift returns the command that lifts a quarantine.
 func newLift() *cli.Command {
 	return &cli.Command{
 		Name:      "lift",
@@ -45,13 +45,13 @@
 	}
 	rows := make([][]string, 0, len(held))
 	for _, request := range held {
-		rows = append(rows, heldRow(request))
+		rows = append(rows, heldRequestRow(request))
 	}
 	return show(c, held, []string{"FINGERPRINT", "STANDING", "SERVICE", "REQUEST", "ENDED", "LAST", "TRIED BY"}, rows)
 }
 
-// heldRow is one request's line.
-func heldRow(r operatorapi.HeldRequest) []string {
+// heldRequestRow returns the table row of a request.
+func heldRequestRow(r operatorapi.HeldRequest) []string {
 	last := "-"
 	if at, ok := r.LastEnd.Get(); ok {
 		last = at.UTC().Format(time.RFC3339)
@@ -73,7 +73,7 @@
 	}
 	held, err := client.LiftQuarantine(ctx, &operatorapi.Lift{Fingerprint: fingerprint})
 	if err != nil {
-		return changeFailed(err)
+		return changeError(err)
 	}
 	if c.Bool(flagJSON) {
 		return showJSON(c.Root().Writer, held)
--- a/internal/cli/reload.go
+++ b/internal/cli/reload.go
@@ -13,31 +13,31 @@
 	"github.com/tideliftd/tidelift/internal/settings"
 )
 
-// readEvery is how often the settings file is read without a signal. Source: whoever replaces
-// it expects it in force within two seconds.
-const readEvery = time.Second
+// settingsInterval is how often the settings file is read without a signal, so that a new file is in
+// force within two seconds.
+const settingsInterval = time.Second
 
-// settingsFile follows the settings file of a running daemon.
+// settingsFile watches the settings file of a running daemon.
 type settingsFile struct {
-	name   string
-	logger *slog.Logger
-	seen   []byte // its content when it was last read
+	name    string
+	logger  *slog.Logger
+	content []byte // content when last read
 }
 
-// hangUpSignals returns a channel for SIGHUP. Without it, and after the clean-up function was called, the signal ends
-// the process.
+// hangUpSignals returns a channel that receives SIGHUP. Before the call, and after a call of the returned clean-up
+// function, the signal ends the process.
 func hangUpSignals() (<-chan os.Signal, func()) {
 	hangUps := make(chan os.Signal, 1)
 	signal.Notify(hangUps, syscall.SIGHUP)
 	return hangUps, func() { signal.Stop(hangUps) }
 }
 
-// follow sends the settings each time the file changes, after a signal or without,
-// until ctx ends. A file that is wrong changes nothing.
-func (f *settingsFile) follow(ctx context.Context, hangUps <-chan os.Signal) <-chan settings.Settings {
+// watch sends the settings each time the file has changed, with or without a signal,
+// until ctx ends. An invalid file is logged and ignored.
+func (f *settingsFile) watch(ctx context.Context, hangUps <-chan os.Signal) <-chan settings.Settings {
 	changed := make(chan settings.Settings)
 	go func() {
-		ticker := time.NewTicker(readEvery)
+		ticker := time.NewTicker(settingsInterval)
 		defer ticker.Stop()
 		for {
 			select {
@@ -54,7 +54,7 @@
 	return changed
 }
 
-// send gives the settings to the daemon, unless it has ended.
+// send sends the settings, unless ctx ends first.
 func send(ctx context.Context, changed chan<- settings.Settings, s settings.Settings) {
 	select {
 	case changed <- s:
@@ -62,17 +62,17 @@
 	}
 }
 
-// readChanged reads the file and reports whether it holds new settings that are right.
+// readChanged reads the file and reports whether it contains new, valid settings.
 func (f *settingsFile) readChanged() (settings.Settings, bool) {
 	data, err := os.ReadFile(f.name)
-	if err == nil && bytes.Equal(data, f.seen) {
+	if err == nil && bytes.Equal(data, f.content) {
 		return settings.Settings{}, false
 	}
 	if err != nil {
 		f.logRefused(err)
 		return settings.Settings{}, false
 	}
-	f.seen = data
+	f.content = data
 	s, err := settings.Parse(f.name, data)
 	if err != nil {
 		f.logRefused(err)
@@ -81,7 +81,7 @@
 	return s, true
 }
 
-// logRefused logs why the file changes nothing.
+// logRefused logs why the file is not applied.
 func (f *settingsFile) logRefused(err error) {
 	event.Log(f.logger, event.SettingsRefused, "file", f.name, "error", err)
 }
--- a/internal/cli/reload_test.go
+++ b/internal/cli/reload_test.go
@@ -13,19 +13,19 @@
 	"github.com/tideliftd/tidelift/internal/settings"
 )
 
-const goodSettings = `name: csepel-1
+const validSettings = `name: csepel-1
 data-centre: csepel
 listen: {callers: 127.0.0.1:1, peers: 127.0.0.1:2, control: 127.0.0.1:3, operators: 127.0.0.1:4}
 platform: {address: "http://127.0.0.1:5"}
 limits: {stop: STOP}
 `
 
-// TestSettingsAreFollowed replaces the file without a signal: good ones are taken,
-// a wrong one is refused with its line and field.
-func TestSettingsAreFollowed(t *testing.T) {
+// TestSettingsFileIsWatched replaces the file without a signal: valid settings are applied,
+// invalid ones are refused with their line and field.
+func TestSettingsFileIsWatched(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "settings.yaml")
 	write := func(stop string) {
-		if err := os.WriteFile(name, []byte(strings.Replace(goodSettings, "STOP", stop, 1)), 0o600); err != nil {
+		if err := os.WriteFile(name, []byte(strings.Replace(validSettings, "STOP", stop, 1)), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -35,13 +35,13 @@
 		t.Fatal(err)
 	}
 	var logged bytes.Buffer
-	file := &settingsFile{name: name, logger: slog.New(slog.NewTextHandler(&logged, nil)), seen: first}
+	file := &settingsFile{name: name, logger: slog.New(slog.NewTextHandler(&logged, nil)), content: first}
 	if _, ok := file.readChanged(); ok {
-		t.Fatal("a file that did not change was taken")
+		t.Fatal("an unchanged file was applied")
 	}
 	write("soon")
 	if _, ok := file.readChanged(); ok {
-		t.Fatal("a wrong file was taken")
+		t.Fatal("an invalid file was applied")
 	}
 	if text := logged.String(); !strings.Contains(text, "event=107") || !strings.Contains(text, "settings.yaml:5") {
 		t.Fatalf("logged %q", text)
@@ -50,7 +50,7 @@
 		t.Fatal(err)
 	}
 	if _, ok := file.readChanged(); ok {
-		t.Fatal("a file that is gone was taken")
+		t.Fatal("a missing file was applied")
 	}
 	write("7s")
 	ctx, cancel := context.WithCancel(context.Background())
@@ -58,14 +58,14 @@
 	hangUps, cleanUp := hangUpSignals()
 	defer cleanUp()
 	select {
-	case s := <-file.follow(ctx, hangUps):
+	case s := <-file.watch(ctx, hangUps):
 		if s.Limits.Stop != 7*time.Second {
 			t.Fatalf("stop limit %s", s.Limits.Stop)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatal("a changed file was not seen")
+		t.Fatal("a changed file was not detected")
 	}
-	if _, err := settings.Parse(name, file.seen); err != nil {
+	if _, err := settings.Parse(name, file.content); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/cli/request.go
+++ b/internal/cli/request.go
@@ -10,7 +10,7 @@
 	"github.com/tideliftd/tidelift/internal/trace"
 )
 
-// newRequest returns the command that tells the story of one request.
+// newRequest returns the command that prints the history of a request from logs.
 func newRequest() *cli.Command {
 	return &cli.Command{
 		Name:      "request",
@@ -24,29 +24,29 @@
 
 func runRequest(_ context.Context, c *cli.Command) error {
 	if c.Args().Len() == 0 {
-		return errors.Wrap(errUsage, "request wants the request's id, and logs or standard input")
+		return errors.Wrap(errUsage, "request needs a request id, and logs or standard input")
 	}
-	told := trace.New(c.Args().First())
+	story := trace.New(c.Args().First())
 	if c.Args().Len() == 1 {
-		if err := told.Read(os.Stdin); err != nil {
+		if err := story.Read(os.Stdin); err != nil {
 			return err
 		}
 	}
 	for _, name := range c.Args().Tail() {
-		if err := readLog(told, name); err != nil {
+		if err := readLog(story, name); err != nil {
 			return err
 		}
 	}
-	return told.Write(c.Root().Writer)
+	return story.Write(c.Root().Writer)
 }
 
-func readLog(told *trace.Story, name string) error {
+func readLog(story *trace.Story, name string) error {
 	log, err := os.Open(name)
 	if err != nil {
 		return errors.Wrap(err, "open log")
 	}
 	defer func() { _ = log.Close() }()
-	if err := told.Read(log); err != nil {
+	if err := story.Read(log); err != nil {
 		return errors.Wrapf(err, "log %s", name)
 	}
 	return nil
--- a/internal/cli/schema.go
+++ b/internal/cli/schema.go
@@ -10,7 +10,7 @@
 	"github.com/tideliftd/tidelift/internal/settings"
 )
 
-// newSchema returns the command that prints the files' JSON Schemas.
+// newSchema returns the command that prints the JSON Schemas of the configuration files.
 func newSchema() *cli.Command {
 	return &cli.Command{
 		Name:  "schema",
--- a/internal/cli/show.go
+++ b/internal/cli/show.go
@@ -11,7 +11,7 @@
 	"github.com/tideliftd/tidelift/internal/operatorapi"
 )
 
-// newShow returns the command that lists what the daemon believes.
+// newShow returns the command that lists services and backend servers as a daemon sees them.
 func newShow() *cli.Command {
 	return &cli.Command{
 		Name:  "show",
--- a/internal/cli/signals_test.go
+++ b/internal/cli/signals_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// TestSeveralStopsCutNothing sends SIGTERM twice, as who replaces daemons in overlapping
-// series does, and then SIGINT.
-func TestSeveralStopsCutNothing(t *testing.T) {
+// TestRepeatedSIGTERMDoesNotForceStop guards against a second SIGTERM that cuts requests in flight, since overlapping
+// series of daemon replacements send it more than once. A SIGINT forces the stop.
+func TestRepeatedSIGTERMDoesNotForceStop(t *testing.T) {
 	ctx, force, cleanUp := stopSignals(context.Background())
 	defer cleanUp()
 	send := func(signal syscall.Signal) {
@@ -18,19 +18,19 @@
 			t.Fatal(err)
 		}
 	}
-	const moment = 100 * time.Millisecond
+	const gracePeriod = 100 * time.Millisecond
 	send(syscall.SIGTERM)
 	<-ctx.Done()
 	send(syscall.SIGTERM)
 	select {
 	case <-force:
-		t.Fatal("a second SIGTERM ends the planned stop at once")
-	case <-time.After(moment):
+		t.Fatal("a second SIGTERM forces the planned stop to end")
+	case <-time.After(gracePeriod):
 	}
 	send(syscall.SIGINT)
 	select {
 	case <-force:
 	case <-time.After(10 * time.Second):
-		t.Fatal("SIGINT does not end the planned stop")
+		t.Fatal("a SIGINT does not force the planned stop to end")
 	}
 }
