--- a/internal/logline/logline.go
+++ b/internal/logline/logline.go
@@ -65,7 +65,7 @@
 		closed:  make(chan struct{}),
 	}
 	go w.run()
-	return w, w.close
+	return w, w.stop
 }
 
 // Write queues a line. It never blocks and never returns an error.
@@ -130,8 +130,8 @@
 	_, _ = w.config.Out.Write(line) // there is nowhere to report an error of the log itself
 }
 
-// close stops the writer once the buffered lines are written, or after closeTimeout if the log is not read.
-func (w *Writer) close() {
+// stop stops the writer once the buffered lines are written, or after closeTimeout if the log is not read.
+func (w *Writer) stop() {
 	close(w.closing)
 	select {
 	case <-w.closed:
