--- a/internal/daemon/stop.go
+++ b/internal/daemon/stop.go
@@ -25,7 +25,7 @@
 func (d *daemon) stop(servers *serve.Servers) error {
 	event.Log(d.config.Logger, event.DaemonStopping, "in_flight", d.ingress.InFlight())
 	d.stopping.Store(true)
-	servers.CloseAfterAnswers()
+	servers.DisableKeepAlives()
 	d.ingress.BeginShutdown()
 	limits := d.live.Load().Limits
 	ctx, cancel := context.WithTimeout(context.Background(), limits.Stop-limits.Stop/endDivisor)
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -117,8 +117,8 @@
 // Failed is sent an error when a server fails otherwise than by a stop.
 func (s *Servers) Failed() <-chan error { return s.failed }
 
-// CloseAfterAnswers has each answer from now on ask callers and peers to close their connection.
-func (s *Servers) CloseAfterAnswers() { s.stopping.Store(true) }
+// DisableKeepAlives has each answer from now on ask callers and peers to close their connection.
+func (s *Servers) DisableKeepAlives() { s.stopping.Store(true) }
 
 // Refuse makes no new connections of callers and peers; those there are go on, also those that wait to be
 // accepted. It comes a while before http.Server.Shutdown, since that drops without an answer a request
