--- a/internal/body/body.go
+++ b/internal/body/body.go
@@ -132,8 +132,8 @@
 	r.Body = &attemptBody{body: b, attempt: b.attempt}
 }
 
-// Spent reports whether the body can no longer be sent from its start.
-func (b *Body) Spent() bool {
+// Consumed reports whether the body can no longer be sent from its start.
+func (b *Body) Consumed() bool {
 	if b == nil {
 		return false
 	}
@@ -142,9 +142,9 @@
 	return b.overflowed
 }
 
-// First returns the first bytes of the body, at most so many and no more than is kept. What has not been
+// Peek returns the first bytes of the body, at most so many and no more than is kept. What has not been
 // read yet it reads from the caller and keeps for the attempts.
-func (b *Body) First(limit int) ([]byte, error) {
+func (b *Body) Peek(limit int) ([]byte, error) {
 	if b == nil {
 		return nil, nil
 	}
@@ -158,9 +158,9 @@
 	return b.kept[:min(len(b.kept), limit)], nil
 }
 
-// TryFirst returns the first bytes of the body like First, but fails if that would wait for the caller: one
+// TryPeek returns the first bytes of the body like First, but fails if that would wait for the caller: one
 // that waits for an answer itself sends nothing more.
-func (b *Body) TryFirst(limit int) ([]byte, error) {
+func (b *Body) TryPeek(limit int) ([]byte, error) {
 	if b == nil {
 		return nil, nil
 	}
--- a/internal/body/body_test.go
+++ b/internal/body/body_test.go
@@ -112,7 +112,7 @@
 			_, _ = io.Copy(io.Discard, out.Body) // waits for the caller
 		}()
 		for range 20 {
-			if known, err := b.TryFirst(100); err == nil {
+			if known, err := b.TryPeek(100); err == nil {
 				t.Errorf("known is %q", known)
 			}
 			time.Sleep(time.Millisecond)
@@ -120,7 +120,7 @@
 		_, _ = sent.Write([]byte(" and more"))
 		_ = sent.Close()
 		<-reading
-		if known, err := b.TryFirst(100); err != nil || string(known) != "a book and more" {
+		if known, err := b.TryPeek(100); err != nil || string(known) != "a book and more" {
 			t.Errorf("known is %q, %v", known, err)
 		}
 	})
@@ -147,7 +147,7 @@
 				url := serve(t, time.Minute, func(b *body.Body, r *http.Request) {
 					want := text[:min(len(text), kept)]
 					if before {
-						if first, err := b.First(kept); err != nil || string(first) != want {
+						if first, err := b.Peek(kept); err != nil || string(first) != want {
 							t.Errorf("%s, chunked %v: the first %d bytes, %v", name, chunked, len(first), err)
 						}
 					}
@@ -156,7 +156,7 @@
 					if all, err := io.ReadAll(out.Body); err != nil || string(all) != text {
 						t.Errorf("%s, chunked %v, asked before %v: an attempt read %d bytes, %v", name, chunked, before, len(all), err)
 					}
-					if first, err := b.First(kept); err != nil || string(first) != want {
+					if first, err := b.Peek(kept); err != nil || string(first) != want {
 						t.Errorf("%s, chunked %v: the first %d bytes after an attempt, %v", name, chunked, len(first), err)
 					}
 				})
--- a/internal/ingress/attempts.go
+++ b/internal/ingress/attempts.go
@@ -28,7 +28,7 @@
 			return o.response, nil
 		}
 		failure := p.record(o)
-		retried := p.MayRetry(time.Now(), r.terms, r.body.Spent()) && in.takeRetry(ctx, r, p)
+		retried := p.MayRetry(time.Now(), r.terms, r.body.Consumed()) && in.takeRetry(ctx, r, p)
 		in.logAttempt(r, o.attempt, p, failure, retried)
 		if !retried {
 			return p.end(p.Failure())
--- a/internal/sidecar/ends.go
+++ b/internal/sidecar/ends.go
@@ -51,7 +51,7 @@
 	if q == nil || q.Empty() {
 		return "", false
 	}
-	status, id := q.Status(s.fingerprintOf(in, call.Body.First))
+	status, id := q.Status(s.fingerprintOf(in, call.Body.Peek))
 	return id, status == quarantine.Quarantined
 }
 
@@ -64,7 +64,7 @@
 func (s *Sidecar) recordAnswered(server *server, call hop.Call, in *http.Request) {
 	server.recordAlive()
 	if q := s.config.Quarantine; q != nil && !q.Empty() {
-		q.RecordAnswer(s.fingerprintOf(in, call.Body.TryFirst))
+		q.RecordAnswer(s.fingerprintOf(in, call.Body.TryPeek))
 	}
 }
 
@@ -76,7 +76,7 @@
 		return
 	}
 	took := time.Since(began)
-	request := s.fingerprintOf(in, call.Body.TryFirst)
+	request := s.fingerprintOf(in, call.Body.TryPeek)
 	report := func() { s.reportEnded(server, request, s.headers.Load().id(in.Header), took) }
 	if server.pool.CheckEnded(report) {
 		report()
