--- a/internal/backend/ended_test.go
+++ b/internal/backend/ended_test.go
@@ -17,7 +17,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = listener.Close() })
-	dialer := dial.New(dial.Config{Connect: time.Second, Unacknowledged: time.Second})
+	dialer := dial.New(dial.Config{ConnectTimeout: time.Second, UserTimeout: time.Second})
 	pool, cleanUp := backend.New(backend.Config{
 		Address:   listener.Addr().String(),
 		Dial:      dialer.DialContext,
--- a/internal/dial/dial.go
+++ b/internal/dial/dial.go
@@ -43,25 +43,25 @@
 
 // Config bounds how long a connection may be silent. Both times are required.
 type Config struct {
-	// Connect bounds the opening of a connection.
-	Connect time.Duration
-	// Unacknowledged is how long sent bytes may wait for their acknowledgement
+	// ConnectTimeout bounds the opening of a connection.
+	ConnectTimeout time.Duration
+	// UserTimeout is how long sent bytes may wait for their acknowledgement
 	// before the connection counts as lost.
-	Unacknowledged time.Duration
+	UserTimeout time.Duration
 }
 
 // ToDaemons returns the bounds of a connection to another daemon, be it for requests or
 // for control calls.
 func ToDaemons() Config {
-	return Config{Connect: daemonConnect, Unacknowledged: daemonUnacknowledged}
+	return Config{ConnectTimeout: daemonConnect, UserTimeout: daemonUnacknowledged}
 }
 
 // New returns a dialer whose connections fail once the peer has been silent for as long as the
 // bounds allow.
 func New(config Config) *net.Dialer {
 	return &net.Dialer{
-		Timeout: config.Connect,
-		Control: userTimeout(config.Unacknowledged),
+		Timeout: config.ConnectTimeout,
+		Control: userTimeout(config.UserTimeout),
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable:   true,
 			Idle:     keepAliveIdle,
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -38,7 +38,7 @@
 		sentRequests: newSentRequests(config.Scope, d.Service.Name),
 	}
 	s.declared.Store(d)
-	dialer := dial.New(dial.Config{Connect: connectTimeout, Unacknowledged: unacknowledgedTimeout})
+	dialer := dial.New(dial.Config{ConnectTimeout: connectTimeout, UserTimeout: unacknowledgedTimeout})
 	s.pool, s.closePool = backend.New(backend.Config{
 		Address:   d.BackendServer.Address,
 		Dial:      dialer.DialContext,
