--- a/internal/declaration/watch.go
+++ b/internal/declaration/watch.go
@@ -37,7 +37,7 @@
 // daemon when a fleet starts.
 func (f *Follower) awaitJoin(ctx context.Context) {
 	if f.config.Registers {
-		wait.Woken(ctx, joinTimeout, f.config.Members.Joined())
+		wait.ForOrSignal(ctx, joinTimeout, f.config.Members.Joined())
 	}
 }
 
--- a/internal/limits/report.go
+++ b/internal/limits/report.go
@@ -44,7 +44,7 @@
 			continue
 		}
 		report(ctx)
-		wait.Woken(ctx, checkEvery, wake)
+		wait.ForOrSignal(ctx, checkEvery, wake)
 	}
 }
 
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -12,10 +12,10 @@
 )
 
 // For waits for the length, or until ctx ends, and reports whether ctx goes on.
-func For(ctx context.Context, length time.Duration) bool { return Woken(ctx, length, nil) }
+func For(ctx context.Context, length time.Duration) bool { return ForOrSignal(ctx, length, nil) }
 
-// Woken waits like For, or until there is something to receive from wake or that is closed.
-func Woken(ctx context.Context, length time.Duration, wake <-chan struct{}) bool {
+// ForOrSignal waits like For, or until there is something to receive from wake or that is closed.
+func ForOrSignal(ctx context.Context, length time.Duration, wake <-chan struct{}) bool {
 	timer := time.NewTimer(length)
 	defer timer.Stop()
 	select {
