--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -30,8 +30,8 @@
 	Compression Mechanism = "compression"
 	// Subrequests learns which routes backend servers call, and serves their requests first.
 	Subrequests Mechanism = "subrequests"
-	// Aims refuses a request in a crowded queue that would miss its latency target.
-	Aims Mechanism = "aims"
+	// LatencyTargets refuses a request in a crowded queue that would miss its latency target.
+	LatencyTargets Mechanism = "aims"
 	// Suspicion asks a backend server last at the first sign of failing.
 	Suspicion Mechanism = "suspicion"
 	// HangChecks sends requests that must not be lost elsewhere than to a backend server that
@@ -41,7 +41,7 @@
 
 // All returns every mechanism.
 func All() []Mechanism {
-	return []Mechanism{Hedges, Compression, Subrequests, Aims, Suspicion, HangChecks}
+	return []Mechanism{Hedges, Compression, Subrequests, LatencyTargets, Suspicion, HangChecks}
 }
 
 // Off are the mechanisms that are switched off.
--- a/internal/ingress/disabled.go
+++ b/internal/ingress/disabled.go
@@ -16,6 +16,6 @@
 		hedges:         off.Has(experiment.Hedges),
 		hangChecks:     off.Has(experiment.HangChecks),
 		subrequests:    off.Has(experiment.Subrequests),
-		latencyTargets: off.Has(experiment.Aims),
+		latencyTargets: off.Has(experiment.LatencyTargets),
 	}
 }
