--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -103,7 +103,7 @@
 	if some := k.Certificate + k.Key + k.Authority; some != "" && (k.Certificate == "" || k.Key == "" || k.Authority == "") {
 		c.Add("$.keys", "names some of certificate, key and authority", "all three or none")
 	}
-	if !k.MutualTLS() && !k.TrustedNet && !isLoopback(listen.Control) {
+	if !k.MutualTLS() && !k.TrustedNetwork && !isLoopback(listen.Control) {
 		c.Add("$.listen.control", fmt.Sprintf("is %q without certificates", listen.Control), "a loopback address, keys.certificate, keys.key and keys.authority, or keys.trusted-network")
 	}
 	if k.Tokens == "" && !isLoopback(listen.Operators) {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -117,11 +117,11 @@
 // Keys names the files with certificates and tokens. They are read again when they
 // change.
 type Keys struct {
-	Certificate string `yaml:"certificate" json:"certificate,omitempty" jsonschema:"description=PEM file with the daemon's certificate for the DNS name tidelift."`
-	Key         string `yaml:"key" json:"key,omitempty" jsonschema:"description=PEM file with its key."`
-	Authority   string `yaml:"authority" json:"authority,omitempty" jsonschema:"description=PEM file with the authority that signs every daemon's certificate."`
-	TrustedNet  bool   `yaml:"trusted-network" json:"trusted-network,omitempty" jsonschema:"description=Daemons take each other's calls without certificates on every address, since nobody else reaches the network."`
-	Tokens      string `yaml:"tokens" json:"tokens,omitempty" jsonschema:"description=YAML file with the operators' tokens as hashes."`
+	Certificate    string `yaml:"certificate" json:"certificate,omitempty" jsonschema:"description=PEM file with the daemon's certificate for the DNS name tidelift."`
+	Key            string `yaml:"key" json:"key,omitempty" jsonschema:"description=PEM file with its key."`
+	Authority      string `yaml:"authority" json:"authority,omitempty" jsonschema:"description=PEM file with the authority that signs every daemon's certificate."`
+	TrustedNetwork bool   `yaml:"trusted-network" json:"trusted-network,omitempty" jsonschema:"description=Daemons take each other's calls without certificates on every address, since nobody else reaches the network."`
+	Tokens         string `yaml:"tokens" json:"tokens,omitempty" jsonschema:"description=YAML file with the operators' tokens as hashes."`
 }
 
 // MutualTLS reports whether daemons prove themselves to each other by certificates.
