--- a/internal/cli/daemon.go
+++ b/internal/cli/daemon.go
@@ -127,7 +127,7 @@
 	return declaration.Stored{
 		Key:    platform.DesiredKey,
 		Number: platform.DesiredVersion,
-		Redact: platform.HideKeys,
+		Redact: platform.RedactKeys,
 		Parse: func(data []byte, s settings.Source) (fleet.Declaration, error) {
 			return platform.ParseDesired(data, platform.Defaults{
 				FloorShare:  s.FloorShare,
