--- a/internal/quarantinesync/quarantinesync_test.go
+++ b/internal/quarantinesync/quarantinesync_test.go
@@ -148,7 +148,7 @@
 		"no fault":                          func(*group) {},
 		"they cannot reach each other":      func(g *group) { g.partitioned.Store(true) },
 		"the store is unavailable":          func(g *group) { g.standin.SetOutage(true) },
-		"the store loses answers to writes": func(g *group) { g.standin.SetLoseAnswers("quarantine") },
+		"the store loses answers to writes": func(g *group) { g.standin.SetLoseResponses("quarantine") },
 	}
 	for name, injectFault := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/revision/revision_test.go
+++ b/internal/revision/revision_test.go
@@ -66,7 +66,7 @@
 func TestPublishWithLostAnswer(t *testing.T) {
 	l, s := newLedger(t)
 	for i, key := range []string{"/parts/", "/root", "/"} {
-		s.SetLoseAnswers(key)
+		s.SetLoseResponses(key)
 		base := int64(i)
 		if got, code := publish(l, key, base, "text for "+key); got != base+1 || code != 0 {
 			t.Fatalf("answers of %s lost: revision %d, code %d", key, got, code)
--- a/internal/store/follow_test.go
+++ b/internal/store/follow_test.go
@@ -70,7 +70,7 @@
 	await(t, applied, "two")
 	s.SetOutage(true)
 	s.Write("key", []byte("three"))
-	s.Forget()
+	s.CompactHistory()
 	s.SetOutage(false)
 	await(t, applied, "three")
 }
--- a/test/registered/registered_test.go
+++ b/test/registered/registered_test.go
@@ -53,8 +53,8 @@
 	f.store.SetOutage(true)
 	f.hosts[0].begin("second")
 	f.await("a new lifetime known to others", func() bool { return f.hosts[1].known() == 4 && f.hosts[3].known() == 4 })
-	f.store.LapseLeases()
-	f.store.Forget()
+	f.store.ExpireLeases()
+	f.store.CompactHistory()
 	f.desire(2, "/changed/")
 	f.store.SetOutage(false)
 	for _, h := range f.hosts {
--- a/test/standin/faults.go
+++ b/test/standin/faults.go
@@ -20,9 +20,9 @@
 	s.set(func(f *faults) { f.outage = on })
 }
 
-// SetLoseAnswers makes every write to a key whose name contains the text take
+// SetLoseResponses makes every write to a key whose name contains the text take
 // effect and its answer get lost; an empty text ends that.
-func (s *Standin) SetLoseAnswers(text string) {
+func (s *Standin) SetLoseResponses(text string) {
 	s.set(func(f *faults) { f.loseAnswers = text })
 }
 
--- a/test/standin/standin.go
+++ b/test/standin/standin.go
@@ -335,8 +335,8 @@
 	s.wake()
 }
 
-// LapseLeases ends every lease at once.
-func (s *Standin) LapseLeases() {
+// ExpireLeases ends every lease at once.
+func (s *Standin) ExpireLeases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id := range s.leases {
@@ -344,8 +344,8 @@
 	}
 }
 
-// Forget drops the history, so that no watch can go on from before.
-func (s *Standin) Forget() {
+// CompactHistory drops the history, so that no watch can go on from before.
+func (s *Standin) CompactHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history = nil
