--- a/internal/daemon/build.go
+++ b/internal/daemon/build.go
@@ -223,7 +223,7 @@
 		Runs:                 d.runs,
 		Retries:              d.budgets,
 		BorrowRetry:          d.lender.Borrow,
-		HostsCounted:         d.members.ShareUsable,
+		ShareUsable:          d.members.ShareUsable,
 		Local:                d.sidecar.Do,
 		LocalReservation:     d.sidecar.Reserve,
 		ShouldCompress:       d.shouldCompress,
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -122,9 +122,9 @@
 	Runs *runs.Table
 	// Retries holds the host's retry budgets; nil creates budgets that only this ingress uses.
 	Retries *retry.Budgets
-	// HostsCounted reports whether the declaration contains the hosts listed in the platform's
+	// ShareUsable reports whether the declaration contains the hosts listed in the platform's
 	// store, so that limits can be divided among them; nil means always.
-	HostsCounted func() bool
+	ShareUsable func() bool
 	// BorrowRetry borrows a retry for a request to the service from another host, for immediate
 	// use; nil disables borrowing.
 	BorrowRetry func(ctx context.Context, service string) bool
--- a/internal/ingress/service.go
+++ b/internal/ingress/service.go
@@ -59,7 +59,7 @@
 // these have been counted.
 func (in *Ingress) retrySizes(d fleet.Declaration) map[string]retry.Limit {
 	hosts := len(d.Hosts)
-	if in.config.HostsCounted != nil && !in.config.HostsCounted() {
+	if in.config.ShareUsable != nil && !in.config.ShareUsable() {
 		hosts = 0
 	}
 	sizes := make(map[string]retry.Limit, len(d.Services))
