--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -38,9 +38,9 @@
 type ClientConfig struct {
 	// TLS authenticates this daemon to its peers; nil disables TLS.
 	TLS *tls.Config
-	// Far reports whether traffic to the address is expensive and is therefore compressed, which
+	// ShouldCompress reports whether traffic to the address is expensive and is therefore compressed, which
 	// happens only without TLS; nil if no traffic is compressed.
-	Far func(address string) bool
+	ShouldCompress func(address string) bool
 	// DataCentre is the data centre of this daemon. Hosts accept calls from their own data centre and from
 	// others at different addresses.
 	DataCentre string
@@ -98,7 +98,7 @@
 func (c *Client) dial(ctx context.Context, address string) (net.Conn, error) {
 	dialer := dial.New(dial.ToDaemons())
 	if c.config.TLS == nil {
-		return dial.Compressed(dialer, c.config.Far)(ctx, "tcp", address)
+		return dial.Compressed(dialer, c.config.ShouldCompress)(ctx, "tcp", address)
 	}
 	secure := tls.Dialer{NetDialer: dialer, Config: c.config.TLS}
 	return secure.DialContext(ctx, "tcp", address)
--- a/internal/control/client_test.go
+++ b/internal/control/client_test.go
@@ -80,7 +80,7 @@
 		return params, nil
 	})
 	for _, far := range []bool{false, true} {
-		client, cleanUp := control.NewClient(control.ClientConfig{Far: func(string) bool { return far }})
+		client, cleanUp := control.NewClient(control.ClientConfig{ShouldCompress: func(string) bool { return far }})
 		defer cleanUp()
 		for range 3 {
 			var back string
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -38,9 +38,9 @@
 	MethodDraining Method = "ingress.leaving"
 	// MethodPing checks that a daemon responds.
 	MethodPing Method = "daemon.ping"
-	// MethodTrusted notifies a daemon that backend servers of another host are no
+	// MethodSuspicionCleared notifies a daemon that backend servers of another host are no
 	// longer suspected.
-	MethodTrusted Method = "ingress.trusted"
+	MethodSuspicionCleared Method = "ingress.trusted"
 	// MethodSubrequest sends a daemon the evidence for routes that the backend servers of its
 	// service may call, and requests the routes that it knows to be called.
 	MethodSubrequest Method = "ingress.subrequest"
@@ -93,8 +93,8 @@
 	Routes []route.Name `json:"routes,omitempty"`
 }
 
-// Trusted is the parameter of MethodTrusted.
-type Trusted struct {
+// SuspicionCleared is the parameter of MethodTrusted.
+type SuspicionCleared struct {
 	Names []string `json:"names"`
 }
 
--- a/internal/daemon/build.go
+++ b/internal/daemon/build.go
@@ -57,10 +57,10 @@
 func (d *daemon) buildPeers() {
 	var cleanUp func()
 	d.peers, cleanUp = control.NewClient(control.ClientConfig{
-		TLS:        d.clientTLS(),
-		Far:        d.shouldCompress,
-		DataCentre: d.config.Settings.DataCentre,
-		Logger:     d.config.Logger,
+		TLS:            d.clientTLS(),
+		ShouldCompress: d.shouldCompress,
+		DataCentre:     d.config.Settings.DataCentre,
+		Logger:         d.config.Logger,
 	})
 	d.addCleanUp(cleanUp)
 }
--- a/internal/daemon/calls.go
+++ b/internal/daemon/calls.go
@@ -10,21 +10,21 @@
 // handlers returns the handler of each control method.
 func (d *daemon) handlers() control.Handlers {
 	return control.Handlers{
-		control.MethodReport:       d.handleReport,
-		control.MethodDrain:        d.handleDrain,
-		control.MethodDraining:     d.handleDraining,
-		control.MethodPing:         d.handlePing,
-		control.MethodTrusted:      d.handleTrusted,
-		control.MethodSubrequest:   d.handleSubrequest,
-		control.MethodHost:         d.hostList.HandleHost,
-		control.MethodNotice:       d.declarations.HandleNotice,
-		control.MethodHostUpdates:  d.members.HandleUpdates,
-		control.MethodRevision:     d.declarations.HandleRevision,
-		control.MethodQuarantine:   d.handleQuarantine,
-		control.MethodLend:         d.lender.HandleLend,
-		control.MethodReportCounts: d.limits.HandleCounted,
-		control.MethodRequestLease: d.handleAsk,
-		control.MethodRelease:      d.handleRelease,
+		control.MethodReport:           d.handleReport,
+		control.MethodDrain:            d.handleDrain,
+		control.MethodDraining:         d.handleDraining,
+		control.MethodPing:             d.handlePing,
+		control.MethodSuspicionCleared: d.handleTrusted,
+		control.MethodSubrequest:       d.handleSubrequest,
+		control.MethodHost:             d.hostList.HandleHost,
+		control.MethodNotice:           d.declarations.HandleNotice,
+		control.MethodHostUpdates:      d.members.HandleUpdates,
+		control.MethodRevision:         d.declarations.HandleRevision,
+		control.MethodQuarantine:       d.handleQuarantine,
+		control.MethodLend:             d.lender.HandleLend,
+		control.MethodReportCounts:     d.limits.HandleCounted,
+		control.MethodRequestLease:     d.handleAsk,
+		control.MethodRelease:          d.handleRelease,
 	}
 }
 
@@ -61,7 +61,7 @@
 }
 
 func (d *daemon) handleTrusted(_ context.Context, params json.RawMessage) (any, error) {
-	var cleared control.Trusted
+	var cleared control.SuspicionCleared
 	if err := control.Decode(params, &cleared); err != nil {
 		return nil, err
 	}
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -25,14 +25,14 @@
 	if !ok {
 		return
 	}
-	cleared := control.Trusted{Names: []string{backendServer}}
+	cleared := control.SuspicionCleared{Names: []string{backendServer}}
 	for _, name := range hosts {
 		if name == d.config.Settings.Name {
 			go d.ingress.ClearSuspicion(cleared.Names)
 			continue
 		}
 		if host, ok := index.Host(name); ok {
-			d.peers.Notify([]fleet.Host{host}, control.MethodTrusted, cleared)
+			d.peers.Notify([]fleet.Host{host}, control.MethodSuspicionCleared, cleared)
 		}
 	}
 }
--- a/test/pinned/pinned_test.go
+++ b/test/pinned/pinned_test.go
@@ -133,7 +133,7 @@
 		{string(control.MethodDrain), new(control.Drain)},
 		{string(control.MethodDraining), new(control.Draining)},
 		{string(control.MethodPing), new(struct{})},
-		{string(control.MethodTrusted), new(control.Trusted)},
+		{string(control.MethodSuspicionCleared), new(control.SuspicionCleared)},
 		{string(control.MethodSubrequest), new(control.Subrequest)},
 		{string(control.MethodSubrequest) + " answer", new(control.SubrequestResponse)},
 		{string(control.MethodHost), new(control.Host)},
