--- a/internal/daemon/calls.go
+++ b/internal/daemon/calls.go
@@ -22,7 +22,7 @@
 		control.MethodRevision:         d.declarations.HandleRevision,
 		control.MethodQuarantine:       d.handleQuarantine,
 		control.MethodLend:             d.lender.HandleLend,
-		control.MethodReportCounts:     d.limits.HandleCounted,
+		control.MethodReportCounts:     d.limits.HandleCountReport,
 		control.MethodRequestLease:     d.handleAsk,
 		control.MethodRelease:          d.handleRelease,
 	}
--- a/internal/limits/report.go
+++ b/internal/limits/report.go
@@ -159,8 +159,8 @@
 	return quota.Verdict{}, false
 }
 
-// HandleCounted handles the report of another daemon.
-func (l *Limits) HandleCounted(ctx context.Context, params json.RawMessage) (any, error) {
+// HandleCountReport handles the report of another daemon.
+func (l *Limits) HandleCountReport(ctx context.Context, params json.RawMessage) (any, error) {
 	var counted control.CountReport
 	if err := control.Decode(params, &counted); err != nil {
 		return nil, err
