--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -43,12 +43,12 @@
 }
 
 // requestLease requests a lease from another backend server.
-func (d *daemon) requestLease(ctx context.Context, other fleet.Placement, r floor.Request) (sidecar.LeaseAnswer, error) {
+func (d *daemon) requestLease(ctx context.Context, other fleet.Placement, r floor.Request) (sidecar.LeaseResponse, error) {
 	name := other.BackendServer.Name
 	if other.Host.Name == d.config.Settings.Name {
 		return d.sidecar.GrantLease(name, r)
 	}
-	var lease sidecar.LeaseAnswer
+	var lease sidecar.LeaseResponse
 	err := d.peers.CallHost(ctx, other.Host, control.MethodRequestLease, control.LeaseRequest{Name: name, Request: r}, &lease)
 	return lease, err
 }
--- a/internal/sidecar/lease.go
+++ b/internal/sidecar/lease.go
@@ -13,7 +13,7 @@
 // service.
 type Peer struct {
 	// RequestLease requests a lease.
-	RequestLease func(ctx context.Context, other fleet.Placement, r floor.Request) (LeaseAnswer, error)
+	RequestLease func(ctx context.Context, other fleet.Placement, r floor.Request) (LeaseResponse, error)
 	// ClearSuspicion notifies the ingresses on the hosts that a backend server of this host is no
 	// longer suspected.
 	ClearSuspicion func(hosts []string, backendServer string)
@@ -21,8 +21,8 @@
 	Release func(ctx context.Context, other fleet.Placement, r floor.Release) error
 }
 
-// LeaseAnswer is the answer to a lease request.
-type LeaseAnswer struct {
+// LeaseResponse is the answer to a lease request.
+type LeaseResponse struct {
 	// Refusal is the reason for a refusal; floor.Granted means that the lease was granted.
 	Refusal floor.Refusal `json:"refusal"`
 	// Summary is the state of the backend server that answers.
@@ -76,7 +76,7 @@
 	defer cancel()
 	lease, err := t.config.Peer.RequestLease(ctx, other, request)
 	if err != nil {
-		lease = LeaseAnswer{Refusal: floor.RefusedUnable}
+		lease = LeaseResponse{Refusal: floor.RefusedUnable}
 	}
 	t.server.send(leaseAnswerMessage{
 		number:      request.Number,
@@ -128,30 +128,30 @@
 }
 
 // answerLeaseRequest answers a lease request of another backend server.
-func (t *task) answerLeaseRequest(now time.Time, r floor.Request) LeaseAnswer {
+func (t *task) answerLeaseRequest(now time.Time, r floor.Request) LeaseResponse {
 	t.isEjected(now)
 	dead := t.subject.Verdict(now).Cause == detect.CauseRefuses
 	cold := t.subject.TrafficShare(now) < 1
 	t.ledger.SetUnable(t.isDraining(now) || dead || cold)
 	since := now.Add(-time.Duration(r.SuspectedFor) * time.Millisecond)
-	return LeaseAnswer{Refusal: t.ledger.Answer(now, r), Summary: t.subject.Summary(since)}
+	return LeaseResponse{Refusal: t.ledger.Answer(now, r), Summary: t.subject.Summary(since)}
 }
 
 // GrantLease answers a lease request to a backend server of this host.
-func (s *Sidecar) GrantLease(name string, r floor.Request) (LeaseAnswer, error) {
+func (s *Sidecar) GrantLease(name string, r floor.Request) (LeaseResponse, error) {
 	server, err := s.server(name)
 	if err != nil {
-		return LeaseAnswer{}, err
+		return LeaseResponse{}, err
 	}
-	reply := make(chan LeaseAnswer, 1)
+	reply := make(chan LeaseResponse, 1)
 	if !server.send(leaseRequestMessage{request: r, reply: reply}) {
-		return LeaseAnswer{Refusal: floor.RefusedUnable}, nil
+		return LeaseResponse{Refusal: floor.RefusedUnable}, nil
 	}
 	select {
 	case lease := <-reply:
 		return lease, nil
 	case <-server.ended:
-		return LeaseAnswer{Refusal: floor.RefusedUnable}, nil
+		return LeaseResponse{Refusal: floor.RefusedUnable}, nil
 	}
 }
 
--- a/internal/sidecar/messages.go
+++ b/internal/sidecar/messages.go
@@ -48,7 +48,7 @@
 	// leaseRequestMessage is a lease request of another backend server.
 	leaseRequestMessage struct {
 		request floor.Request
-		reply   chan LeaseAnswer
+		reply   chan LeaseResponse
 	}
 	// leaseReleaseMessage returns a lease that this backend server granted.
 	leaseReleaseMessage struct{ release floor.Release }
@@ -57,7 +57,7 @@
 		number      uint64
 		from        string
 		requestedAt time.Time
-		lease       LeaseAnswer
+		lease       LeaseResponse
 	}
 )
 
--- a/test/pinned/pinned_test.go
+++ b/test/pinned/pinned_test.go
@@ -148,7 +148,7 @@
 		{string(control.MethodReportCounts), new(control.CountReport)},
 		{string(control.MethodReportCounts) + " answer", new(quota.Verdict)},
 		{string(control.MethodRequestLease), new(control.LeaseRequest)},
-		{string(control.MethodRequestLease) + " answer", new(sidecar.LeaseAnswer)},
+		{string(control.MethodRequestLease) + " answer", new(sidecar.LeaseResponse)},
 		{string(control.MethodRelease), new(control.Release)},
 		{"floor request", new(floor.Request)},
 		{"floor release", new(floor.Release)},
