--- a/internal/cli/request.go
+++ b/internal/cli/request.go
@@ -40,7 +40,7 @@
 	return story.Write(c.Root().Writer)
 }
 
-func readLog(story *trace.Story, name string) error {
+func readLog(story *trace.Timeline, name string) error {
 	log, err := os.Open(name)
 	if err != nil {
 		return errors.Wrap(err, "open log")
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -60,18 +60,18 @@
 	TookMs        int64     `json:"took_ms"`
 }
 
-// Story is the history of one request.
-type Story struct {
+// Timeline is the history of one request.
+type Timeline struct {
 	request      string
 	requestLines []line
 	stateChanges []line // state changes of all backend servers
 }
 
 // New returns an empty story of the request with the given id.
-func New(request string) *Story { return &Story{request: request} }
+func New(request string) *Timeline { return &Timeline{request: request} }
 
 // Read reads a log. It ignores lines that were not written by a daemon.
-func (s *Story) Read(log io.Reader) error {
+func (s *Timeline) Read(log io.Reader) error {
 	scanner := bufio.NewScanner(log)
 	scanner.Buffer(nil, maxLine)
 	for scanner.Scan() {
@@ -83,7 +83,7 @@
 	return nil
 }
 
-func (s *Story) readLine(text []byte) {
+func (s *Timeline) readLine(text []byte) {
 	start := bytes.IndexByte(text, '{')
 	if start < 0 {
 		return
@@ -110,7 +110,7 @@
 }
 
 // Write writes the story as text, ordered by time. It returns an error if no log has a line of the request.
-func (s *Story) Write(w io.Writer) error {
+func (s *Timeline) Write(w io.Writer) error {
 	if len(s.requestLines) == 0 {
 		return errors.Errorf("no log has a line of request %q: it was answered on the first attempt, or its log was not read", s.request)
 	}
@@ -131,7 +131,7 @@
 
 // receivedBy returns the daemon that received the request from its caller. Other daemons only log that a backend
 // server ended while it ran the request.
-func (s *Story) receivedBy() string {
+func (s *Timeline) receivedBy() string {
 	for _, l := range s.requestLines {
 		if l.Event != event.ServerEnded.Number {
 			return l.Daemon
@@ -141,7 +141,7 @@
 }
 
 // stateAt returns the last state change of the backend server up to the given time and within stateWindow.
-func (s *Story) stateAt(backendServer string, at time.Time) (line, bool) {
+func (s *Timeline) stateAt(backendServer string, at time.Time) (line, bool) {
 	for _, l := range slices.Backward(s.stateChanges) {
 		if l.BackendServer == backendServer && !l.Time.After(at) && at.Sub(l.Time) < stateWindow {
 			return l, true
