--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -29,65 +29,65 @@
 
 // Events of a daemon's life cycle.
 var (
-	DaemonStarted   = Event{101, slog.LevelInfo, "daemon started", "The daemon listens on the addresses given."}
-	DaemonStopping  = Event{102, slog.LevelInfo, "daemon stopping", "A planned stop began: no new work is taken, what is in flight is finished."}
-	DaemonStopped   = Event{103, slog.LevelInfo, "daemon stopped", "Everything in flight was finished and the daemon has ended."}
-	StopCut         = Event{104, slog.LevelWarn, "stop cut requests", "The stop's limit or a second signal ended the daemon with requests in flight."}
-	SettingsTaken   = Event{106, slog.LevelInfo, "settings taken", "The settings file changed; what can change without a start is in force, and the line names what cannot."}
-	SettingsRefused = Event{107, slog.LevelError, "settings refused", "The settings file changed and is wrong; the settings before stay in force."}
-	KeysRefused     = Event{108, slog.LevelError, "key files refused", "A certificate or token file changed and cannot be read; what was read before stays in force."}
-	ServeFailed     = Event{105, slog.LevelError, "listener failed", "A listener ended with an error; the daemon stops."}
+	DaemonStarted   = Event{101, slog.LevelInfo, "daemon started", "The daemon listens on the given addresses."}
+	DaemonStopping  = Event{102, slog.LevelInfo, "daemon stopping", "A planned stop began: the daemon accepts no new work and completes what is in flight."}
+	DaemonStopped   = Event{103, slog.LevelInfo, "daemon stopped", "Everything in flight was completed and the daemon has ended."}
+	StopCut         = Event{104, slog.LevelWarn, "stop cut requests", "The stop limit or a second signal ended the daemon while requests were in flight."}
+	SettingsTaken   = Event{106, slog.LevelInfo, "settings taken", "The settings file changed. Settings that can change without a restart are in force; the line names those that cannot."}
+	SettingsRefused = Event{107, slog.LevelError, "settings refused", "The settings file changed and is invalid; the previous settings stay in force."}
+	KeysRefused     = Event{108, slog.LevelError, "key files refused", "A certificate or token file changed and cannot be read; its previous content stays in force."}
+	ServeFailed     = Event{105, slog.LevelError, "listener failed", "A listener failed; the daemon stops."}
 )
 
 // Events of the declaration in force.
 var (
-	DeclarationInForce   = Event{201, slog.LevelInfo, "declaration in force", "A newer declaration was put in force here."}
-	DeclarationRefused   = Event{202, slog.LevelError, "declaration refused", "The platform holds a declaration that this daemon cannot read; the one before stays in force."}
-	PlatformUnreachable  = Event{203, slog.LevelWarn, "platform unreachable", "The platform did not answer; the declaration in force stays and the daemon tries again."}
+	DeclarationInForce   = Event{201, slog.LevelInfo, "declaration in force", "A newer declaration came into force on this daemon."}
+	DeclarationRefused   = Event{202, slog.LevelError, "declaration refused", "The platform holds a declaration that this daemon cannot read; the previous declaration stays in force."}
+	PlatformUnreachable  = Event{203, slog.LevelWarn, "platform unreachable", "The platform did not answer; the declaration in force stays in force and the daemon tries again."}
 	PlatformReachable    = Event{204, slog.LevelInfo, "platform reachable", "The platform answers again."}
-	DeclarationAccepted  = Event{205, slog.LevelInfo, "declaration accepted", "An operator's change was written to the platform through this daemon."}
-	DeclarationFromPeers = Event{206, slog.LevelInfo, "declaration taken from peers", "The platform did not answer and other daemons gave the declaration."}
+	DeclarationAccepted  = Event{205, slog.LevelInfo, "declaration accepted", "This daemon wrote an operator's change to the platform."}
+	DeclarationFromPeers = Event{206, slog.LevelInfo, "declaration taken from peers", "The platform did not answer, and other daemons supplied the declaration."}
 )
 
 // Events of backend servers.
 var (
-	ServerAvoided   = Event{301, slog.LevelWarn, "backend server avoided", "This daemon prefers others, from what it sees on the path to the backend server."}
-	ServerEjected   = Event{302, slog.LevelWarn, "backend server ejected", "The backend server's own daemon refuses work for it."}
-	ServerReturned  = Event{304, slog.LevelInfo, "backend server returned", "The backend server passed its trial and gets work again, at first a growing share."}
-	FloorHeld       = Event{305, slog.LevelWarn, "floor held", "A backend server looks sick but stays, because the floor allows no more to be ejected."}
-	ServerDraining  = Event{306, slog.LevelInfo, "backend server leaving", "The backend server takes no new work."}
-	ServerSuspected = Event{308, slog.LevelInfo, "backend server suspected", "The backend server failed a request; others are asked first until repeatable requests succeed."}
-	ServerProbed    = Event{310, slog.LevelInfo, "backend server probed", "A suspected backend server was sent a request that finds out how it does."}
-	ServerTrusted   = Event{309, slog.LevelInfo, "backend server trusted again", "Repeatable requests succeeded, so that the backend server is no longer asked last."}
-	ServerEnded     = Event{311, slog.LevelWarn, "backend server ended", "A backend server of this host ended while it ran the request: the connection was lost, and its address refuses others. There is a line for each request that it ran."}
-	ServerBack      = Event{307, slog.LevelInfo, "backend server no longer leaving", "The backend server takes new work again."}
+	ServerAvoided   = Event{301, slog.LevelWarn, "backend server avoided", "This daemon prefers other backend servers because of what it observes on the path to this one."}
+	ServerEjected   = Event{302, slog.LevelWarn, "backend server ejected", "The daemon of the backend server's host refuses work for it."}
+	ServerReturned  = Event{304, slog.LevelInfo, "backend server returned", "The backend server passed its probation and receives work again, with a share that grows gradually."}
+	FloorHeld       = Event{305, slog.LevelWarn, "floor held", "A backend server appears unhealthy but stays in service, because the floor permits no further ejection."}
+	ServerDraining  = Event{306, slog.LevelInfo, "backend server leaving", "The backend server is draining and accepts no new work."}
+	ServerSuspected = Event{308, slog.LevelInfo, "backend server suspected", "The backend server failed a request; other backend servers are preferred until repeatable requests to it succeed."}
+	ServerProbed    = Event{310, slog.LevelInfo, "backend server probed", "A suspected backend server was sent a request that shows whether it has recovered."}
+	ServerTrusted   = Event{309, slog.LevelInfo, "backend server trusted again", "Repeatable requests succeeded, so the backend server is no longer chosen last."}
+	ServerEnded     = Event{311, slog.LevelWarn, "backend server ended", "A backend server of this host ended while it ran the request: the connection was lost, and its address refuses new connections. One line is logged for each request that it was running."}
+	ServerBack      = Event{307, slog.LevelInfo, "backend server no longer leaving", "The backend server accepts new work again."}
 )
 
 // Events of hosts and of backend servers that register themselves.
 var (
-	ServersRegistered   = Event{401, slog.LevelInfo, "backend servers registered", "A backend server of this host checked in with news or left; the line says which of them serve now."}
-	RegistrationRefused = Event{402, slog.LevelWarn, "check-in refused", "A check-in could not be read, or names a service that is not declared, and changed nothing."}
-	HostLearned         = Event{403, slog.LevelInfo, "host learned", "Another daemon or the store told of a host something new."}
-	RecordRefused       = Event{404, slog.LevelWarn, "record refused", "A record of a host or of a quarantine in the store could not be read, or stands under another's key, and was passed over."}
-	HostUnreachable     = Event{406, slog.LevelWarn, "host away", "A request could not reach another host's daemon; the host is passed over until it answers."}
-	HostBack            = Event{407, slog.LevelInfo, "host back", "The other host's daemon answers again, or its time of being passed over is up."}
-	HostGone            = Event{408, slog.LevelWarn, "host gone", "A host was silent for long and its record in the store has lapsed; others are told that it is gone."}
-	UpdatesDropped      = Event{409, slog.LevelWarn, "news dropped", "So much news of hosts came at once that some was not told on; other daemons ask for it."}
-	HostListRefused     = Event{410, slog.LevelWarn, "list of leaving hosts refused", "The platform's list of hosts that are leaving cannot be read; what it said before stays in force."}
-	PeerSilent          = Event{405, slog.LevelDebug, "peer silent", "Another daemon did not answer a control call; it learns the news from the next."}
+	ServersRegistered   = Event{401, slog.LevelInfo, "backend servers registered", "A backend server of this host sent a check-in with changes or left; the line lists the backend servers that serve now."}
+	RegistrationRefused = Event{402, slog.LevelWarn, "check-in refused", "A check-in cannot be read, or names a service that is not declared; it changed nothing."}
+	HostLearned         = Event{403, slog.LevelInfo, "host learned", "Another daemon or the store reported a change of a host."}
+	RecordRefused       = Event{404, slog.LevelWarn, "record refused", "A record of a host or of a quarantine in the store cannot be read, or is stored under the key of another record, and was ignored."}
+	HostUnreachable     = Event{406, slog.LevelWarn, "host away", "A request could not reach another host's daemon; the host is skipped until its daemon answers."}
+	HostBack            = Event{407, slog.LevelInfo, "host back", "The other host's daemon answers again, or the time limit for skipping the host has passed."}
+	HostGone            = Event{408, slog.LevelWarn, "host gone", "A host did not answer for a long time and its record in the store has expired; other daemons are notified that it is gone."}
+	UpdatesDropped      = Event{409, slog.LevelWarn, "news dropped", "Too many updates of hosts arrived at the same time, and some were not passed on; other daemons request them."}
+	HostListRefused     = Event{410, slog.LevelWarn, "list of leaving hosts refused", "The platform's list of draining hosts cannot be read; its previous content stays in force."}
+	PeerSilent          = Event{405, slog.LevelDebug, "peer silent", "Another daemon did not answer a control call; it receives the updates with the next call."}
 )
 
 // Events of callers' requests.
 var (
-	RequestFailed      = Event{501, slog.LevelInfo, "request failed", "A caller got a refusal or a failure; the line has its id, the result code and what led to it."}
-	AttemptFailed      = Event{502, slog.LevelInfo, "attempt failed", "One sending of a request failed; the line says where, how, whether it is tried elsewhere, and how many backend servers were passed over before, by reason."}
-	RequestHedged      = Event{504, slog.LevelInfo, "late request hedged", "A repeatable request takes longer than nearly all of its route do; it is sent to another backend server too, and the first answer is passed on."}
-	RouteSubrequest    = Event{505, slog.LevelInfo, "route is called by backend servers", "Requests to the route that begin on this host are calls of its backend servers while they run others; they go before new work and are not refused for coming late. With called=false they are so no longer."}
-	RequestQuarantined = Event{506, slog.LevelWarn, "request quarantined", "A request ended each backend server that ran it, and none is sent it any more; the line has its fingerprint, where it goes and whom it ended. tidelift quarantine lists such requests and lifts them."}
-	QuarantineEnded    = Event{507, slog.LevelInfo, "quarantine ended", "A request that was quarantined is taken again: a backend server answered it after all, or an operator lifted it."}
-	QuarantineTrial    = Event{508, slog.LevelInfo, "quarantined request tried", "A request in quarantine is sent to a backend server once more, by this daemon alone; if that one ends too, only an operator lifts the quarantine."}
-	QuarantineUntried  = Event{509, slog.LevelWarn, "quarantined request not tried", "The store did not answer when this daemon asked to be the one that sends a request in quarantine once more; the request is refused."}
-	QuarantineDropped  = Event{510, slog.LevelWarn, "quarantine records dropped", "This daemon holds more records of requests than it keeps and dropped the oldest; the line says how many, and how many of them were quarantines. The store keeps its own until a start finds them out of date."}
+	RequestFailed      = Event{501, slog.LevelInfo, "request failed", "A caller received a refusal or a failure; the line has the request's ID, the result code and the cause."}
+	AttemptFailed      = Event{502, slog.LevelInfo, "attempt failed", "An attempt to run a request failed; the line says where, how, whether the request is tried elsewhere, and how many backend servers were skipped before it, by reason."}
+	RequestHedged      = Event{504, slog.LevelInfo, "late request hedged", "A repeatable request takes longer than nearly all requests of its route; it is also sent to another backend server, and the first answer is passed on."}
+	RouteSubrequest    = Event{505, slog.LevelInfo, "route is called by backend servers", "Requests to the route that begin on this host are calls that its backend servers make while they run other requests. They take precedence over new work and are not refused for being late. With called=false, this no longer applies."}
+	RequestQuarantined = Event{506, slog.LevelWarn, "request quarantined", "A request ended each backend server that ran it and is no longer sent to any. The line has its fingerprint, its destination and the backend servers that it ended. `tidelift quarantine` lists such requests, and `tidelift quarantine lift` lifts a quarantine."}
+	QuarantineEnded    = Event{507, slog.LevelInfo, "quarantine ended", "A quarantined request is accepted again: a backend server answered it after all, or an operator lifted the quarantine."}
+	QuarantineTrial    = Event{508, slog.LevelInfo, "quarantined request tried", "A quarantined request is sent to a backend server once more, by this daemon alone. If that backend server ends too, only an operator can lift the quarantine."}
+	QuarantineUntried  = Event{509, slog.LevelWarn, "quarantined request not tried", "The store did not answer when this daemon claimed the right to send a quarantined request once more; the request is refused."}
+	QuarantineDropped  = Event{510, slog.LevelWarn, "quarantine records dropped", "This daemon holds more records of requests than its limit and dropped the oldest; the line says how many, and how many of them were quarantines. Their records in the store remain until a daemon finds them expired when it starts."}
 	RequestRefused     = Event{503, slog.LevelDebug, "work refused", "This daemon refused work for a backend server of its host, for the reason given."}
 )
 
