--- a/internal/cli/apply.go
+++ b/internal/cli/apply.go
@@ -25,10 +25,10 @@
 func newApply() *cli.Command {
 	return &cli.Command{
 		Name:      "apply",
-		Usage:     "put a declaration in force, whole or not at all",
+		Usage:     "apply a declaration atomically",
 		ArgsUsage: "FILE",
-		Description: "If the answer is lost, run the printed command again with its change id:\n" +
-			"one id is one change, however often it is applied.",
+		Description: "If the outcome is unknown, run the command again with the change ID and base that\n" +
+			"the error shows: a change ID denotes one change, however often it is applied.",
 		Flags:  changeFlags(),
 		Action: runApply,
 	}
@@ -37,11 +37,11 @@
 // changeFlags returns the flags of the commands that change the declaration.
 func changeFlags() []cli.Flag {
 	return []cli.Flag{
-		&cli.StringFlag{Name: flagAuthor, Usage: "who makes the change", Sources: cli.EnvVars("USER")},
-		&cli.StringFlag{Name: flagReason, Usage: "why"},
-		&cli.Int64Flag{Name: flagBase, Usage: "the revision the change is based on", DefaultText: "the one in force", Value: -1},
-		&cli.StringFlag{Name: flagChangeID, Usage: "the change's id, to resume one whose answer was lost", DefaultText: "a new one"},
-		&cli.BoolFlag{Name: flagWait, Usage: "wait until every daemon has it in force"},
+		&cli.StringFlag{Name: flagAuthor, Usage: "author of the change", Sources: cli.EnvVars("USER")},
+		&cli.StringFlag{Name: flagReason, Usage: "reason for the change"},
+		&cli.Int64Flag{Name: flagBase, Usage: "revision that the change is based on", DefaultText: "the revision in force", Value: -1},
+		&cli.StringFlag{Name: flagChangeID, Usage: "ID of the change, to repeat one whose outcome is unknown", DefaultText: "a new ID"},
+		&cli.BoolFlag{Name: flagWait, Usage: "wait until every daemon has the change in force"},
 	}
 }
 
@@ -62,7 +62,7 @@
 	change := newChange(c, text, base)
 	accepted, err := client.ApplyDeclaration(ctx, change)
 	if err != nil {
-		return errors.Wrapf(changeError(err), "apply (change id %s, base %d)", change.ChangeID, base)
+		return errors.Wrapf(changeError(err), "apply (change ID %s, base %d)", change.ChangeID, base)
 	}
 	if err := showAccepted(c, accepted); err != nil {
 		return err
--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -15,14 +15,14 @@
 func newCheck() *cli.Command {
 	return &cli.Command{
 		Name:      "check",
-		Usage:     "check a declaration; needs no daemon",
+		Usage:     "validate a declaration; needs no daemon",
 		ArgsUsage: "FILE",
 		Action:    runCheck,
 	}
 }
 
 func runCheck(_ context.Context, c *cli.Command) error {
-	file, err := oneArgument(c, "the declaration's file")
+	file, err := oneArgument(c, "the declaration file")
 	if err != nil {
 		return err
 	}
@@ -34,7 +34,7 @@
 	for _, s := range d.Services {
 		servers += len(s.BackendServers)
 	}
-	_, err = fmt.Fprintf(c.Root().Writer, "%s is right: %d hosts, %d services, %d backend servers, %d routes\n",
+	_, err = fmt.Fprintf(c.Root().Writer, "%s is valid: %d hosts, %d services, %d backend servers, %d routes\n",
 		file, len(d.Hosts), len(d.Services), servers, len(d.Routes))
 	return err
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -37,26 +37,26 @@
 )
 
 // errUsage marks an invalid command line.
-var errUsage = errors.New("wrong command line")
+var errUsage = errors.New("invalid command line")
 
 // errNotEverywhere marks a change that was accepted but not seen in force at every daemon.
-var errNotEverywhere = errors.New("change accepted, but not seen in force everywhere")
+var errNotEverywhere = errors.New("change accepted, but not seen in force at every daemon")
 
 // RunOperator runs the program tidelift and returns its exit code.
 func RunOperator(ctx context.Context, args []string, out, errOut io.Writer) int {
 	root := &cli.Command{
 		Name:  "tidelift",
-		Usage: "ask what the fleet believes and why, and change what it serves",
-		Description: "tidelift speaks to any daemon of the fleet.\n\n" +
-			"  tidelift check fleet.yaml               checks a declaration without a daemon\n" +
-			"  tidelift plan fleet.yaml                shows what it would change\n" +
-			"  tidelift apply --wait fleet.yaml        puts it in force, whole or not at all\n" +
-			"  tidelift show services                  shows services and their capacity\n" +
-			"  tidelift show backend-servers lookup    shows the backend servers of lookup\n" +
-			"  tidelift why csepel/lookup-1            shows the evidence behind a state\n\n" +
-			"Exit codes: 0 done; 1 refused or failed; 2 the command line or a file is\n" +
-			"wrong; 3 the outcome of a change is unknown; 4 the change was accepted, and\n" +
-			"apply --wait did not see it in force everywhere.",
+		Usage: "inspect and operate a fleet of tideliftd daemons",
+		Description: "tidelift uses the operator API of any daemon of the fleet.\n\n" +
+			"  tidelift check fleet.yaml               validates a declaration without a daemon\n" +
+			"  tidelift plan fleet.yaml                shows what the declaration would change\n" +
+			"  tidelift apply --wait fleet.yaml        applies it atomically and waits until it is in force\n" +
+			"  tidelift show services                  lists services and their capacity\n" +
+			"  tidelift show backend-servers lookup    lists the backend servers of service lookup\n" +
+			"  tidelift why csepel/lookup-1            shows the evidence for the state of a backend server\n\n" +
+			"Exit codes: 0 success; 1 refused or failed; 2 the command line or a file is\n" +
+			"invalid; 3 the outcome of a change is unknown; 4 the change was accepted, but\n" +
+			"apply --wait did not see it in force at every daemon.",
 		Version:               version.Version,
 		EnableShellCompletion: true,
 		Writer:                out,
@@ -119,7 +119,7 @@
 // oneArgument returns the command's only argument.
 func oneArgument(c *cli.Command, what string) (string, error) {
 	if c.Args().Len() != 1 {
-		return "", errors.Wrapf(errUsage, "%s wants one argument, %s", c.Name, what)
+		return "", errors.Wrapf(errUsage, "%s requires one argument, %s", c.Name, what)
 	}
 	return c.Args().First(), nil
 }
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -28,7 +28,7 @@
 func daemonFlag() cli.Flag {
 	return &cli.StringFlag{
 		Name:    flagDaemon,
-		Usage:   "URL of any daemon's operator API",
+		Usage:   "URL of the operator API of any daemon",
 		Value:   defaultDaemon,
 		Sources: cli.EnvVars("TIDELIFT_DAEMON"),
 	}
@@ -37,7 +37,7 @@
 func tokenFlag() cli.Flag {
 	return &cli.StringFlag{
 		Name:    flagToken,
-		Usage:   "the operator's token, where the daemon asks for one",
+		Usage:   "operator token, if the daemon requires one",
 		Sources: cli.EnvVars("TIDELIFT_TOKEN"),
 	}
 }
@@ -54,7 +54,7 @@
 }
 
 func jsonFlag() cli.Flag {
-	return &cli.BoolFlag{Name: flagJSON, Usage: "print JSON for programs instead of a table"}
+	return &cli.BoolFlag{Name: flagJSON, Usage: "print JSON instead of a table"}
 }
 
 func newClient(c *cli.Command) (*operatorapi.Client, error) {
--- a/internal/cli/customers.go
+++ b/internal/cli/customers.go
@@ -14,7 +14,7 @@
 func newCustomers() *cli.Command {
 	return &cli.Command{
 		Name:   "customers",
-		Usage:  "show the customers, their limits and what is admitted of their requests",
+		Usage:  "list the customers, their limits and the share of their requests that is admitted",
 		Action: runCustomers,
 	}
 }
--- a/internal/cli/daemon.go
+++ b/internal/cli/daemon.go
@@ -41,14 +41,14 @@
 func newDaemon() *cli.Command {
 	return &cli.Command{
 		Name:  "tideliftd",
-		Usage: "take callers' requests and send work to this host's backend servers",
-		Description: "SIGTERM or SIGINT starts a planned stop, which cuts nothing in flight; SIGINT after\n" +
-			"that, or the settings' limit, ends it at once.",
+		Usage: "accept callers' requests and send requests to this host's backend servers",
+		Description: "SIGTERM or SIGINT starts a planned stop, which completes the requests in flight. A later\n" +
+			"SIGINT, or the stop limit in the settings, ends the daemon immediately.",
 		Version:               version.Version,
 		EnableShellCompletion: true,
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: flagSettings, Usage: "the settings file", Value: "tideliftd.yaml", Sources: cli.EnvVars("TIDELIFTD_SETTINGS")},
-			&cli.BoolFlag{Name: flagCheckSettings, Usage: "check the settings file and end"},
+			&cli.StringFlag{Name: flagSettings, Usage: "settings file", Value: "tideliftd.yaml", Sources: cli.EnvVars("TIDELIFTD_SETTINGS")},
+			&cli.BoolFlag{Name: flagCheckSettings, Usage: "validate the settings file and exit"},
 		},
 		Commands: []*cli.Command{newVersion()},
 		Action:   runDaemon,
@@ -58,7 +58,7 @@
 // runDaemon reads the settings, and either validates them or runs a daemon with them.
 func runDaemon(ctx context.Context, c *cli.Command) error {
 	if c.Args().Len() > 0 {
-		return errors.Wrapf(errUsage, "%q is not a command", c.Args().First())
+		return errors.Wrapf(errUsage, "unknown command %q", c.Args().First())
 	}
 	hangUps, cleanUp := hangUpSignals() // first, because the signal may arrive at any time, even during a planned stop
 	defer cleanUp()
@@ -68,7 +68,7 @@
 		return err
 	}
 	if c.Bool(flagCheckSettings) {
-		_, err := fmt.Fprintf(c.Root().Writer, "%s is right: daemon %s in data centre %s\n", file, s.Name, s.DataCentre)
+		_, err := fmt.Fprintf(c.Root().Writer, "%s is valid: daemon %s in data centre %s\n", file, s.Name, s.DataCentre)
 		return err
 	}
 	return startDaemon(ctx, c.Root().Writer, s, &settingsFile{name: file, content: data}, hangUps)
--- a/internal/cli/drain.go
+++ b/internal/cli/drain.go
@@ -13,7 +13,7 @@
 func newDrain() *cli.Command {
 	return &cli.Command{
 		Name:      "drain",
-		Usage:     "let a backend server finish what it runs and give it nothing new",
+		Usage:     "drain a backend server: it completes its requests and receives no new ones",
 		ArgsUsage: "BACKEND-SERVER",
 		Action:    func(ctx context.Context, c *cli.Command) error { return runDrain(ctx, c, true) },
 	}
@@ -23,14 +23,14 @@
 func newUndrain() *cli.Command {
 	return &cli.Command{
 		Name:      "undrain",
-		Usage:     "give a drained backend server work again",
+		Usage:     "end the draining of a backend server, so that it receives new requests again",
 		ArgsUsage: "BACKEND-SERVER",
 		Action:    func(ctx context.Context, c *cli.Command) error { return runDrain(ctx, c, false) },
 	}
 }
 
 func runDrain(ctx context.Context, c *cli.Command, draining bool) error {
-	name, err := oneArgument(c, "the backend server's name")
+	name, err := oneArgument(c, "the name of the backend server")
 	if err != nil {
 		return err
 	}
@@ -45,6 +45,6 @@
 	if c.Bool(flagJSON) {
 		return showJSON(c.Root().Writer, server)
 	}
-	_, err = fmt.Fprintf(c.Root().Writer, "%s is %s, %d requests still run\n", server.Name, server.State, server.InFlight)
+	_, err = fmt.Fprintf(c.Root().Writer, "%s is %s, %d requests in flight\n", server.Name, server.State, server.InFlight)
 	return err
 }
--- a/internal/cli/export.go
+++ b/internal/cli/export.go
@@ -11,7 +11,7 @@
 func newExport() *cli.Command {
 	return &cli.Command{
 		Name:   "export",
-		Usage:  "print the declaration in force, as YAML",
+		Usage:  "print the declaration in force as YAML",
 		Action: runExport,
 	}
 }
--- a/internal/cli/history.go
+++ b/internal/cli/history.go
@@ -16,7 +16,7 @@
 func newHistory() *cli.Command {
 	return &cli.Command{
 		Name:   "history",
-		Usage:  "list the last changes, the newest first",
+		Usage:  "list the most recent changes, newest first",
 		Action: runHistory,
 	}
 }
@@ -43,7 +43,7 @@
 func newRollback() *cli.Command {
 	return &cli.Command{
 		Name:      "rollback",
-		Usage:     "put an earlier revision's text in force again, as a new revision",
+		Usage:     "apply the text of an earlier revision again, as a new revision",
 		ArgsUsage: "REVISION",
 		Flags:     changeFlags(),
 		Action:    runRollback,
@@ -51,13 +51,13 @@
 }
 
 func runRollback(ctx context.Context, c *cli.Command) error {
-	argument, err := oneArgument(c, "the revision's number")
+	argument, err := oneArgument(c, "the revision number")
 	if err != nil {
 		return err
 	}
 	number, err := strconv.ParseInt(argument, 10, 64)
 	if err != nil {
-		return errors.Wrapf(errUsage, "%q is not a revision's number", argument)
+		return errors.Wrapf(errUsage, "%q is not a revision number", argument)
 	}
 	client, err := newClient(c)
 	if err != nil {
--- a/internal/cli/key.go
+++ b/internal/cli/key.go
@@ -18,9 +18,9 @@
 func newKey() *cli.Command {
 	return &cli.Command{
 		Name:  "key",
-		Usage: "make a key for a customer and the digest that the declaration holds; needs no daemon",
+		Usage: "generate a customer key and its digest for the declaration; needs no daemon",
 		Flags: []cli.Flag{
-			&cli.BoolFlag{Name: flagStdin, Usage: "print the digest of the key on standard input in place of making one"},
+			&cli.BoolFlag{Name: flagStdin, Usage: "read the key from standard input instead of generating one, and print only its digest"},
 		},
 		Action: runKey,
 	}
--- a/internal/cli/plan.go
+++ b/internal/cli/plan.go
@@ -15,7 +15,7 @@
 func newPlan() *cli.Command {
 	return &cli.Command{
 		Name:      "plan",
-		Usage:     "check a declaration and show what it would change",
+		Usage:     "validate a declaration and show what it would change",
 		ArgsUsage: "FILE",
 		Action:    runPlan,
 	}
@@ -46,7 +46,7 @@
 // fileAndClient returns the name and the validated text of the declaration file,
 // and a client of the daemon.
 func fileAndClient(c *cli.Command) (file, text string, client *operatorapi.Client, err error) {
-	file, err = oneArgument(c, "the declaration's file")
+	file, err = oneArgument(c, "the declaration file")
 	if err != nil {
 		return "", "", nil, err
 	}
--- a/internal/cli/quarantine.go
+++ b/internal/cli/quarantine.go
@@ -15,10 +15,10 @@
 func newQuarantine() *cli.Command {
 	return &cli.Command{
 		Name:  "quarantine",
-		Usage: "show the requests that no backend server is sent, or is soon, and whom they ended",
-		Description: "A request is suspected once a backend server has ended while it ran it, and quarantined\n" +
-			"after three without an answer in between. It is refused with code 2025 until a backend server\n" +
-			"answers it after all, or it is lifted.",
+		Usage: "list suspected and quarantined requests and the backend servers that they ended",
+		Description: "A request is suspected once a backend server has ended while running it, and quarantined\n" +
+			"after three such ends without an answer in between. A quarantined request is refused with\n" +
+			"code 2025 until a backend server answers it after all, or until the quarantine is lifted.",
 		Action:   runQuarantine,
 		Commands: []*cli.Command{newLift()},
 	}
@@ -28,7 +28,7 @@
 func newLift() *cli.Command {
 	return &cli.Command{
 		Name:      "lift",
-		Usage:     "let backend servers be sent a request again, as after a release that bears it",
+		Usage:     "lift the quarantine of a request, for example after a release that can handle it",
 		ArgsUsage: "FINGERPRINT",
 		Action:    runLift,
 	}
@@ -63,7 +63,7 @@
 }
 
 func runLift(ctx context.Context, c *cli.Command) error {
-	fingerprint, err := oneArgument(c, "the request's fingerprint")
+	fingerprint, err := oneArgument(c, "the fingerprint of the request")
 	if err != nil {
 		return err
 	}
@@ -78,6 +78,6 @@
 	if c.Bool(flagJSON) {
 		return showJSON(c.Root().Writer, held)
 	}
-	_, err = fmt.Fprintf(c.Root().Writer, "%s %s%s may run again\n", held.Method, held.Host, held.Path)
+	_, err = fmt.Fprintf(c.Root().Writer, "%s %s%s is no longer quarantined\n", held.Method, held.Host, held.Path)
 	return err
 }
--- a/internal/cli/request.go
+++ b/internal/cli/request.go
@@ -14,17 +14,17 @@
 func newRequest() *cli.Command {
 	return &cli.Command{
 		Name:      "request",
-		Usage:     "tell from logs what became of a request",
+		Usage:     "print the history of a request from logs",
 		ArgsUsage: "REQUEST-ID [LOG...]",
-		Description: "The logs of several hosts are put together by time; without LOG standard input\n" +
-			"is read. docs/OPERATIONS.md shows how to get from the story to the cause.",
+		Description: "The lines of all logs are merged by time; without LOG, standard input is read.\n" +
+			"docs/OPERATIONS.md explains how to find the cause from the history.",
 		Action: runRequest,
 	}
 }
 
 func runRequest(_ context.Context, c *cli.Command) error {
 	if c.Args().Len() == 0 {
-		return errors.Wrap(errUsage, "request needs a request id, and logs or standard input")
+		return errors.Wrap(errUsage, "request requires a request ID, and logs or standard input")
 	}
 	story := trace.New(c.Args().First())
 	if c.Args().Len() == 1 {
--- a/internal/cli/schema.go
+++ b/internal/cli/schema.go
@@ -14,10 +14,10 @@
 func newSchema() *cli.Command {
 	return &cli.Command{
 		Name:  "schema",
-		Usage: "print a JSON Schema, for an editor that completes and checks the files",
+		Usage: "print a JSON Schema for completion and validation in editors",
 		Commands: []*cli.Command{
-			{Name: "declaration", Usage: "the schema of the fleet's declaration", Action: schemaOf(&fleet.Declaration{})},
-			{Name: "settings", Usage: "the schema of a daemon's settings", Action: schemaOf(&settings.Settings{})},
+			{Name: "declaration", Usage: "print the schema of the fleet's declaration", Action: schemaOf(&fleet.Declaration{})},
+			{Name: "settings", Usage: "print the schema of a daemon's settings", Action: schemaOf(&settings.Settings{})},
 		},
 	}
 }
--- a/internal/cli/show.go
+++ b/internal/cli/show.go
@@ -15,10 +15,10 @@
 func newShow() *cli.Command {
 	return &cli.Command{
 		Name:  "show",
-		Usage: "list services or backend servers as the daemon sees them",
+		Usage: "list services or backend servers as observed by the daemon",
 		Commands: []*cli.Command{
 			{Name: "services", Usage: "list the services", Action: runShowServices},
-			{Name: "backend-servers", Usage: "list the backend servers, of one service or all", ArgsUsage: "[SERVICE]", Action: runShowServers},
+			{Name: "backend-servers", Usage: "list the backend servers of one service or of all services", ArgsUsage: "[SERVICE]", Action: runShowServers},
 		},
 	}
 }
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -12,7 +12,7 @@
 func newStatus() *cli.Command {
 	return &cli.Command{
 		Name:   "status",
-		Usage:  "show who the daemon is and what it has in force",
+		Usage:  "show the identity and state of the daemon and the revision in force",
 		Action: runStatus,
 	}
 }
--- a/internal/cli/why.go
+++ b/internal/cli/why.go
@@ -13,16 +13,16 @@
 func newWhy() *cli.Command {
 	return &cli.Command{
 		Name:      "why",
-		Usage:     "show the evidence behind the state of a backend server",
+		Usage:     "show the evidence for the state of a backend server",
 		ArgsUsage: "BACKEND-SERVER",
-		Description: "Two witnesses answer: the ingress of the daemon asked, which sees the path\n" +
-			"from here, and the sidecar, which sees what the backend server does to everyone.",
+		Description: "The evidence comes from two witnesses: the ingress of the queried daemon, which observes\n" +
+			"the path from its host, and the sidecar, which observes all requests to the backend server.",
 		Action: runWhy,
 	}
 }
 
 func runWhy(ctx context.Context, c *cli.Command) error {
-	name, err := oneArgument(c, "the backend server's name")
+	name, err := oneArgument(c, "the name of the backend server")
 	if err != nil {
 		return err
 	}
