--- a/internal/serve/conn.go
+++ b/internal/serve/conn.go
@@ -15,95 +15,95 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// lingerFor is how long a connection that was closed without a request is still read. Not measured: a request
-// that was sent before the close was seen arrives within a round trip between data centres.
-const lingerFor = 200 * time.Millisecond
+// lingerTimeout is how long a connection that was closed without a request is still read. A request that was sent
+// before the peer saw the close arrives within one round trip between data centres.
+const lingerTimeout = 200 * time.Millisecond
 
-// writeWithin bounds the writing of the answer on a connection that closes. Not measured: the answer fits into the
-// socket's buffer, so that only a process that gets no processor takes long.
-const writeWithin = 2 * time.Second
+// writeTimeout bounds the writing of the response on a connection that closes. The response fits into the socket's
+// buffer.
+const writeTimeout = 2 * time.Second
 
-// phase is what a conn's close owes the other side.
+// phase is the request state of a conn, which determines what Close must do.
 type phase string
 
 const (
-	// phaseIdle: no request has begun since the last answer, or ever.
+	// phaseIdle means that no request has begun since the last response, or ever.
 	phaseIdle phase = "idle"
-	// phaseBusy: a request's handler runs.
+	// phaseBusy means that a request's handler is running.
 	phaseBusy phase = "busy"
-	// phaseLast: an answer has said that the connection closes.
-	phaseLast phase = "last"
+	// phaseFinal means that a response has announced the close of the connection.
+	phaseFinal phase = "last"
 )
 
-// conn is a connection whose close answers a request that crosses it. A server that closes an idle connection
-// cannot know whether a request is on its way there: the other side would lose it without a word. So the close
-// first writes a 408, which promises that no request was run, and no handler runs a request after that. If a handler
-// runs one already, which net/http cannot know either, the connection stays open until the answer is written.
+// conn is a connection that answers a request which arrives while the connection is being closed. A server that
+// closes an idle connection cannot know whether a request is already in transit; the client would get no response.
+// Close therefore first writes a 408, which guarantees that no request was run, and no handler runs afterwards. If a
+// handler is already running, which net/http cannot know, the connection stays open until the response is written.
 type conn struct {
 	net.Conn
-	open *atomic.Int64 // counts the connections that were closed and are not yet
+	closing *atomic.Int64 // connections whose close has begun and not finished
 
-	mu        sync.Mutex
-	phase     phase
-	answering bool // a handler's answer may still be written
-	gone      bool // the other side has closed it
-	postponed bool // it was closed while a handler ran, and closes after the answer
-	closed    bool
+	mu         sync.Mutex
+	phase      phase
+	responding bool // a handler's response may still be written
+	peerClosed bool // the peer has closed the connection
+	postponed  bool // closed while a handler ran; closes after the response
+	closed     bool
 }
 
 // connListener accepts connections as conns.
 type connListener struct {
 	net.Listener
-	open *atomic.Int64
+	closing *atomic.Int64
 }
 
-// Accept returns the next connection.
+// Accept returns the next connection, wrapped as a conn.
 func (l connListener) Accept() (net.Conn, error) {
 	socket, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &conn{Conn: socket, open: l.open, phase: phaseIdle}, nil
+	return &conn{Conn: socket, closing: l.closing, phase: phaseIdle}, nil
 }
 
-// begin records that a request has begun. It reports false if the connection was closed before, so that the
-// request must not run.
-func (c *conn) begin() bool {
+// beginRequest records that a request has begun. It returns false if the connection was closed before, in which case
+// the request must not run.
+func (c *conn) beginRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
 		return false
 	}
 	c.phase = phaseBusy
-	c.answering = true
+	c.responding = true
 	return true
 }
 
-// end records that the request's handler has returned; last says that its answer asks to close the connection.
-// net/http still writes the rest of the answer, and closes the connection only after that.
-func (c *conn) end(last bool) {
+// endRequest records that the request's handler has returned; last reports whether its response announces the close
+// of the connection. net/http writes the rest of the response afterwards, and only then closes the connection.
+func (c *conn) endRequest(last bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.phase = phaseIdle
 	if last {
-		c.phase = phaseLast
+		c.phase = phaseFinal
 	}
 }
 
-// idle records that the last answer has been written.
-func (c *conn) idle() {
+// endResponse records that the last response has been written.
+func (c *conn) endResponse() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.answering = false
+	c.responding = false
 }
 
-// Read reads from the connection, and fails once that was closed.
+// Read reads from the connection. It fails once the connection is closed.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-		c.gone = true
+		c.peerClosed = true
 	}
 	if c.closed {
 		return 0, net.ErrClosed
@@ -111,8 +111,8 @@
 	return n, err
 }
 
-// Write writes to the connection, and fails once that was closed. What is written without a handler is
-// net/http's own refusal of a request, after which it closes the connection.
+// Write writes to the connection. It fails once the connection is closed. Data written while no handler is running is
+// net/http's own rejection of a request, after which net/http closes the connection.
 func (c *conn) Write(p []byte) (int, error) {
 	if !c.beginWrite() {
 		return 0, net.ErrClosed
@@ -123,13 +123,13 @@
 func (c *conn) beginWrite() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.answering {
-		c.phase = phaseLast
+	if !c.responding {
+		c.phase = phaseFinal
 	}
 	return !c.closed
 }
 
-// SetReadDeadline sets until when Read waits, unless the connection was closed.
+// SetReadDeadline sets the read deadline. It fails once the connection is closed.
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -139,9 +139,9 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// Close closes the connection at once if the last answer has asked for it or the other side has closed it. While a
-// handler runs it does nothing: net/http closes the connection again after the answer. Otherwise it says that no
-// request was run, and reads what is on its way in the background.
+// Close closes the connection immediately if the last response announced it or the peer has closed the connection.
+// While a handler runs it only marks the connection: net/http calls Close again after the response. Otherwise it
+// responds that no request was run, and discards in the background what is still in transit.
 func (c *conn) Close() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -154,43 +154,43 @@
 	}
 	c.closed = true
 	if c.postponed {
-		defer c.open.Add(-1)
+		defer c.closing.Add(-1)
 	}
-	if c.phase == phaseLast || c.gone {
+	if c.phase == phaseFinal || c.peerClosed {
 		return c.Conn.Close()
 	}
-	c.open.Add(1)
+	c.closing.Add(1)
 	go c.linger()
 	return nil
 }
 
-// postpone counts the connection as open until it is closed again.
+// postpone counts the connection as closing until Close is called again.
 func (c *conn) postpone() {
 	if !c.postponed {
 		c.postponed = true
-		c.open.Add(1)
+		c.closing.Add(1)
 	}
 }
 
-// linger writes the answer and discards what comes, since bytes that are unread at the close would have the
-// kernel reset the connection and take the answer back.
+// linger writes the response and discards further input: with unread data at the close, the kernel would reset the
+// connection and discard the response.
 func (c *conn) linger() {
-	defer c.open.Add(-1)
+	defer c.closing.Add(-1)
 	defer func() { _ = c.Conn.Close() }()
-	// The server's own Read ends first: a compressed connection is not written to while its first byte is awaited.
-	if err := errors.Join(c.Conn.SetReadDeadline(time.Now()), c.SetWriteDeadline(time.Now().Add(writeWithin))); err != nil {
+	// Ends the server's own Read first: a compressed connection cannot be written to while it waits for its first byte.
+	if err := errors.Join(c.Conn.SetReadDeadline(time.Now()), c.SetWriteDeadline(time.Now().Add(writeTimeout))); err != nil {
 		return // the connection has ended
 	}
 	if err := result.WriteConn(c.Conn, result.New(result.ConnectionUnused)); err != nil {
-		return // the other side has gone
+		return // the peer has disconnected
 	}
-	if err := c.Conn.SetReadDeadline(time.Now().Add(lingerFor)); err != nil {
+	if err := c.Conn.SetReadDeadline(time.Now().Add(lingerTimeout)); err != nil {
 		return // the connection has ended
 	}
-	_, _ = io.Copy(io.Discard, c.Conn) // until the other side closes it or the deadline passes
+	_, _ = io.Copy(io.Discard, c.Conn) // until the peer closes the connection or the deadline passes
 }
 
-// unwrap returns the connection as the listener below accepted it.
+// unwrap returns the connection that the underlying listener accepted.
 func unwrap(c net.Conn) net.Conn {
 	if wrapped, ok := c.(*conn); ok {
 		return wrapped.Conn
@@ -200,32 +200,32 @@
 
 type connKey struct{}
 
-// withConn makes the connection known to runOpen.
+// withConn stores the connection in the context for trackRequests.
 func withConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// trackIdle follows when the connection's answers end; it is for http.Server.ConnState.
+// trackIdle records when the connection's responses end. It is called from http.Server.ConnState.
 func trackIdle(c net.Conn, state http.ConnState) {
 	if tracked, ok := c.(*conn); ok && state == http.StateIdle {
-		tracked.idle()
+		tracked.endResponse()
 	}
 }
 
-// runOpen runs requests of open connections alone. net/http has read some requests when it closes their
-// connection, and calls the handler all the same.
-func runOpen(handler http.Handler) http.Handler {
+// trackRequests records the start and end of each request on its connection, and aborts requests on closed
+// connections: net/http may have read a request before it closes the connection, and still calls the handler.
+func trackRequests(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		c, ok := r.Context().Value(connKey{}).(*conn)
 		if !ok {
 			handler.ServeHTTP(w, r)
 			return
 		}
-		if !c.begin() {
+		if !c.beginRequest() {
 			panic(http.ErrAbortHandler)
 		}
-		last := true // unless the handler returns: one that panics has its connection closed
-		defer func() { c.end(last) }()
+		last := true // stays true if the handler panics, since net/http then closes the connection
+		defer func() { c.endRequest(last) }()
 		handler.ServeHTTP(w, r)
 		last = r.Close || w.Header().Get("Connection") == "close"
 	})
--- a/internal/serve/conn_test.go
+++ b/internal/serve/conn_test.go
@@ -20,10 +20,9 @@
 	"github.com/tideliftd/tidelift/internal/settings"
 )
 
-// TestCrossingRequestIsRefused guards against requests on kept connections that are lost without an answer,
-// since the daemon closes the connection while they are on their way: whoever sends gets the answer of a run, or
-// the promise that none was.
-func TestCrossingRequestIsRefused(t *testing.T) {
+// TestRequestDuringCloseIsRefused guards against a request on a keep-alive connection that gets no response because
+// the daemon closes the connection while the request is in transit.
+func TestRequestDuringCloseIsRefused(t *testing.T) {
 	const (
 		stops   = 10
 		callers = 20
@@ -55,14 +54,14 @@
 		stopNow(t, servers)
 		clients.Wait()
 		if ran.Load() != answered.Load() {
-			t.Fatalf("%d requests ran and %d callers were told so", ran.Load(), answered.Load())
+			t.Fatalf("%d requests ran, but callers received %d responses", ran.Load(), answered.Load())
 		}
-		t.Logf("%d answers, %d callers refused or asked to close", answered.Load(), refused.Load())
+		t.Logf("%d responses, %d callers refused or sent Connection: close", answered.Load(), refused.Load())
 	}
 }
 
-// TestUnusedConnectionIsRefused guards against a first request that is reset, since the daemon closes the
-// connection on which it has come but has not been read.
+// TestUnusedConnectionIsRefused guards against resetting a connection whose first request has arrived but has not been
+// read.
 func TestUnusedConnectionIsRefused(t *testing.T) {
 	servers, address := startServers(t, func(http.ResponseWriter, *http.Request) { t.Error("the request ran") })
 	client, err := net.Dial("tcp", address)
@@ -85,8 +84,8 @@
 	}
 }
 
-// TestClosedByTheOtherSideHearsNothing guards against an answer on a connection that the caller has ended.
-func TestClosedByTheOtherSideHearsNothing(t *testing.T) {
+// TestNoResponseAfterPeerCloses guards against a response on a connection that the caller has closed.
+func TestNoResponseAfterPeerCloses(t *testing.T) {
 	_, address := startServers(t, func(http.ResponseWriter, *http.Request) {})
 	client, err := net.Dial("tcp", address)
 	if err != nil {
@@ -96,12 +95,12 @@
 	if err := client.(*net.TCPConn).CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
-	if heard, err := io.ReadAll(client); err != nil || len(heard) > 0 {
-		t.Fatalf("heard %q, %v", heard, err)
+	if data, err := io.ReadAll(client); err != nil || len(data) > 0 {
+		t.Fatalf("read %q, %v", data, err)
 	}
 }
 
-// startServers serves the handler for callers; it returns their address.
+// startServers serves the handler on the callers' address, which it returns.
 func startServers(t *testing.T, handler http.HandlerFunc) (*Servers, string) {
 	t.Helper()
 	none := http.NotFoundHandler()
@@ -147,8 +146,8 @@
 	t.Fatal("no connection was accepted")
 }
 
-// useUntilClosed sends one request after another on the connection until it is refused or asked to close that,
-// and closes it. It returns how many ran; an error means that a request got no answer.
+// useUntilClosed sends requests on the connection until one is refused or a response announces the close, and closes
+// the connection. It returns the number of requests that ran; an error means that a request got no response.
 func useUntilClosed(client net.Conn) (ran int64, err error) {
 	defer func() { _ = client.Close() }()
 	reader := bufio.NewReader(client)
@@ -158,7 +157,7 @@
 		}
 		response, err := http.ReadResponse(reader, nil)
 		if err != nil {
-			return ran, fmt.Errorf("after %d answers: %w", ran, err)
+			return ran, fmt.Errorf("after %d responses: %w", ran, err)
 		}
 		_, err = io.Copy(io.Discard, response.Body)
 		if err != nil {
@@ -179,32 +178,32 @@
 	return err
 }
 
-// TestCloseWaitsForARunningHandler guards against an answer that is lost after its request has run, since net/http
-// takes the connection for idle until it has read a whole head and closes it meanwhile.
+// TestCloseWaitsForARunningHandler guards against losing the response of a request that has run: net/http considers
+// the connection idle until it has read the whole head, and may close it in the meantime.
 func TestCloseWaitsForARunningHandler(t *testing.T) {
 	here, there := net.Pipe()
 	var open atomic.Int64
-	c := &conn{Conn: here, open: &open, phase: phaseIdle}
-	if !c.begin() {
-		t.Fatal("the request does not begin")
+	c := &conn{Conn: here, closing: &open, phase: phaseIdle}
+	if !c.beginRequest() {
+		t.Fatal("beginRequest returned false on an open connection")
 	}
 	if err := c.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if open.Load() != 1 {
-		t.Fatal("nobody waits for the answer")
+		t.Fatal("the connection is not counted as closing while its handler runs")
 	}
 	var answered sync.WaitGroup
 	answered.Go(func() {
 		_, _ = io.WriteString(c, "answer")
-		c.end(true)
+		c.endRequest(true)
 		_ = c.Close()
 	})
-	if heard, err := io.ReadAll(there); err != nil || string(heard) != "answer" {
-		t.Fatalf("heard %q, %v", heard, err)
+	if data, err := io.ReadAll(there); err != nil || string(data) != "answer" {
+		t.Fatalf("read %q, %v", data, err)
 	}
 	answered.Wait()
 	if open.Load() != 0 {
-		t.Fatal("the connection still counts as open")
+		t.Fatal("the connection is still counted as closing")
 	}
 }
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -1,24 +1,24 @@
-// Package serve opens the listeners of a daemon and ends each after the requests that it has taken.
-// A connection that was made before a listener ends is served (package accept). A connection that the daemon
-// closes while no request has begun there brings a 408 first, so that a request that crosses the close is
-// refused and not lost (conn.go).
+// Package serve opens the listeners of a daemon and shuts each down after its accepted requests have finished.
+// Connections that were established before a listener closes are served (package accept). When the daemon closes a
+// connection on which no request has begun, it first writes a 408, so that a request that arrives during the close
+// is refused and not lost (conn.go).
 //
-// There are four: callers and other daemons' hops, which a planned stop ends gently, operators, and control calls. A
-// host's own programs may be given others (Local).
+// There are four listeners: for callers and for hops from other daemons, which a planned stop shuts down gracefully,
+// for operators, and for control calls. Config.Local adds listeners for the host's own programs.
 //
-// A planned stop goes in this order: CloseAfterAnswers has answers ask the other side to close its connection;
-// Refuse makes no new ones; CloseUnused closes those on which no request has come; Stop waits for the
-// requests that have begun, or cuts them when its context ends.
+// A planned stop calls, in this order: DisableKeepAlives, which adds "Connection: close" to responses; Refuse, which
+// stops new connections; CloseUnused, which closes the connections without a request; and Stop, which waits for the
+// requests in flight, or aborts them when its context ends.
 //
-// The package owns the sockets and servers. It relies on the handlers it is given, and on
-// internal/framing for the bytes of callers.
+// The package owns the sockets and servers. It relies on the handlers it is given, and on internal/framing for
+// inspecting the bytes that callers send.
 //
 // # Usage
 //
 //	servers, cleanUp, err := serve.New(serve.Config{Listen: s.Listen, Limits: s.Limits, Callers: ingress, Peers: sidecar, ...})
 //	defer cleanUp()
 //	err = <-servers.Failed()
-//	servers.CloseAfterAnswers()
+//	servers.DisableKeepAlives()
 //	servers.Refuse()
 //	servers.CloseUnused()
 //	err = servers.Stop(ctx)
@@ -44,36 +44,34 @@
 )
 
 const (
-	// peerIdleTimeout is how long an idle connection of a peer is kept. Source: longer than an ingress
-	// keeps its idle connections, so that it never sends a request on one that is just closed here.
+	// peerIdleTimeout is how long a peer's idle connection is kept. It must be longer than an ingress keeps its idle
+	// connections, so that no ingress sends a request on a connection that is being closed here.
 	peerIdleTimeout = 90 * time.Second
-	// peerHeaderTimeout bounds how long a peer may take to send its headers. Not measured: many round
-	// trips between data centres, and a silent connection holds little.
+	// peerHeaderTimeout bounds how long a peer may take to send its headers.
 	peerHeaderTimeout = 5 * time.Second
-	// headerSlack, in bytes, is added to the limit on headers, so that the ingress, not
-	// net/http, refuses those just above it and says why.
+	// headerSlack, in bytes, is added to the limit on headers, so that the ingress, not net/http, refuses headers just
+	// above the limit and reports why.
 	headerSlack = 32 << 10
-	// closedPause is the pause between two looks at whether all connections are closed. Not measured: a planned stop
-	// takes a second and more.
-	closedPause = 5 * time.Millisecond
-	// serverCount is how many servers may fail: callers, peers, operators, registrations and readiness.
+	// closePollInterval is the interval between checks whether all connections are closed.
+	closePollInterval = 5 * time.Millisecond
+	// serverCount is the number of servers that may fail: callers, peers, operators, registrations and readiness.
 	serverCount = 5
 )
 
-// Config says where to listen and who answers.
+// Config configures the listeners and the handlers of their requests.
 type Config struct {
 	Listen settings.Listen
 	Limits settings.Limits
-	// Callers, Peers and Operators answer requests at the addresses of the same name.
+	// Callers, Peers and Operators handle requests at the addresses of the same name.
 	Callers, Peers, Operators http.Handler
-	// Local answers what only this host's own programs and its platform call, by address; one without an
-	// address is left out.
+	// Local maps addresses to the handlers for calls from this host's own programs and its platform. Empty addresses
+	// are skipped.
 	Local map[string]http.Handler
-	// Control answers control calls.
+	// Control handles control calls.
 	Control control.Handle
-	// DaemonsOnly returns a listener that takes daemons' connections alone.
+	// DaemonsOnly returns a listener that accepts connections from daemons only.
 	DaemonsOnly func(net.Listener) net.Listener
-	// Logger receives what net/http has to say.
+	// Logger receives the errors that net/http logs.
 	Logger *slog.Logger
 }
 
@@ -85,19 +83,19 @@
 	operators *http.Server
 	failed    chan error
 
-	public           []*accept.Listener // of callers and peers
+	public           []*accept.Listener // listeners for callers and peers
 	operatorListener *accept.Listener
 	local            []localServer
 	stopping         atomic.Bool
 	refusing         atomic.Bool
 	unused           unusedConns
-	// open counts the connections that were closed and are not yet: their answer, or a 408, is on its way.
-	open     atomic.Int64
+	// closing counts the connections whose close has begun and not finished: a response or a 408 is being written.
+	closing  atomic.Int64
 	cleanUps []func()
 }
 
-// New opens every listener, or none, and serves. The function that it returns closes what Stop leaves:
-// control calls, and Local if Stop was not called.
+// New opens all listeners, or none on failure, and starts to serve. The returned function closes what Stop leaves
+// open: control calls, and Local if Stop was not called.
 func New(config Config) (*Servers, func(), error) {
 	s := &Servers{config: config, failed: make(chan error, serverCount)}
 	s.makeServers()
@@ -114,15 +112,15 @@
 	}
 }
 
-// Failed is sent an error when a server fails otherwise than by a stop.
+// Failed returns a channel that receives an error when a server fails for any reason other than a stop.
 func (s *Servers) Failed() <-chan error { return s.failed }
 
-// DisableKeepAlives has each answer from now on ask callers and peers to close their connection.
+// DisableKeepAlives adds "Connection: close" to all further responses to callers and peers.
 func (s *Servers) DisableKeepAlives() { s.stopping.Store(true) }
 
-// Refuse makes no new connections of callers and peers; those there are go on, also those that wait to be
-// accepted. It comes a while before http.Server.Shutdown, since that drops without an answer a request
-// whose head it reads after it has begun.
+// Refuse stops new connections from callers and peers. Existing connections continue, including those that wait to be
+// accepted. It must be called some time before Stop, since http.Server.Shutdown drops without a response a request
+// whose head is read after the shutdown has begun.
 func (s *Servers) Refuse() {
 	s.refusing.Store(true)
 	for _, listener := range s.public {
@@ -130,16 +128,16 @@
 	}
 }
 
-// CloseUnused closes the connections on which no request has come.
+// CloseUnused closes the connections on which no request has arrived.
 func (s *Servers) CloseUnused() { s.unused.close() }
 
-// Stop ends callers first, then peers, then operators and this host's own programs, each after finishing
-// what it has begun, or when ctx ends. It comes after Refuse.
+// Stop shuts down the servers for callers, then peers, then operators and this host's own programs. Each finishes its
+// requests in flight first, unless ctx ends. Refuse must be called before Stop.
 func (s *Servers) Stop(ctx context.Context) error {
 	for _, listener := range s.public {
 		listener.Wait(ctx)
 	}
-	s.CloseUnused() // those that were accepted since Refuse
+	s.CloseUnused() // connections that were accepted after Refuse
 	err := errors.Join(
 		shutDown(ctx, s.callers, "callers"),
 		shutDown(ctx, s.peers, "peers"),
@@ -161,23 +159,22 @@
 	return err
 }
 
-// awaitClosed waits until the connections that were closed are, or ctx ends.
+// awaitClosed waits until all closing connections are closed, or ctx ends.
 func (s *Servers) awaitClosed(ctx context.Context) {
-	for s.open.Load() > 0 && wait.For(ctx, closedPause) {
+	for s.closing.Load() > 0 && wait.For(ctx, closePollInterval) {
 	}
 }
 
-// shutDown ends a server once it has finished what it has begun, or cuts that when
-// ctx ends.
+// shutDown stops a server once its requests in flight have finished, or aborts them when ctx ends.
 func shutDown(ctx context.Context, server *http.Server, name string) error {
 	if err := server.Shutdown(ctx); err != nil {
 		_ = server.Close()
-		return errors.Wrapf(err, "stop serving %s", name)
+		return errors.Wrapf(err, "shut down server for %s", name)
 	}
 	return nil
 }
 
-// listen opens every listener, or none, and serves.
+// listen opens all listeners, or none on failure, and starts to serve.
 func (s *Servers) listen() error {
 	listen := s.config.Listen
 	sockets, err := openAll(listen.Callers, listen.Peers, listen.Operators, listen.Control)
@@ -204,7 +201,7 @@
 	server   *http.Server
 }
 
-// makeServers makes the servers, which do not serve yet.
+// makeServers creates the servers without starting them.
 func (s *Servers) makeServers() {
 	limits := s.config.Limits
 	s.operators = s.makeSmallServer(s.config.Operators)
@@ -231,7 +228,7 @@
 	})
 }
 
-// makeSmallServer makes a server for few requests, of operators or of this host's own programs.
+// makeSmallServer creates a server for low traffic, from operators or this host's own programs.
 func (s *Servers) makeSmallServer(handler http.Handler) *http.Server {
 	return s.makeServer(&http.Server{
 		Handler:           handler,
@@ -241,20 +238,20 @@
 	})
 }
 
-// makeServer completes a server with what all have in common.
+// makeServer sets the fields that all servers have in common.
 func (s *Servers) makeServer(server *http.Server) *http.Server {
-	server.Handler = runOpen(server.Handler)
-	server.ErrorLog = s.errorLog()
+	server.Handler = trackRequests(server.Handler)
+	server.ErrorLog = s.newErrorLog()
 	return server
 }
 
-// track follows the state of a connection.
+// track updates the recorded state of a connection.
 func (s *Servers) track(c net.Conn, state http.ConnState) {
 	trackIdle(c, state)
 	s.unused.track(c, state)
 }
 
-// closeWhenStopping asks the other side to close its connection after CloseAfterAnswers.
+// closeWhenStopping adds "Connection: close" to responses after DisableKeepAlives.
 func (s *Servers) closeWhenStopping(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.stopping.Load() {
@@ -264,12 +261,12 @@
 	})
 }
 
-// errorLog takes what net/http has to say into the daemon's log, which is bounded.
-func (s *Servers) errorLog() *log.Logger {
+// newErrorLog returns a logger that passes net/http's messages to the daemon's rate-limited log.
+func (s *Servers) newErrorLog() *log.Logger {
 	return slog.NewLogLogger(s.config.Logger.Handler(), slog.LevelWarn)
 }
 
-// listenLocally opens what only this host's own programs and its platform call.
+// listenLocally opens the listeners for this host's own programs and its platform.
 func (s *Servers) listenLocally() error {
 	for address, handler := range s.config.Local {
 		if address == "" {
@@ -287,17 +284,17 @@
 	return nil
 }
 
-// serve serves the socket; a failure that is not the stop is sent to Failed.
+// serve serves the socket in the background. Failures that are not caused by a stop are sent to Failed.
 func (s *Servers) serve(server *http.Server, socket net.Listener) {
 	go func() {
-		err := server.Serve(connListener{Listener: socket, open: &s.open})
+		err := server.Serve(connListener{Listener: socket, closing: &s.closing})
 		if !errors.Is(err, http.ErrServerClosed) && !s.refusing.Load() {
 			s.failed <- errors.Wrapf(err, "serve %s", socket.Addr())
 		}
 	}()
 }
 
-// openAll opens a listener at each address, or none.
+// openAll opens a listener at each address, or none on failure.
 func openAll(addresses ...string) ([]*accept.Listener, error) {
 	var sockets []*accept.Listener
 	for _, address := range addresses {
--- a/internal/serve/unused.go
+++ b/internal/serve/unused.go
@@ -8,15 +8,15 @@
 	"sync"
 )
 
-// unusedConns are the connections of a server on which no request has come yet. Callers and
-// other daemons open some in advance. http.Server.Shutdown waits five seconds for the first
-// request on each, which is most of the time that a planned stop has.
+// unusedConns holds the connections of the servers on which no request has arrived yet. Callers and other daemons open
+// some in advance. http.Server.Shutdown waits five seconds for the first request on each, which is most of the
+// time available to a planned stop.
 type unusedConns struct {
 	mu    sync.Mutex
 	conns map[net.Conn]bool
 }
 
-// track follows a connection's state; it is for http.Server.ConnState.
+// track updates a connection's state. It is called from http.Server.ConnState.
 func (u *unusedConns) track(c net.Conn, state http.ConnState) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -30,14 +30,15 @@
 	u.conns[c] = true
 }
 
-// close closes those that there are now. Whoever sends a first request meanwhile is told that it was not run.
+// close closes all current connections. A first request that arrives during the close gets the response that it was
+// not run.
 func (u *unusedConns) close() {
 	for _, c := range u.removeAll() {
-		_ = c.Close() // fails only where the other side has gone
+		_ = c.Close() // fails only if the peer has disconnected
 	}
 }
 
-// removeAll returns those that there are now and forgets them.
+// removeAll removes and returns all current connections.
 func (u *unusedConns) removeAll() []net.Conn {
 	u.mu.Lock()
 	defer u.mu.Unlock()
