--- a/internal/accept/accept.go
+++ b/internal/accept/accept.go
@@ -1,13 +1,13 @@
-// Package accept listens for TCP connections and ends a listener without resetting those that wait to be
-// accepted. Closing a listening socket resets every connection that the kernel has made and the program has
-// not accepted: the other side has connected, and may have sent a request already.
+// Package accept listens for TCP connections and closes a listener without resetting connections in its accept queue.
+// Closing a listening socket resets every connection that the kernel has established and the program has not
+// accepted: the client has connected, and may already have sent a request.
 //
-// A listener that refuses is bound to an interface that does not exist (SO_BINDTOIFINDEX), so that the kernel
-// makes no new connection, and whoever tries is refused at once. Accept goes on returning those that were made
-// before, and closes the socket once none has come for a moment. Where the kernel lacks the option, Accept does
-// the same without it, which leaves a moment between the last accept and the close.
+// After Refuse, the listener is bound to an interface that does not exist (SO_BINDTOIFINDEX), so that the kernel
+// refuses new connections immediately. Accept continues to return connections that were established before, and
+// closes the socket once none has arrived for a short time. Where the kernel does not support the option, Accept does
+// the same without it; connections established between the last accept and the close are then reset.
 //
-// It owns the sockets. It relies on its user to go on calling Accept until it fails with net.ErrClosed.
+// The package owns the sockets. It relies on its user to call Accept until it fails with net.ErrClosed.
 //
 // # Usage
 //
@@ -31,27 +31,27 @@
 )
 
 const (
-	// quietBound is how long no connection may come before a listener that makes no new ones is closed. Source:
-	// the last packet of a handshake that began before is under way for one trip between data centres.
-	quietBound = 50 * time.Millisecond
-	// quietOpen is the same for a listener that cannot be kept from making new ones. Not measured: each
-	// connection that comes within it is accepted.
-	quietOpen = time.Millisecond
-	// refuseWithin bounds the time from Refuse to the close where connections keep coming. Source: half of the
-	// second for which a planned stop serves the connections that it has.
-	refuseWithin = 500 * time.Millisecond
-	// noInterface is the index of an interface that no host has.
-	noInterface = math.MaxInt32
+	// drainIdleTimeout is how long a listener that refuses new connections waits for queued ones before it is closed.
+	// The last packet of a handshake that began before Refuse arrives within one trip between data centres.
+	drainIdleTimeout = 50 * time.Millisecond
+	// fallbackIdleTimeout replaces drainIdleTimeout where the kernel cannot refuse new connections. Each connection that
+	// arrives within it is accepted.
+	fallbackIdleTimeout = time.Millisecond
+	// drainTimeout bounds the time from Refuse to the close if connections keep arriving. It must be well below the
+	// second for which a planned stop serves existing connections.
+	drainTimeout = 500 * time.Millisecond
+	// invalidInterface is an interface index that no host uses.
+	invalidInterface = math.MaxInt32
 )
 
 // Listener is a TCP listener.
 type Listener struct {
 	*net.TCPListener
 
-	mu       sync.Mutex
-	refusing bool
-	quiet    time.Duration // without a connection, after which a refusing listener is closed
-	until    time.Time     // when a refusing listener is closed in any case
+	mu          sync.Mutex
+	refusing    bool
+	idleTimeout time.Duration // a refusing listener is closed after this time without a connection
+	closeAt     time.Time     // deadline for closing a refusing listener
 
 	closing  sync.Once
 	closed   chan struct{}
@@ -67,59 +67,59 @@
 	return &Listener{TCPListener: socket.(*net.TCPListener), closed: make(chan struct{})}, nil
 }
 
-// Accept returns the next connection. After Refuse it returns those that wait, and then net.ErrClosed.
+// Accept returns the next connection. After Refuse it returns the queued connections, and then net.ErrClosed.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
-		refusing := l.limitWait()
+		refusing := l.limitAccept()
 		socket, err := l.TCPListener.Accept()
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			return socket, err
 		}
 		if refusing {
-			_ = l.Close() // whose error is for whoever closes it
+			_ = l.Close() // the user's own call of Close returns the same error
 			return nil, net.ErrClosed
 		}
 	}
 }
 
-// limitWait reports whether the listener refuses; if so, the next wait for a connection is short.
-func (l *Listener) limitWait() bool {
+// limitAccept reports whether the listener refuses new connections. If so, it sets a short deadline for the next accept.
+func (l *Listener) limitAccept() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.refusing {
 		return false
 	}
-	deadline := time.Now().Add(l.quiet)
-	if deadline.After(l.until) {
-		deadline = l.until
+	deadline := time.Now().Add(l.idleTimeout)
+	if deadline.After(l.closeAt) {
+		deadline = l.closeAt
 	}
-	_ = l.SetDeadline(deadline) // fails on a closed socket only, as Accept does then
+	_ = l.SetDeadline(deadline) // fails only on a closed socket, as does Accept
 	return true
 }
 
-// Refuse has the kernel make no more connections, and Accept close the listener after those that wait. It
-// does not wait for that.
+// Refuse makes the kernel refuse new connections, and Accept close the listener after the queued ones. It does not
+// wait for the close.
 func (l *Listener) Refuse() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.quiet = quietBound
-	if err := l.bindNowhere(); err != nil {
-		l.quiet = quietOpen
+	l.idleTimeout = drainIdleTimeout
+	if err := l.bindInvalidInterface(); err != nil {
+		l.idleTimeout = fallbackIdleTimeout
 	}
-	l.until = time.Now().Add(refuseWithin)
+	l.closeAt = time.Now().Add(drainTimeout)
 	l.refusing = true
-	_ = l.SetDeadline(time.Now()) // wakes Accept; a closed socket needs no waking
+	_ = l.SetDeadline(time.Now()) // wakes Accept; fails only on a closed socket
 }
 
-// bindNowhere has the kernel find no listener for a new connection. Connections that are made stay as they are.
-func (l *Listener) bindNowhere() error {
+// bindInvalidInterface makes the kernel refuse new connections. Established connections are not affected.
+func (l *Listener) bindInvalidInterface() error {
 	raw, err := l.SyscallConn()
 	if err != nil {
 		return err
 	}
 	var setErr error
 	err = raw.Control(func(fd uintptr) {
-		setErr = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_BINDTOIFINDEX, noInterface)
+		setErr = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_BINDTOIFINDEX, invalidInterface)
 	})
 	if err != nil {
 		return err
@@ -127,7 +127,7 @@
 	return setErr
 }
 
-// Wait returns once a listener that refuses is closed, or when ctx ends.
+// Wait returns once the listener is closed after Refuse, or when ctx ends.
 func (l *Listener) Wait(ctx context.Context) {
 	select {
 	case <-l.closed:
@@ -135,7 +135,7 @@
 	}
 }
 
-// Close closes the listener at once, which resets the connections that wait.
+// Close closes the listener immediately, which resets the queued connections.
 func (l *Listener) Close() error {
 	l.closing.Do(func() {
 		l.closeErr = l.TCPListener.Close()
--- a/internal/accept/accept_test.go
+++ b/internal/accept/accept_test.go
@@ -12,8 +12,8 @@
 	"github.com/tideliftd/tidelift/internal/accept"
 )
 
-// TestRefuseResetsNoConnection guards against connections that are reset because they wait to be accepted when
-// the listener ends: whoever has connected is accepted and answered.
+// TestRefuseResetsNoConnection guards against resetting established connections that wait to be accepted when the
+// listener closes.
 func TestRefuseResetsNoConnection(t *testing.T) {
 	const (
 		stops   = 20
@@ -27,7 +27,7 @@
 		for range callers {
 			clients.Go(func() {
 				for time.Since(started) < 100*time.Millisecond {
-					switch connected, answered := ask(listener.Addr().String()); {
+					switch connected, answered := roundTrip(listener.Addr().String()); {
 					case !connected:
 						refused.Add(1)
 					case answered:
@@ -43,14 +43,14 @@
 		listener.Refuse()
 		clients.Wait()
 		if cut.Load() > 0 || served.Load() == 0 || refused.Load() == 0 {
-			t.Fatalf("%d connections were served, %d refused and %d cut", served.Load(), refused.Load(), cut.Load())
+			t.Fatalf("%d connections served, %d refused and %d reset; want some served, some refused and none reset", served.Load(), refused.Load(), cut.Load())
 		}
 	}
 }
 
-// TestRefuseKeepsWhoWaits guards against the close of a listener before a slow program has accepted those that
-// wait.
-func TestRefuseKeepsWhoWaits(t *testing.T) {
+// TestRefuseKeepsQueuedConnections guards against closing the listener before a slow program has accepted the queued
+// connections.
+func TestRefuseKeepsQueuedConnections(t *testing.T) {
 	const waiting = 10
 	listener := listen(t)
 	for range waiting {
@@ -64,13 +64,13 @@
 	for n := range waiting {
 		socket, err := listener.Accept()
 		if err != nil {
-			t.Fatalf("%d of %d were accepted: %v", n, waiting, err)
+			t.Fatalf("accepted %d of %d connections: %v", n, waiting, err)
 		}
 		defer func() { _ = socket.Close() }()
 		time.Sleep(20 * time.Millisecond)
 	}
 	if _, err := listener.Accept(); !errors.Is(err, net.ErrClosed) {
-		t.Fatalf("after the last one: %v", err)
+		t.Fatalf("Accept after the last connection returned %v, want net.ErrClosed", err)
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
@@ -90,7 +90,7 @@
 	return listener
 }
 
-// answerAll answers each connection with the byte that it sent.
+// answerAll echoes the byte that each connection sends.
 func answerAll(listener net.Listener) {
 	for {
 		socket, err := listener.Accept()
@@ -107,8 +107,8 @@
 	}
 }
 
-// ask reports whether a connection was made, and whether it brought an answer.
-func ask(address string) (connected, answered bool) {
+// roundTrip reports whether a connection was established, and whether a response was received.
+func roundTrip(address string) (connected, answered bool) {
 	client, err := net.Dial("tcp", address)
 	if err != nil {
 		return false, false
