--- a/internal/framing/framing.go
+++ b/internal/framing/framing.go
@@ -1,9 +1,9 @@
-// Package framing finds requests whose length can be read in two ways.
+// Package framing detects requests whose length is ambiguous.
 //
-// A request with both Content-Length and Transfer-Encoding is how one request
-// is smuggled inside another. net/http drops the Content-Length before a
-// handler sees it; this package looks at the bytes as they arrive, so that such
-// a request can be refused.
+// A request with both Content-Length and Transfer-Encoding can be used for
+// request smuggling. net/http drops the Content-Length before a handler sees
+// it; this package inspects the bytes as they arrive, so that such a request
+// can be refused.
 //
 // # Usage
 //
@@ -12,9 +12,9 @@
 //	...
 //	if framing.Ambiguous(r) { ... }
 //
-// Only heads are looked at. A chunked request whose head did not arrive by
-// itself, because the caller sent it before its last answer, cannot be vouched
-// for and counts as ambiguous; callers that pipeline chunked requests are few.
+// Only heads are inspected. A chunked request whose head did not arrive
+// separately, because the caller sent it before the previous response, cannot
+// be verified and counts as ambiguous; few callers pipeline chunked requests.
 package framing
 
 import (
@@ -26,20 +26,20 @@
 	"sync"
 )
 
-// maxHead bounds what is kept of a head, in bytes.
+// maxHead bounds how much of a head is kept, in bytes.
 const maxHead = 64 << 10
 
 type contextKey struct{}
 
-// Listen returns a listener whose connections keep the heads that arrive.
+// Listen returns a listener whose connections record the heads of requests.
 func Listen(listener net.Listener) net.Listener {
-	return watchingListener{listener}
+	return headListener{listener}
 }
 
-type watchingListener struct{ net.Listener }
+type headListener struct{ net.Listener }
 
 // Accept returns the next connection.
-func (l watchingListener) Accept() (net.Conn, error) {
+func (l headListener) Accept() (net.Conn, error) {
 	socket, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -47,22 +47,22 @@
 	return &conn{Conn: socket}, nil
 }
 
-// ConnContext makes the connection known to Ambiguous.
+// ConnContext stores the connection in the context for Ambiguous. It is for http.Server.ConnContext.
 func ConnContext(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, contextKey{}, c)
 }
 
-// ConnState follows where one request ends and the next begins.
+// ConnState tracks where one request ends and the next begins. It is for http.Server.ConnState.
 func ConnState(c net.Conn, state http.ConnState) {
 	if watched, ok := c.(*conn); ok && state == http.StateIdle {
-		watched.nextRequest()
+		watched.endRequest()
 	}
 }
 
-// Ambiguous reports whether the request's length can be read in two ways.
+// Ambiguous reports whether the request's length is ambiguous.
 func Ambiguous(r *http.Request) bool {
 	if !slices.Contains(r.TransferEncoding, "chunked") {
-		return false // without chunks net/http itself refuses lengths that differ
+		return false // without chunked encoding net/http itself refuses differing lengths
 	}
 	watched, ok := r.Context().Value(contextKey{}).(*conn)
 	if !ok {
@@ -71,19 +71,18 @@
 	return !watched.isUnambiguous(r.Method)
 }
 
-// conn keeps the head of the present request.
+// conn records the head of the current request.
 type conn struct {
 	net.Conn
 
-	mu       sync.Mutex
-	head     []byte
-	complete bool // the head has ended
-	early    bool // the present head began before the last request's end
+	mu        sync.Mutex
+	head      []byte
+	complete  bool // the end of the head has been read
+	pipelined bool // the current head began before the end of the previous request
 }
 
-// Read reads from the connection and keeps what belongs to a head. net/http
-// reads a single byte while a handler runs, to learn whether the caller has gone;
-// that byte begins the next request.
+// Read reads from the connection and records the bytes of a head. net/http reads a single byte while a handler runs,
+// to detect whether the caller has disconnected; that byte is the first of the next request.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n == 0 {
@@ -92,8 +91,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(p) == 1 && c.complete {
-		c.restart()
-		c.early = true
+		c.resetHead()
+		c.pipelined = true
 	}
 	c.collect(p[:n])
 	return n, err
@@ -110,23 +109,23 @@
 	}
 }
 
-func (c *conn) nextRequest() {
+func (c *conn) endRequest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.early {
-		c.early = false
+	if c.pipelined {
+		c.pipelined = false
 		return
 	}
-	c.restart()
+	c.resetHead()
 }
 
-func (c *conn) restart() {
+func (c *conn) resetHead() {
 	c.head = c.head[:0]
 	c.complete = false
 }
 
-// isUnambiguous reports whether the head is whole, is that of a request of the method,
-// and has no Content-Length.
+// isUnambiguous reports whether the head is complete, belongs to a request with the method, and has no
+// Content-Length.
 func (c *conn) isUnambiguous(method string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/framing/framing_test.go
+++ b/internal/framing/framing_test.go
@@ -11,7 +11,7 @@
 	"github.com/tideliftd/tidelift/internal/framing"
 )
 
-// serve starts a server that reports whether each request is ambiguous.
+// serve starts a server that responds with whether each request is ambiguous.
 func serve(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -32,32 +32,33 @@
 }
 
 const (
-	plain     = "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc"
-	chunked   = "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
-	both      = "POST / HTTP/1.1\r\nHost: a\r\ncontent-length: 3\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
-	quoted    = "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n17\r\n\r\nContent-Length: 3\r\n\r\n\r\n0\r\n\r\n"
-	ambiguous = "true"
-	sound     = "false"
+	plain       = "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc"
+	chunked     = "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
+	both        = "POST / HTTP/1.1\r\nHost: a\r\ncontent-length: 3\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
+	quoted      = "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n17\r\n\r\nContent-Length: 3\r\n\r\n\r\n0\r\n\r\n"
+	ambiguous   = "true"
+	unambiguous = "false"
 )
 
-// exchange is what is sent at once and the answers to it.
+// exchange is the data of one write and the expected responses.
 type exchange struct {
 	send string
 	want []string
 }
 
+// TestAmbiguous guards against request smuggling by a request with both Content-Length and Transfer-Encoding.
 func TestAmbiguous(t *testing.T) {
 	tests := []struct {
 		name      string
 		exchanges []exchange
 	}{
-		{"length", []exchange{{plain, []string{sound}}}},
-		{"chunks", []exchange{{chunked, []string{sound}}}},
+		{"length", []exchange{{plain, []string{unambiguous}}}},
+		{"chunks", []exchange{{chunked, []string{unambiguous}}}},
 		{"both", []exchange{{both, []string{ambiguous}}}},
-		{"length in the body", []exchange{{quoted, []string{sound}}}},
-		{"chunks after length", []exchange{{plain, []string{sound}}, {chunked, []string{sound}}, {chunked, []string{sound}}}},
-		{"both after chunks", []exchange{{chunked, []string{sound}}, {both, []string{ambiguous}}}},
-		{"pipelined chunks", []exchange{{plain + chunked, []string{sound, ambiguous}}}},
+		{"length in the body", []exchange{{quoted, []string{unambiguous}}}},
+		{"chunks after length", []exchange{{plain, []string{unambiguous}}, {chunked, []string{unambiguous}}, {chunked, []string{unambiguous}}}},
+		{"both after chunks", []exchange{{chunked, []string{unambiguous}}, {both, []string{ambiguous}}}},
+		{"pipelined chunks", []exchange{{plain + chunked, []string{unambiguous, ambiguous}}}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
