--- a/internal/body/body.go
+++ b/internal/body/body.go
@@ -1,18 +1,18 @@
-// Package body lets a request's body be sent more than once.
+// Package body allows a request's body to be sent more than once.
 //
 // # Usage
 //
 //	b := body.New(w, r, limit)      // nil without a body
 //	defer b.Finish()
-//	b.Prepare(deadline)             // what is short is read now
+//	b.Prepare(deadline)             // reads a short body now
 //	b.Rewind(out)                   // for each attempt
-//	if b.Spent() { ... }            // it can no longer be sent from its start
-//	first, err := b.First(64 << 10) // for its fingerprint; b.TryFirst does not wait for the caller
+//	if b.Consumed() { ... }         // it can no longer be sent from its start
+//	first, err := b.Peek(64 << 10)  // for its fingerprint; b.TryPeek does not wait for the caller
 //
-// A short body is read whole before anything is sent, so that no attempt waits
-// for the caller. Of a longer one the first part is kept, and the rest streams
-// through; net/http does not allow that a body is read after its handler has
-// returned, which Finish sees to.
+// A short body is read completely before anything is sent, so that no attempt
+// waits for the caller. Of a longer body the first part is buffered, and the
+// rest is streamed. net/http does not allow reading a body after its handler has
+// returned, which Finish ensures.
 package body
 
 import (
@@ -26,69 +26,68 @@
 	"github.com/go-faster/errors"
 )
 
-// maxKept is how much of a request body is kept for another attempt, in bytes.
-// Source: with a thousand requests at once it stays within a quarter of a
-// daemon's 256 MB.
-const maxKept = 64 << 10
+// maxBuffered is how much of a request body is buffered for further attempts, in bytes.
+// A thousand concurrent requests then buffer at most 64 MB.
+const maxBuffered = 64 << 10
 
-// readAhead is how much is read at once for First, in bytes.
+// readAhead is how much Peek reads at a time, in bytes.
 const readAhead = 4 << 10
 
-// readSlack is how long after the request's deadline a body that streams through
-// may still be read. net/http takes a read that failed for a caller that went away;
-// the deadline itself has to come first.
+// readSlack is how long after the request's deadline a streamed body may still be
+// read. net/http treats a failed read as a disconnected caller, so the request's
+// deadline has to expire first.
 const readSlack = time.Second
 
-// ErrTooLong means that the body is longer than its limit.
+// ErrTooLong is returned when the body is longer than its limit.
 var ErrTooLong = errors.New("request body is longer than the route allows")
 
-// ErrUnread means that the caller has not sent enough of the body yet.
+// ErrUnread is returned when the caller has not sent enough of the body yet.
 var ErrUnread = errors.New("request body is not read yet")
 
-// errSuperseded means that a later attempt has the body.
-var errSuperseded = errors.New("request body is being sent elsewhere")
+// errSuperseded is returned when a later attempt is reading the body.
+var errSuperseded = errors.New("request body is in use by a later attempt")
 
-// Body lets each attempt read the caller's body from its start, as long as what
-// was read is still kept. It bounds the body's length. A nil Body is that of a
-// request without one.
+// Body lets each attempt read the caller's body from its start, as long as the
+// data read is still buffered. It limits the body's length. A nil Body
+// represents a request without a body.
 type Body struct {
-	controller *http.ResponseController
-	length     int64 // as the caller announced it; below zero if it did not
-	expects    bool  // the caller sends it once it is asked for it
+	controller     *http.ResponseController
+	length         int64 // the announced length; negative if unknown
+	expectContinue bool  // the caller sends the body after a 100 response
 
-	whole      atomic.Bool // readAll has read it to its end
-	ended      atomic.Bool // the source was read to its end
+	complete   atomic.Bool // readAll has read and buffered the whole body
+	ended      atomic.Bool // the source has returned io.EOF
 	mu         sync.Mutex
 	source     io.Reader
-	left       int64
-	kept       []byte // from the start on
-	overflowed bool   // more was read than is kept
-	attempt    int    // only the newest attempt may read
+	remaining  int64
+	buffered   []byte // the body's first bytes
+	overflowed bool   // more was read than is buffered
+	attempt    int    // the latest attempt, the only one that may read
 }
 
-// New returns the request's body made ready for attempts; it is nil without one.
+// New returns the request's body prepared for attempts, or nil if the request has none.
 func New(w http.ResponseWriter, r *http.Request, limit int64) *Body {
 	if r.Body == nil || r.Body == http.NoBody {
 		return nil
 	}
 	return &Body{
-		controller: http.NewResponseController(w),
-		source:     r.Body,
-		length:     r.ContentLength,
-		expects:    r.Header.Get("Expect") != "",
-		left:       limit,
+		controller:     http.NewResponseController(w),
+		source:         r.Body,
+		length:         r.ContentLength,
+		expectContinue: r.Header.Get("Expect") != "",
+		remaining:      limit,
 	}
 }
 
-// Prepare bounds how long the caller may take to send the body, and reads one
-// that is announced as short.
+// Prepare bounds how long the caller may take to send the body, and reads the body
+// if its announced length is short.
 func (b *Body) Prepare(deadline time.Time) error {
 	if b == nil {
 		return nil
 	}
-	// Both fail only for a connection that is gone, which the reading shows.
+	// Both fail only on a closed connection, which a read detects.
 	_ = b.controller.EnableFullDuplex()
-	if b.expects || b.length < 0 || b.length > maxKept {
+	if b.expectContinue || b.length < 0 || b.length > maxBuffered {
 		_ = b.controller.SetReadDeadline(deadline.Add(readSlack))
 		return nil
 	}
@@ -100,7 +99,7 @@
 	return nil
 }
 
-// readAll reads the whole body, which is then kept.
+// readAll reads and buffers the whole body.
 func (b *Body) readAll() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -110,22 +109,22 @@
 			return errors.Wrap(err, "read request body")
 		}
 	}
-	b.whole.Store(true)
+	b.complete.Store(true)
 	return nil
 }
 
-// Rewind gives the request a body that starts at the beginning. Of one that is not kept whole
-// the readers of earlier attempts fail from now on. One that is goes as a reader that net/http
-// knows to be in memory: it writes that with the headers, and another kind through a buffer of
-// 32 KB (BenchmarkSendShortBody).
+// Rewind sets the request's body to a reader that starts at the beginning. If the body is not fully
+// buffered, the readers of earlier attempts fail from then on. A fully buffered body is set as an
+// in-memory reader that net/http recognizes and writes together with the headers; other readers
+// are copied through a buffer of 32 KB (BenchmarkSendShortBody).
 func (b *Body) Rewind(r *http.Request) {
 	if b == nil {
 		return
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.whole.Load() {
-		r.Body = io.NopCloser(bytes.NewReader(b.kept))
+	if b.complete.Load() {
+		r.Body = io.NopCloser(bytes.NewReader(b.buffered))
 		return
 	}
 	b.attempt++
@@ -142,109 +141,108 @@
 	return b.overflowed
 }
 
-// Peek returns the first bytes of the body, at most so many and no more than is kept. What has not been
-// read yet it reads from the caller and keeps for the attempts.
+// Peek returns the first bytes of the body, at most limit and no more than is buffered. It reads missing bytes
+// from the caller and buffers them for the attempts.
 func (b *Body) Peek(limit int) ([]byte, error) {
 	if b == nil {
 		return nil, nil
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for missing := b.unread(limit); missing > 0; missing = b.unread(limit) {
+	for missing := b.missing(limit); missing > 0; missing = b.missing(limit) {
 		if _, err := b.read(make([]byte, min(readAhead, missing))); err != nil && !errors.Is(err, io.EOF) {
 			return nil, err
 		}
 	}
-	return b.kept[:min(len(b.kept), limit)], nil
+	return b.buffered[:min(len(b.buffered), limit)], nil
 }
 
-// TryPeek returns the first bytes of the body like First, but fails if that would wait for the caller: one
-// that waits for an answer itself sends nothing more.
+// TryPeek is like Peek but returns ErrUnread where Peek would wait for the caller: a caller that is itself waiting
+// for a response sends nothing more.
 func (b *Body) TryPeek(limit int) ([]byte, error) {
 	if b == nil {
 		return nil, nil
 	}
 	if !b.mu.TryLock() {
-		return nil, ErrUnread // another read waits for the caller
+		return nil, ErrUnread // another read is waiting for the caller
 	}
 	defer b.mu.Unlock()
-	if b.unread(limit) > 0 {
+	if b.missing(limit) > 0 {
 		return nil, ErrUnread
 	}
-	return b.kept[:min(len(b.kept), limit)], nil
+	return b.buffered[:min(len(b.buffered), limit)], nil
 }
 
-// unread returns how much has yet to be read, at the most, for the first bytes of the body. The caller holds mu.
-func (b *Body) unread(limit int) int {
+// missing returns how many bytes at most must still be read for a Peek of limit bytes. The caller holds mu.
+func (b *Body) missing(limit int) int {
 	if b.ended.Load() || b.overflowed {
 		return 0
 	}
-	return max(0, min(limit, maxKept)-len(b.kept))
+	return max(0, min(limit, maxBuffered)-len(b.buffered))
 }
 
-// Finish ends the reading of the rest of the body, which an attempt may still send after it was
-// answered. It returns once that has stopped.
+// Finish stops the reading of the rest of the body, which an attempt may still be sending after it was
+// answered. It returns once reading has stopped.
 //
-// Of a body that was read to its end nothing is left to end: net/http then waits on the
-// connection for the caller to go away, and a read that is ended takes it for gone, with the
-// request that comes next.
+// A body that was read to its end needs no abort: net/http is then waiting on the connection for the
+// caller to disconnect, and would treat an aborted read as a disconnect and cancel the next request.
 func (b *Body) Finish() {
-	if b == nil || b.whole.Load() {
+	if b == nil || b.complete.Load() {
 		return
 	}
 	if !b.ended.Load() {
-		b.endReading()
+		b.abortRead()
 	}
 	if b.ended.Load() {
-		_ = b.controller.SetReadDeadline(time.Time{}) // the connection is fit for another request
+		_ = b.controller.SetReadDeadline(time.Time{}) // the connection can be reused
 	}
 }
 
-// endReading ends a read that is under way, and returns once it has stopped.
-func (b *Body) endReading() {
+// abortRead aborts a read in progress, and returns once it has stopped.
+func (b *Body) abortRead() {
 	_ = b.controller.SetReadDeadline(time.Now())
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.attempt++
 }
 
-// readAt reads on at the offset, first from what is kept.
+// readAt reads at the offset, from the buffer if possible.
 func (b *Body) readAt(attempt, offset int, p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if attempt != b.attempt {
 		return 0, errSuperseded
 	}
-	if offset < len(b.kept) {
-		return copy(p, b.kept[offset:]), nil
+	if offset < len(b.buffered) {
+		return copy(p, b.buffered[offset:]), nil
 	}
 	return b.read(p)
 }
 
-// read reads on from the source.
+// read reads from the source.
 func (b *Body) read(p []byte) (int, error) {
 	if b.ended.Load() {
 		return 0, io.EOF
 	}
 	n, err := b.source.Read(p)
 	b.ended.Store(errors.Is(err, io.EOF))
-	b.left -= int64(n)
-	if b.left < 0 {
+	b.remaining -= int64(n)
+	if b.remaining < 0 {
 		return 0, ErrTooLong
 	}
-	b.keep(p[:n])
+	b.appendBuffered(p[:n])
 	return n, err
 }
 
-// keep keeps a piece for later attempts, as long as all of it fits, and of a longer body the first part,
-// by which it is known.
-func (b *Body) keep(piece []byte) {
-	room := maxKept - len(b.kept)
+// appendBuffered buffers a piece for later attempts. Of a body that does not fit, the first part stays buffered for
+// the fingerprint.
+func (b *Body) appendBuffered(piece []byte) {
+	room := maxBuffered - len(b.buffered)
 	if b.overflowed || len(piece) > room {
 		b.overflowed = true
 		piece = piece[:min(len(piece), room)]
 	}
-	b.kept = append(b.kept, piece...)
+	b.buffered = append(b.buffered, piece...)
 }
 
 // attemptBody is the body of one attempt.
@@ -254,13 +252,13 @@
 	offset  int
 }
 
-// Read reads the next piece of the body.
+// Read reads the next part of the body.
 func (a *attemptBody) Read(p []byte) (int, error) {
 	n, err := a.body.readAt(a.attempt, a.offset, p)
 	a.offset += n
 	return n, err
 }
 
-// Close leaves the caller's body open, since another attempt may need it;
-// net/http closes it when the request has been served.
+// Close leaves the caller's body open, since another attempt may need it.
+// net/http closes it after the request has been served.
 func (a *attemptBody) Close() error { return nil }
--- a/internal/body/body_test.go
+++ b/internal/body/body_test.go
@@ -12,7 +12,7 @@
 	"github.com/tideliftd/tidelift/internal/body"
 )
 
-// serve calls the function with each request and its body, which the caller has so long to send,
+// serve calls handle with each request and its body, which the caller must send within the given time,
 // and returns the server's URL.
 func serve(t *testing.T, within time.Duration, handle func(*body.Body, *http.Request)) string {
 	t.Helper()
@@ -29,7 +29,7 @@
 	return server.URL
 }
 
-// post sends a request with the body and reads its answer, so that the connection is used again.
+// post sends a request with the body and reads the response, so that the connection is reused.
 func post(t *testing.T, url string, content io.Reader) {
 	t.Helper()
 	response, err := http.Post(url, "text/plain", content)
@@ -40,13 +40,13 @@
 	_ = response.Body.Close()
 }
 
-// TestTheNextRequestOfAConnectionIsNotCancelled sends many requests with bodies on one
-// connection: what ends the reading of one body must not end the request after it.
+// TestTheNextRequestOfAConnectionIsNotCancelled guards against Finish cancelling the next request on the same
+// connection.
 func TestTheNextRequestOfAConnectionIsNotCancelled(t *testing.T) {
 	const requests = 20_000
 	var cancelled atomic.Int64
 	url := serve(t, time.Minute, func(_ *body.Body, r *http.Request) {
-		time.Sleep(time.Microsecond) // until net/http looks whether the caller is still there
+		time.Sleep(time.Microsecond) // until net/http checks whether the caller has disconnected
 		if r.Context().Err() != nil {
 			cancelled.Add(1)
 		}
@@ -59,13 +59,13 @@
 	}
 }
 
-// TestAKeptBodyOutlivesItsTime reads a short body, and lets the time pass that the caller had to
-// send it: the request goes on.
-func TestAKeptBodyOutlivesItsTime(t *testing.T) {
+// TestBufferedBodyOutlivesReadDeadline guards against cancelling a request, whose body has been buffered, when the
+// deadline for sending it passes.
+func TestBufferedBodyOutlivesReadDeadline(t *testing.T) {
 	url := serve(t, 50*time.Millisecond, func(_ *body.Body, r *http.Request) {
 		select {
 		case <-r.Context().Done():
-			t.Error("the caller was taken for gone")
+			t.Error("the request was cancelled as if the caller had disconnected")
 		case <-time.After(150 * time.Millisecond):
 		}
 	})
@@ -76,7 +76,7 @@
 	_ = response.Body.Close()
 }
 
-// TestEveryAttemptReadsFromTheStart rewinds a kept body while an earlier attempt is half way.
+// TestEveryAttemptReadsFromTheStart guards against an attempt that disturbs another one reading the same buffered body.
 func TestEveryAttemptReadsFromTheStart(t *testing.T) {
 	url := serve(t, time.Minute, func(b *body.Body, r *http.Request) {
 		first, second := *r, *r
@@ -97,8 +97,9 @@
 	_ = response.Body.Close()
 }
 
-// TestWhatIsKnownOfABodyWaitsForNobody asks while the caller waits for an answer before it sends the rest.
-func TestWhatIsKnownOfABodyWaitsForNobody(t *testing.T) {
+// TestTryPeekDoesNotBlock guards against TryPeek waiting for a caller that waits for a response before it sends the
+// rest of its body.
+func TestTryPeekDoesNotBlock(t *testing.T) {
 	rest, sent := io.Pipe()
 	url := serve(t, time.Minute, func(b *body.Body, r *http.Request) {
 		out := r.Clone(r.Context())
@@ -113,7 +114,7 @@
 		}()
 		for range 20 {
 			if known, err := b.TryPeek(100); err == nil {
-				t.Errorf("known is %q", known)
+				t.Errorf("TryPeek returned %q before the body was sent", known)
 			}
 			time.Sleep(time.Millisecond)
 		}
@@ -121,7 +122,7 @@
 		_ = sent.Close()
 		<-reading
 		if known, err := b.TryPeek(100); err != nil || string(known) != "a book and more" {
-			t.Errorf("known is %q, %v", known, err)
+			t.Errorf("TryPeek returned %q, %v", known, err)
 		}
 	})
 	response, err := http.Post(url, "text/plain", io.MultiReader(strings.NewReader("a book"), rest))
@@ -131,8 +132,9 @@
 	_ = response.Body.Close()
 }
 
-// TestTheFirstOfABody asks for it before and after an attempt has read the body, which gets all of it.
-func TestTheFirstOfABody(t *testing.T) {
+// TestPeek guards against Peek returning wrong data, or removing data from an attempt, before and after the body is
+// read.
+func TestPeek(t *testing.T) {
 	const kept = 64 << 10
 	bodies := map[string]string{
 		"none":                  "",
@@ -148,21 +150,21 @@
 					want := text[:min(len(text), kept)]
 					if before {
 						if first, err := b.Peek(kept); err != nil || string(first) != want {
-							t.Errorf("%s, chunked %v: the first %d bytes, %v", name, chunked, len(first), err)
+							t.Errorf("%s, chunked %v: Peek returned %d bytes, %v", name, chunked, len(first), err)
 						}
 					}
 					out := r.Clone(r.Context())
 					b.Rewind(out)
 					if all, err := io.ReadAll(out.Body); err != nil || string(all) != text {
-						t.Errorf("%s, chunked %v, asked before %v: an attempt read %d bytes, %v", name, chunked, before, len(all), err)
+						t.Errorf("%s, chunked %v, after Peek %v: an attempt read %d bytes, %v", name, chunked, before, len(all), err)
 					}
 					if first, err := b.Peek(kept); err != nil || string(first) != want {
-						t.Errorf("%s, chunked %v: the first %d bytes after an attempt, %v", name, chunked, len(first), err)
+						t.Errorf("%s, chunked %v: Peek after an attempt returned %d bytes, %v", name, chunked, len(first), err)
 					}
 				})
 				var sent io.Reader = strings.NewReader(text)
 				if chunked {
-					sent = io.MultiReader(sent) // whose length net/http does not know
+					sent = io.MultiReader(sent) // hides the length from net/http
 				}
 				response, err := http.Post(url, "text/plain", sent)
 				if err != nil {
@@ -187,11 +189,11 @@
 
 func (d *deadlines) EnableFullDuplex() error { return nil }
 
-// TestABodyThatWasReadToItsEndIsNotEnded streams a body through an attempt: once that has read all of it
-// net/http reads the connection for the next request, and a read that is ended then takes the caller for gone.
-func TestABodyThatWasReadToItsEndIsNotEnded(t *testing.T) {
+// TestFinishDoesNotAbortAfterEOF guards against aborting a read after the body has been streamed to its end: net/http
+// is then reading the connection, and treats an aborted read as a disconnected caller.
+func TestFinishDoesNotAbortAfterEOF(t *testing.T) {
 	w := &deadlines{ResponseRecorder: httptest.NewRecorder()}
-	r := httptest.NewRequest(http.MethodPost, "/", io.MultiReader(strings.NewReader("in pieces"))) // of a length that is not known
+	r := httptest.NewRequest(http.MethodPost, "/", io.MultiReader(strings.NewReader("in pieces"))) // of unknown length
 	b := body.New(w, r, 100)
 	if err := b.Prepare(time.Now().Add(time.Minute)); err != nil {
 		t.Fatal(err)
@@ -203,12 +205,12 @@
 	before := len(w.set)
 	b.Finish()
 	if len(w.set) != before+1 || !w.set[before].IsZero() {
-		t.Fatalf("deadlines set at its end: %v, want none but the zero time", w.set[before:])
+		t.Fatalf("Finish set the read deadlines %v, want only the zero time", w.set[before:])
 	}
 }
 
-// TestTheNextRequestAfterAStreamedBodyIsNotCancelled sends many requests whose bodies stream through an
-// attempt on one connection.
+// TestTheNextRequestAfterAStreamedBodyIsNotCancelled guards against cancelling the next request on a connection after
+// an attempt has streamed a body.
 func TestTheNextRequestAfterAStreamedBodyIsNotCancelled(t *testing.T) {
 	const requests = 20_000
 	var cancelled atomic.Int64
@@ -216,7 +218,7 @@
 		out := &http.Request{}
 		b.Rewind(out)
 		_, _ = io.Copy(io.Discard, out.Body)
-		time.Sleep(time.Microsecond) // until net/http looks whether the caller is still there
+		time.Sleep(time.Microsecond) // until net/http checks whether the caller has disconnected
 		if r.Context().Err() != nil {
 			cancelled.Add(1)
 		}
