--- a/internal/dial/dial.go
+++ b/internal/dial/dial.go
@@ -1,16 +1,14 @@
-// Package dial makes outgoing TCP connections that notice a silent cut: to backend servers,
-// other daemons and the platform's store. A cut drops packets and closes nothing, so that a
-// plain connection waits for minutes.
+// Package dial makes outgoing TCP connections that detect silent packet loss: to backend servers, other daemons and
+// the platform's store. When packets are dropped and no connection is closed, a plain connection hangs for minutes.
 //
-// It keeps no connections; whoever dials owns them. It relies on Linux's TCP_USER_TIMEOUT and
-// keep-alive.
+// The package keeps no connections; the caller owns them. It relies on Linux's TCP_USER_TIMEOUT and keep-alive.
 //
 // # Usage
 //
-//	dialer := dial.New(dial.Config{Connect: 500 * time.Millisecond, Unacknowledged: 2 * time.Second})
+//	dialer := dial.New(dial.Config{ConnectTimeout: 500 * time.Millisecond, UserTimeout: 2 * time.Second})
 //	transport := &http.Transport{DialContext: dialer.DialContext}
 //
-//	toDaemons := dial.Compressed(dial.New(dial.ToDaemons()), far) // compressed to other data centres
+//	toDaemons := dial.Compressed(dial.New(dial.ToDaemons()), shouldCompress) // compressed to other data centres
 package dial
 
 import (
@@ -25,70 +23,66 @@
 )
 
 const (
-	// keepAliveIdle is how long a connection rests before it is probed, keepAliveEvery the
-	// pause between probes, and keepAliveCount how many may go unanswered. Source: a peer
-	// that lost power answers none; together they end its connections after 2.5 seconds.
-	keepAliveIdle  = time.Second
-	keepAliveEvery = 500 * time.Millisecond
-	keepAliveCount = 3
-	// daemonConnect bounds the opening of a connection to another daemon. Not measured: many
-	// round trips between data centres, and less than the second after which a lost first
-	// packet is sent again.
-	daemonConnect = 500 * time.Millisecond
-	// daemonUnacknowledged is how long bytes to another daemon may stay without an
-	// acknowledgement before the connection counts as lost. Source: a lost packet is
-	// sent again after 200 and 600 ms; a path that loses three in a row is cut.
-	daemonUnacknowledged = 2 * time.Second
+	// keepAliveIdle is how long a connection is idle before it is probed, keepAliveInterval the time between probes,
+	// and keepAliveCount how many probes may go unanswered. Together they close an idle connection to a host that lost
+	// power after 2.5 seconds.
+	keepAliveIdle     = time.Second
+	keepAliveInterval = 500 * time.Millisecond
+	keepAliveCount    = 3
+	// daemonConnectTimeout bounds the opening of a connection to another daemon. It is shorter than the second after
+	// which a lost first packet is sent again.
+	daemonConnectTimeout = 500 * time.Millisecond
+	// daemonUserTimeout is how long data sent to another daemon may stay unacknowledged before the connection counts as
+	// lost. It allows for the retransmissions of a lost packet after 200 and 600 ms.
+	daemonUserTimeout = 2 * time.Second
 )
 
-// Config bounds how long a connection may be silent. Both times are required.
+// Config holds the timeouts of connections. Both are required.
 type Config struct {
 	// ConnectTimeout bounds the opening of a connection.
 	ConnectTimeout time.Duration
-	// UserTimeout is how long sent bytes may wait for their acknowledgement
-	// before the connection counts as lost.
+	// UserTimeout is how long sent data may stay unacknowledged before the connection counts as lost
+	// (TCP_USER_TIMEOUT).
 	UserTimeout time.Duration
 }
 
-// ToDaemons returns the bounds of a connection to another daemon, be it for requests or
-// for control calls.
+// ToDaemons returns the timeouts of connections to other daemons, for both requests and control calls.
 func ToDaemons() Config {
-	return Config{ConnectTimeout: daemonConnect, UserTimeout: daemonUnacknowledged}
+	return Config{ConnectTimeout: daemonConnectTimeout, UserTimeout: daemonUserTimeout}
 }
 
-// New returns a dialer whose connections fail once the peer has been silent for as long as the
-// bounds allow.
+// New returns a dialer whose connections fail when the peer does not respond within the configured timeouts.
 func New(config Config) *net.Dialer {
 	return &net.Dialer{
 		Timeout: config.ConnectTimeout,
-		Control: userTimeout(config.UserTimeout),
+		Control: setUserTimeout(config.UserTimeout),
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable:   true,
 			Idle:     keepAliveIdle,
-			Interval: keepAliveEvery,
+			Interval: keepAliveInterval,
 			Count:    keepAliveCount,
 		},
 	}
 }
 
-// Func opens a connection; it is the type of http.Transport's DialContext.
+// Func opens a connection, as http.Transport's DialContext does.
 type Func func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Compressed returns a function that opens connections by the dialer, with bytes compressed to
-// the addresses for which far reports true; a nil far compresses none.
-func Compressed(dialer *net.Dialer, far func(address string) bool) Func {
+// Compressed returns a function that opens connections through the dialer and compresses those to the addresses for
+// which shouldCompress reports true. If shouldCompress is nil, none are compressed.
+func Compressed(dialer *net.Dialer, shouldCompress func(address string) bool) Func {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		socket, err := dialer.DialContext(ctx, network, address)
-		if err != nil || far == nil || !far(address) {
+		if err != nil || shouldCompress == nil || !shouldCompress(address) {
 			return socket, err
 		}
 		return compress.Client(socket), nil
 	}
 }
 
-// userTimeout returns a net.Dialer's Control that sets TCP_USER_TIMEOUT: the socket fails once
-// its bytes have not been acknowledged for that long.
-func userTimeout(limit time.Duration) func(network, address string, c syscall.RawConn) error {
+// setUserTimeout returns a Control function for net.Dialer that sets TCP_USER_TIMEOUT: the socket fails if sent data
+// is not acknowledged within limit.
+func setUserTimeout(limit time.Duration) func(network, address string, c syscall.RawConn) error {
 	return func(_, _ string, c syscall.RawConn) error {
 		var setErr error
 		err := c.Control(func(fd uintptr) {
