--- a/internal/compress/compress.go
+++ b/internal/compress/compress.go
@@ -1,9 +1,8 @@
-// Package compress makes connections whose bytes travel compressed.
+// Package compress implements connections that compress their traffic.
 //
-// What two daemons exchange is mostly the heads of requests and answers and the texts of
-// calls, each much like the one before. Bytes between data centres cost money, so there each
-// write travels as a frame of its own, compressed with what was written before it as the
-// dictionary.
+// Traffic between two daemons is mostly the heads of requests and responses and the texts of
+// calls, each similar to the one before. Traffic between data centres is billed, so each write
+// there is sent as a separate frame, compressed with the preceding data as its dictionary.
 //
 // # Usage
 //
@@ -11,22 +10,22 @@
 //	conn := compress.Client(socket)       // its first bytes announce the compression
 //	listener = compress.Listen(listener)  // accepts compressed connections and plain ones
 //
-// # Wire
+// # Wire format
 //
-// The side that connects first sends the preface: a zero byte, which no request, TLS
-// handshake or framed call begins with, and the version of this format. After that either
-// side sends frames: the length of the compressed bytes in two bytes, the most significant
-// first, and a whole deflate stream. Its dictionary is the last dictionarySize bytes that
-// the same side sent before, uncompressed. A frame holds no more than maxPlain bytes.
+// The connecting side first sends the preface: a zero byte, which starts no request, TLS
+// handshake or framed call, and the version of this format. Both sides then send frames: the
+// length of the compressed data in two bytes, most significant first, and a complete deflate
+// stream. Its dictionary is the last dictionarySize bytes of uncompressed data that the same
+// side sent before. A frame holds at most maxPlain bytes.
 //
 // # State
 //
 // A connection owns two dictionaries, 8 KiB each way, and the frame that is being read;
-// decompressors are shared. A read that ends at its deadline in the middle of a frame loses
-// nothing: the next read goes on with it. net/http relies on that.
+// decompressors are shared. A read that reaches its deadline in the middle of a frame loses no
+// data: the next read continues with it. net/http relies on that.
 //
-// It must not be used inside TLS: the length of compressed bytes reveals something of a secret
-// that travels beside bytes that an attacker chooses.
+// The package must not be used inside TLS: the length of compressed data leaks information about
+// a secret that is sent together with data that an attacker controls.
 package compress
 
 import (
@@ -41,46 +40,43 @@
 )
 
 const (
-	// dictionarySize is how far back a frame refers to what was sent before, in bytes. Source:
-	// the most that the library's stateless compressor takes.
+	// dictionarySize is how much preceding data a frame can refer to, in bytes. It is the maximum of the library's
+	// stateless compressor.
 	dictionarySize = 8 << 10
-	// maxPlain is the most that one frame holds before it is compressed, in bytes. Source: its
-	// length, compressed or not, fits into the 15 bits beside compressedBit.
+	// maxPlain is the largest uncompressed size of a frame, in bytes. The length of a frame must fit into the 15 bits
+	// beside compressedBit.
 	maxPlain = 16 << 10
 	// lengthSize is the size of a frame's length, in bytes.
 	lengthSize = 2
-	// compressedBit marks the length of a frame that is compressed; others hold the bytes as
-	// they are.
+	// compressedBit marks the length of a compressed frame; other frames hold plain data.
 	compressedBit = 1 << 15
 )
 
-// errTooLong means that a frame holds more than it may.
-var errTooLong = errors.Errorf("a frame holds more than %d bytes", maxPlain)
+// errTooLong is returned when a frame exceeds maxPlain.
+var errTooLong = errors.Errorf("frame is longer than %d bytes", maxPlain)
 
-// preface begins a compressed connection: a byte that no other kind begins with, and the
-// version of the format.
+// preface starts a compressed connection: a byte that starts no other protocol, and the version of the format.
 var preface = []byte{0, 'T', 'Z', 1}
 
-// conn is a connection whose bytes travel compressed, both ways.
+// conn is a connection that compresses data in both directions.
 type conn struct {
 	net.Conn
 
-	reading sync.Mutex
-	frame   []byte // what has come of the next frame
-	plain   []byte // what was decompressed and not read yet
-	taken   dictionary
+	reading  sync.Mutex
+	frame    []byte // the received part of the next frame
+	plain    []byte // decompressed data that has not been read yet
+	received dictionary
 
-	writing sync.Mutex
-	begin   []byte // goes before the first frame
-	out     bytes.Buffer
-	sent    dictionary
+	writing        sync.Mutex
+	pendingPreface []byte // sent before the first frame
+	out            bytes.Buffer
+	sent           dictionary
 }
 
-// Client returns the connection with bytes compressed both ways. The preface is sent with the
-// first bytes that are written.
-func Client(socket net.Conn) net.Conn { return &conn{Conn: socket, begin: preface} }
+// Client returns a connection that compresses data in both directions. The preface is sent with the first write.
+func Client(socket net.Conn) net.Conn { return &conn{Conn: socket, pendingPreface: preface} }
 
-// Read reads decompressed bytes.
+// Read reads decompressed data.
 func (c *conn) Read(p []byte) (int, error) {
 	c.reading.Lock()
 	defer c.reading.Unlock()
@@ -97,38 +93,38 @@
 	return n, nil
 }
 
-// readFrame reads the next frame. After an error it goes on where that left it.
+// readFrame reads the next frame. After an error, the next call continues with the same frame.
 func (c *conn) readFrame() error {
 	if err := c.fill(lengthSize); err != nil {
 		return err
 	}
 	head := int(binary.BigEndian.Uint16(c.frame))
 	length := head &^ compressedBit
-	if length > maxPlain { // also if it is compressed, since no frame is longer than its bytes
+	if length > maxPlain { // a compressed frame is never longer than its plain data
 		return errTooLong
 	}
 	if err := c.fill(lengthSize + length); err != nil {
 		return err
 	}
-	plain, err := c.unpack(head&compressedBit != 0, c.frame[lengthSize:])
+	plain, err := c.decode(head&compressedBit != 0, c.frame[lengthSize:])
 	if err != nil {
 		return err
 	}
 	c.frame = c.frame[:0]
-	c.taken.add(plain)
+	c.received.add(plain)
 	c.plain = plain
 	return nil
 }
 
-// unpack returns what a frame holds.
-func (c *conn) unpack(compressed bool, held []byte) ([]byte, error) {
+// decode returns the plain data of a frame.
+func (c *conn) decode(compressed bool, held []byte) ([]byte, error) {
 	if !compressed {
 		return bytes.Clone(held), nil
 	}
-	return inflate(held, c.taken.bytes)
+	return inflate(held, c.received.bytes)
 }
 
-// fill reads until that much of the frame is there.
+// fill reads until size bytes of the frame have been received.
 func (c *conn) fill(size int) error {
 	for len(c.frame) < size {
 		have := len(c.frame)
@@ -136,28 +132,28 @@
 		n, err := c.Conn.Read(c.frame[have:size])
 		c.frame = c.frame[:have+n]
 		if err != nil && len(c.frame) < size {
-			return c.ended(err)
+			return c.readError(err)
 		}
 	}
 	return nil
 }
 
-// ended returns the error of a read; an end within a frame is unexpected.
-func (c *conn) ended(err error) error {
+// readError returns the error of a read. An EOF within a frame is io.ErrUnexpectedEOF.
+func (c *conn) readError(err error) error {
 	if errors.Is(err, io.EOF) && len(c.frame) > 0 {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// Write compresses the bytes and sends them. After an error the count is zero if nothing can
-// have arrived; otherwise it does not say how much has.
+// Write compresses the data and sends it. After an error the count is zero if no data can have arrived; any other
+// count does not say how much has.
 func (c *conn) Write(p []byte) (int, error) {
 	c.writing.Lock()
 	defer c.writing.Unlock()
 	c.out.Reset()
-	c.out.Write(c.begin)
-	c.begin = nil
+	c.out.Write(c.pendingPreface)
+	c.pendingPreface = nil
 	for rest := p; len(rest) > 0; {
 		piece := rest[:min(len(rest), maxPlain)]
 		rest = rest[len(piece):]
@@ -171,7 +167,7 @@
 	return len(p), nil
 }
 
-// writeFrame adds the frame of a piece to what is sent, compressed if that is shorter.
+// writeFrame appends the frame of a piece to the output, compressed if that is shorter.
 func (c *conn) writeFrame(piece []byte) error {
 	at := c.out.Len()
 	c.out.Write(make([]byte, lengthSize))
@@ -190,10 +186,10 @@
 	return nil
 }
 
-// dictionary is the last bytes that one side sent.
+// dictionary holds the most recent data sent by one side.
 type dictionary struct{ bytes []byte }
 
-// add takes more of them.
+// add appends data and drops the oldest beyond dictionarySize.
 func (d *dictionary) add(plain []byte) {
 	plain = plain[max(0, len(plain)-dictionarySize):]
 	surplus := max(0, len(d.bytes)+len(plain)-dictionarySize)
@@ -201,7 +197,7 @@
 	d.bytes = append(d.bytes[:kept], plain...)
 }
 
-// inflaters are reused, since each takes some forty kilobytes.
+// inflaters pools decompressors, since each takes about 40 KB.
 var inflaters = sync.Pool{New: func() any { return flate.NewReader(nil) }}
 
 // inflate decompresses a frame.
--- a/internal/compress/compress_test.go
+++ b/internal/compress/compress_test.go
@@ -15,10 +15,10 @@
 	"github.com/tideliftd/tidelift/internal/compress"
 )
 
-// patience bounds reads that end much sooner when all is well.
-const patience = 10 * time.Second
+// timeout bounds reads, which normally end much sooner.
+const timeout = 10 * time.Second
 
-// pair returns the two ends of a compressed connection, and counts what travels.
+// pair returns both ends of a compressed connection, and a counter of the bytes that the client sends.
 func pair(t *testing.T) (client, server net.Conn, travelled *countingConn) {
 	t.Helper()
 	socket, server := connect(t)
@@ -26,7 +26,7 @@
 	return compress.Client(travelled), server, travelled
 }
 
-// countingConn counts the bytes that are written to it.
+// countingConn counts the bytes written to it.
 type countingConn struct {
 	net.Conn
 	written int
@@ -38,8 +38,8 @@
 	return c.Conn.Write(p)
 }
 
-// TestWhatIsWrittenIsRead sends pieces of any size and content both ways.
-func TestWhatIsWrittenIsRead(t *testing.T) {
+// TestRoundTrip guards against data that is changed or lost, for pieces of any size and content in both directions.
+func TestRoundTrip(t *testing.T) {
 	client, server, _ := pair(t)
 	rapid.Check(t, func(t *rapid.T) {
 		from, to := client, server
@@ -50,7 +50,7 @@
 		if rapid.Bool().Draw(t, "noise") {
 			piece = rapid.SliceOfN(rapid.Byte(), 0, 100).Draw(t, "bytes")
 		}
-		if from == server { // which answers only after it has read
+		if from == server { // it must read before it writes
 			exchange(t, client, server, []byte("first"))
 		}
 		exchange(t, from, to, piece)
@@ -72,27 +72,27 @@
 		t.Fatalf("write: %v", err)
 	}
 	if !bytes.Equal(got, piece) {
-		t.Fatalf("%d bytes came differently", len(piece))
+		t.Fatalf("received data differs from the %d bytes sent", len(piece))
 	}
 }
 
-// head is much like what travels between daemons.
+// head resembles the traffic between daemons.
 const head = "POST /orders/4711 HTTP/1.1\r\nHost: 10.1.0.21:8146\r\nRequest-Id: 9c41d07be2a35f68\r\n" +
 	"Tidelift-Call: jWlpLWM5ZWQwOTMxMDIBGgCYloAaABbjYBoAFuNgGgAI\r\nContent-Length: 0\r\n\r\n"
 
-// TestWhatIsAlikeTravelsShort sends heads that are alike.
-func TestWhatIsAlikeTravelsShort(t *testing.T) {
+// TestSimilarMessagesCompressWell guards against losing the compression of successive similar heads.
+func TestSimilarMessagesCompressWell(t *testing.T) {
 	client, server, travelled := pair(t)
 	const times = 50
 	for range times {
 		exchange(t, client, server, []byte(head))
 	}
 	if part := float64(travelled.written) / float64(times*len(head)); part > 0.2 {
-		t.Fatalf("%.0f%% of the bytes travelled", 100*part)
+		t.Fatalf("compressed to %.0f%%, want at most 20%%", 100*part)
 	}
 }
 
-// connect returns a plain connection to a listener that answers in kind, and its other end.
+// connect returns a plain connection to a compress.Listen listener, and its accepted end.
 func connect(t *testing.T) (socket, server net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -109,15 +109,15 @@
 		t.Fatal(err)
 	}
 	for _, c := range []net.Conn{socket, server} {
-		_ = c.SetDeadline(time.Now().Add(patience))
+		_ = c.SetDeadline(time.Now().Add(timeout))
 		t.Cleanup(func() { _ = c.Close() })
 	}
 	return socket, server
 }
 
-// TestAReadThatEndsAtItsDeadlineLosesNothing cuts a frame in two and lets the deadline of a
-// read pass between the parts, as net/http does when it ends its waiting for a caller's end.
-func TestAReadThatEndsAtItsDeadlineLosesNothing(t *testing.T) {
+// TestReadDeadlineLosesNoData guards against losing part of a frame when a read deadline passes in the middle of it.
+// net/http sets such deadlines when it stops waiting for a caller to disconnect.
+func TestReadDeadlineLosesNoData(t *testing.T) {
 	socket, server := connect(t)
 	wire := recorded(t, []byte(head))
 	for _, b := range wire {
@@ -129,14 +129,14 @@
 			t.Fatal(err)
 		}
 	}
-	_ = server.SetReadDeadline(time.Now().Add(patience))
+	_ = server.SetReadDeadline(time.Now().Add(timeout))
 	got := make([]byte, len(head))
 	if _, err := io.ReadFull(server, got); err != nil || string(got) != head {
 		t.Fatalf("got %q, %v", got, err)
 	}
 }
 
-// recorded returns what travels when the bytes are sent.
+// recorded returns the compressed form of the data.
 func recorded(t *testing.T, plain []byte) []byte {
 	t.Helper()
 	near, far := net.Pipe()
@@ -154,15 +154,15 @@
 	return <-done
 }
 
-// TestOthersAreAnsweredInKind connects without compression.
-func TestOthersAreAnsweredInKind(t *testing.T) {
+// TestPlainConnectionStaysPlain guards against compressing responses to clients that do not use compression.
+func TestPlainConnectionStaysPlain(t *testing.T) {
 	socket, server := connect(t)
 	exchange(t, socket, server, []byte(head))
 	exchange(t, server, socket, []byte("HTTP/1.1 200 OK\r\n\r\n"))
 }
 
-// TestWhatIsMalformedIsRefused gives the reader bytes that no writer sends.
-func TestWhatIsMalformedIsRefused(t *testing.T) {
+// TestMalformedInputIsRefused guards against accepting data that no writer sends.
+func TestMalformedInputIsRefused(t *testing.T) {
 	for name, bytes := range map[string][]byte{
 		"another version":     {0, 'T', 'Z', 9},
 		"not a stream":        {0, 'T', 'Z', 1, 0x80, 3, 7, 7, 7},
@@ -173,13 +173,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if err := readAll(bytes); err == nil {
-				t.Fatal("nothing was wrong with it")
+				t.Fatal("malformed input was accepted")
 			}
 		})
 	}
 }
 
-// readAll reads a connection on which the other side sends these bytes to its end.
+// readAll reads a connection on which the peer sends these bytes and closes.
 func readAll(wire []byte) error {
 	near, far := net.Pipe()
 	go func() {
@@ -195,7 +195,7 @@
 	return err
 }
 
-// oneConn is a listener to which one connection comes.
+// oneConn is a listener that accepts one connection.
 type oneConn struct {
 	net.Listener
 	conn net.Conn
@@ -204,7 +204,7 @@
 // Accept returns the connection.
 func (o *oneConn) Accept() (net.Conn, error) { return o.conn, nil }
 
-// FuzzRead gives the reader any bytes: it ends, with an error or without.
+// FuzzRead guards against reads of arbitrary bytes that panic or do not end.
 func FuzzRead(f *testing.F) {
 	f.Add([]byte{0, 'T', 'Z', 1, 0, 2, 'o', 'k'})
 	f.Add([]byte{0, 'T', 'Z', 1, 0x80, 3, 7, 7, 7})
--- a/internal/compress/listen.go
+++ b/internal/compress/listen.go
@@ -9,36 +9,36 @@
 	"github.com/go-faster/errors"
 )
 
-// errVersion means that the other side speaks another version of the format.
-var errVersion = errors.New("compressed connection of another version")
+// errVersion is returned when the peer uses another version of the format.
+var errVersion = errors.New("unsupported version of the compression format")
 
-// Listen returns a listener whose connections are compressed both ways if they begin with the
-// preface, and left as they are otherwise.
-func Listen(listener net.Listener) net.Listener { return detecting{listener} }
+// Listen returns a listener whose connections are compressed in both directions if they start with the preface, and
+// left unchanged otherwise.
+func Listen(listener net.Listener) net.Listener { return detectingListener{listener} }
 
-// detecting is a listener for compressed connections and plain ones.
-type detecting struct{ net.Listener }
+// detectingListener accepts compressed and plain connections.
+type detectingListener struct{ net.Listener }
 
-// Accept returns the next connection; the first Read finds out whether it is compressed.
-func (l detecting) Accept() (net.Conn, error) {
+// Accept returns the next connection; its first Read detects whether it is compressed.
+func (l detectingListener) Accept() (net.Conn, error) {
 	socket, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &accepted{Conn: socket}, nil
+	return &detectingConn{Conn: socket}, nil
 }
 
-// accepted is a connection whose first bytes show whether it is compressed.
-type accepted struct {
+// detectingConn is a connection whose first bytes determine whether it is compressed.
+type detectingConn struct {
 	net.Conn
 
 	mu    sync.Mutex
-	first []byte   // what has been read to find out
-	inner net.Conn // the compressed or plain connection; nil while that is not known
+	first []byte   // bytes read for the detection
+	inner net.Conn // the compressed or plain connection; nil until detected
 }
 
-// Read reads from the connection, decompressed if it is compressed.
-func (a *accepted) Read(p []byte) (int, error) {
+// Read reads from the connection, and decompresses the data if the connection is compressed.
+func (a *detectingConn) Read(p []byte) (int, error) {
 	inner, err := a.detect()
 	if err != nil {
 		return 0, err
@@ -46,9 +46,9 @@
 	return inner.Read(p)
 }
 
-// Write writes to the connection, compressed if it is compressed. Before anything was read that
-// is not known, and the bytes are written as they are; servers of requests and calls read first.
-func (a *accepted) Write(p []byte) (int, error) {
+// Write writes to the connection, and compresses the data if the connection is compressed. Before the first read that
+// is not known, and data is written uncompressed; servers of requests and calls read first.
+func (a *detectingConn) Write(p []byte) (int, error) {
 	a.mu.Lock()
 	inner := a.inner
 	a.mu.Unlock()
@@ -58,9 +58,9 @@
 	return inner.Write(p)
 }
 
-// detect reads the first bytes until they show whether the connection is compressed. After an
-// error the next call goes on where that left it.
-func (a *accepted) detect() (net.Conn, error) {
+// detect reads the first bytes until they show whether the connection is compressed. After an error, the next call
+// continues where this one stopped.
+func (a *detectingConn) detect() (net.Conn, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for a.inner == nil {
@@ -80,11 +80,11 @@
 	return a.inner, nil
 }
 
-// matchPreface sets inner once the first bytes show what it is.
-func (a *accepted) matchPreface() error {
+// matchPreface sets inner once the first bytes determine the kind of connection.
+func (a *detectingConn) matchPreface() error {
 	switch {
 	case len(a.first) > 0 && a.first[0] != preface[0]:
-		a.inner = &replayed{Conn: a.Conn, first: a.first}
+		a.inner = &replayConn{Conn: a.Conn, first: a.first}
 	case len(a.first) < len(preface): // it may still be the preface
 	case bytes.Equal(a.first, preface):
 		a.inner = &conn{Conn: a.Conn}
@@ -94,14 +94,14 @@
 	return nil
 }
 
-// replayed is a plain connection whose first bytes were read before.
-type replayed struct {
+// replayConn is a plain connection whose first bytes have already been read.
+type replayConn struct {
 	net.Conn
 	first []byte
 }
 
-// Read reads the first bytes, and then from the connection.
-func (r *replayed) Read(p []byte) (int, error) {
+// Read returns the bytes that were already read, and then reads from the connection.
+func (r *replayConn) Read(p []byte) (int, error) {
 	if len(r.first) == 0 {
 		return r.Conn.Read(p)
 	}
