--- a/internal/keys/certificates.go
+++ b/internal/keys/certificates.go
@@ -10,27 +10,27 @@
 	"github.com/go-faster/errors"
 )
 
-// ServerName is the DNS name that each daemon's certificate carries.
+// ServerName is the DNS name in each daemon's certificate.
 const ServerName = "tidelift"
 
-// CertificatesConfig names PEM files.
+// CertificatesConfig names the PEM files.
 type CertificatesConfig struct {
 	// Certificate and Key are the daemon's own.
 	Certificate, Key string
-	// Authority signs every daemon's certificate.
+	// Authority is the certificate authority that signs every daemon's certificate.
 	Authority string
-	// Logger receives events of files that cannot be read.
+	// Logger receives events about files that cannot be read.
 	Logger *slog.Logger
 }
 
-// Certificates are the daemon's certificate and the authority that it trusts.
+// Certificates holds the daemon's certificate and the authority that it trusts.
 type Certificates struct {
 	config CertificatesConfig
-	watch  *watched
-	loaded atomic.Pointer[loaded]
+	watch  *fileWatcher
+	loaded atomic.Pointer[credentials]
 }
 
-type loaded struct {
+type credentials struct {
 	own       tls.Certificate
 	authority *x509.CertPool
 }
@@ -38,7 +38,7 @@
 // NewCertificates reads the files.
 func NewCertificates(config CertificatesConfig) (*Certificates, error) {
 	c := &Certificates{config: config}
-	watch, err := newWatched([]string{config.Certificate, config.Key, config.Authority}, c.load, config.Logger)
+	watch, err := newFileWatcher([]string{config.Certificate, config.Key, config.Authority}, c.load, config.Logger)
 	if err != nil {
 		return nil, err
 	}
@@ -59,16 +59,16 @@
 	if !pool.AppendCertsFromPEM(authority) {
 		return errors.Errorf("%s holds no certificate", c.config.Authority)
 	}
-	c.loaded.Store(&loaded{own: own, authority: pool})
+	c.loaded.Store(&credentials{own: own, authority: pool})
 	return nil
 }
 
-func (c *Certificates) current() *loaded {
+func (c *Certificates) current() *credentials {
 	c.watch.refresh()
 	return c.loaded.Load()
 }
 
-// Server returns the settings for a listener that takes daemons only.
+// Server returns the TLS configuration of a listener that accepts only daemons.
 func (c *Certificates) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -85,8 +85,8 @@
 	}
 }
 
-// Client returns the settings for a connection to a daemon. The server's
-// certificate is checked against the authority of the moment.
+// Client returns the TLS configuration of a connection to a daemon. The server's
+// certificate is verified against the current authority.
 func (c *Certificates) Client() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -94,7 +94,7 @@
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			return &c.current().own, nil
 		},
-		InsecureSkipVerify: true, //nolint:gosec // VerifyConnection checks, with an authority that may be replaced
+		InsecureSkipVerify: true, //nolint:gosec // VerifyConnection verifies against an authority that may be replaced
 		VerifyConnection:   c.verifyServer,
 	}
 }
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -1,5 +1,5 @@
-// Package keys holds what daemons and operators prove themselves with: the
-// certificates of mutual TLS between daemons, and the operators' tokens.
+// Package keys holds the credentials of daemons and operators: the certificates
+// for mutual TLS between daemons, and the operators' tokens.
 //
 // # Usage
 //
@@ -10,12 +10,12 @@
 //	tokens, err := keys.NewTokens(keys.TokensConfig{File: "tokens.yaml", Logger: logger})
 //	token, ok := tokens.Find(bearer)
 //
-// It owns what was read of the files. When a connection or a token is checked, and ReloadEvery
-// has passed since the last time, files that changed are read again, so that keys are replaced
-// without a restart. A file that cannot be read leaves what was read before in force, and a log line.
+// The package owns the contents of the files. When a connection or a token is checked, and ReloadEvery
+// has passed since the last check, changed files are reloaded, so that keys can be replaced without
+// a restart. If a file cannot be read, the error is logged and the previous contents stay in force.
 //
-// Every daemon's certificate is signed by the one authority and carries the DNS
-// name ServerName; which daemon it is does not matter, since any of them may take
+// Every daemon's certificate is signed by the same authority and carries the DNS
+// name ServerName. It does not identify the daemon, since any daemon may accept
 // any request.
 package keys
 
@@ -31,41 +31,40 @@
 	"github.com/tideliftd/tidelift/internal/event"
 )
 
-// ReloadEvery is the least time between two checks whether a file has changed. Not measured: a
-// check is a stat of each file, and operators expect a new key in force within seconds.
+// ReloadEvery is the minimum time between two checks for changed files.
 const ReloadEvery = 2 * time.Second
 
-// watched reads files again when one of them has changed.
-type watched struct {
+// fileWatcher reloads files when one of them has changed.
+type fileWatcher struct {
 	files  []string
-	load   func() error // reads the files and puts them in force, or changes nothing
+	load   func() error // reads and applies the files; changes nothing on error
 	logger *slog.Logger
 
-	mu      sync.Mutex
-	checked time.Time // when the files were last checked for a change
-	read    []stamp   // of the files that are in force
-	refused string    // why the files could not be read when that was last tried; empty if they could
+	mu           sync.Mutex
+	checked      time.Time // time of the last check for changes
+	loadedStamps []stamp   // of the loaded files
+	lastError    string    // error of the last reload; empty if it succeeded
 }
 
-// stamp tells a file from what it was before. Its time may go back with the wall clock.
+// stamp identifies a version of a file. The modification time may go back with the wall clock.
 type stamp struct {
 	modified time.Time
 	size     int64
 }
 
-// newWatched reads the files for the first time.
-func newWatched(files []string, load func() error, logger *slog.Logger) (*watched, error) {
-	w := &watched{files: files, load: load, logger: logger, checked: time.Now()}
+// newFileWatcher loads the files for the first time.
+func newFileWatcher(files []string, load func() error, logger *slog.Logger) (*fileWatcher, error) {
+	w := &fileWatcher{files: files, load: load, logger: logger, checked: time.Now()}
 	stamps, err := w.stamps()
 	if err != nil {
 		return nil, err
 	}
-	w.read = stamps
+	w.loadedStamps = stamps
 	return w, load()
 }
 
-// refresh reads the files again if one has changed.
-func (w *watched) refresh() {
+// refresh reloads the files if one has changed.
+func (w *fileWatcher) refresh() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if time.Since(w.checked) < ReloadEvery {
@@ -73,41 +72,41 @@
 	}
 	w.checked = time.Now()
 	if err := w.loadChanged(); err != nil {
-		w.logRefused(err.Error())
+		w.logError(err.Error())
 		return
 	}
-	w.refused = ""
+	w.lastError = ""
 }
 
-// loadChanged reads the files if they are not those that are in force.
-func (w *watched) loadChanged() error {
+// loadChanged loads the files if they differ from the loaded ones.
+func (w *fileWatcher) loadChanged() error {
 	stamps, err := w.stamps()
-	if err != nil || slices.Equal(stamps, w.read) {
+	if err != nil || slices.Equal(stamps, w.loadedStamps) {
 		return err
 	}
 	if err := w.load(); err != nil {
 		return err
 	}
-	w.read = stamps
+	w.loadedStamps = stamps
 	return nil
 }
 
-// logRefused logs why the files cannot be read, once for each reason in a row.
-func (w *watched) logRefused(reason string) {
-	if reason == w.refused {
+// logError logs the reason of a failed reload, unless the previous reload failed for the same reason.
+func (w *fileWatcher) logError(reason string) {
+	if reason == w.lastError {
 		return
 	}
-	w.refused = reason
+	w.lastError = reason
 	event.Log(w.logger, event.KeysRefused, "error", reason)
 }
 
 // stamps returns the stamp of each file.
-func (w *watched) stamps() ([]stamp, error) {
+func (w *fileWatcher) stamps() ([]stamp, error) {
 	stamps := make([]stamp, 0, len(w.files))
 	for _, file := range w.files {
 		info, err := os.Stat(file)
 		if err != nil {
-			return nil, errors.Wrap(err, "look at key file")
+			return nil, errors.Wrap(err, "stat key file")
 		}
 		stamps = append(stamps, stamp{modified: info.ModTime(), size: info.Size()})
 	}
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// TestAnOlderFileIsReadToo guards against a certificate that is replaced and never read, since the wall clock has
-// stepped back and the new file is older than the one before.
-func TestAnOlderFileIsReadToo(t *testing.T) {
+// TestOlderFileIsReloaded guards against ignoring a replaced file that is older than the previous one, as after a
+// backward step of the wall clock.
+func TestOlderFileIsReloaded(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "tokens.yaml")
 	write := func(text string, modified time.Time) {
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -25,7 +25,7 @@
 	}
 	loads := 0
 	write("one", time.Now())
-	w, err := newWatched([]string{file}, func() error { loads++; return nil }, slog.New(slog.DiscardHandler))
+	w, err := newFileWatcher([]string{file}, func() error { loads++; return nil }, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,14 +42,13 @@
 		w.checked = time.Now().Add(-ReloadEvery)
 		w.refresh()
 		if loads != test.want {
-			t.Fatalf("%s: read %d times, want %d", test.name, loads, test.want)
+			t.Fatalf("%s: loaded %d times, want %d", test.name, loads, test.want)
 		}
 	}
 }
 
-// TestAFileThatCannotBeReadIsLogged guards against a new certificate that is never in force without a word of it:
-// each reason is logged once, for as long as it is the same.
-func TestAFileThatCannotBeReadIsLogged(t *testing.T) {
+// TestReloadErrorIsLogged guards against a failed reload that is not logged, or is logged again for the same reason.
+func TestReloadErrorIsLogged(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "tokens.yaml")
 	write := func(text string) {
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -59,27 +58,27 @@
 	var log bytes.Buffer
 	var wrong error
 	write("right")
-	w, err := newWatched([]string{file}, func() error { return wrong }, slog.New(slog.NewTextHandler(&log, nil)))
+	w, err := newFileWatcher([]string{file}, func() error { return wrong }, slog.New(slog.NewTextHandler(&log, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, test := range []struct {
 		name   string
 		change func()
-		want   int // lines until then
+		want   int // total number of log lines
 	}{
 		{"unchanged", func() {}, 0},
 		{"wrong", func() { write("wrong!"); wrong = errors.New("not a token") }, 1},
 		{"still wrong", func() {}, 1},
 		{"wrong otherwise", func() { wrong = errors.New("not a list") }, 2},
-		{"away", func() { _ = os.Remove(file) }, 3},
+		{"removed", func() { _ = os.Remove(file) }, 3},
 		{"right again", func() { write("right again"); wrong = nil }, 3},
 	} {
 		test.change()
 		w.checked = time.Now().Add(-ReloadEvery)
 		w.refresh()
 		if lines := strings.Count(log.String(), "event=108"); lines != test.want {
-			t.Fatalf("%s: %d lines, want %d: %s", test.name, lines, test.want, log.String())
+			t.Fatalf("%s: %d log lines, want %d: %s", test.name, lines, test.want, log.String())
 		}
 	}
 }
--- a/internal/keys/tokens.go
+++ b/internal/keys/tokens.go
@@ -14,18 +14,18 @@
 	"github.com/tideliftd/tidelift/internal/yamlfile"
 )
 
-// Role is what a token allows.
+// Role determines what a token permits.
 type Role string
 
 // The roles.
 const (
-	// RoleRead may ask.
+	// RoleRead permits reading.
 	RoleRead Role = "read"
-	// RoleChange may ask and change.
+	// RoleChange permits reading and changing.
 	RoleChange Role = "change"
 )
 
-// Token is one operator's token in the tokens' file, a YAML list.
+// Token is an operator's entry in the token file, a YAML list.
 type Token struct {
 	Name   string `yaml:"name" json:"name"`
 	Role   Role   `yaml:"role" json:"role"`
@@ -34,24 +34,24 @@
 
 var hashPattern = regexp.MustCompile(`^[0-9a-f]{64}$`)
 
-// TokensConfig names the tokens' file, which holds hashes and not the tokens themselves.
+// TokensConfig names the token file, which holds the hashes of the tokens.
 type TokensConfig struct {
 	File string
-	// Logger receives events of a file that cannot be read.
+	// Logger receives events about a file that cannot be read.
 	Logger *slog.Logger
 }
 
-// Tokens are the operators' tokens.
+// Tokens holds the operators' tokens.
 type Tokens struct {
 	config TokensConfig
-	watch  *watched
+	watch  *fileWatcher
 	byHash atomic.Pointer[map[string]Token]
 }
 
 // NewTokens reads the file.
 func NewTokens(config TokensConfig) (*Tokens, error) {
 	t := &Tokens{config: config}
-	watch, err := newWatched([]string{config.File}, t.load, config.Logger)
+	watch, err := newFileWatcher([]string{config.File}, t.load, config.Logger)
 	if err != nil {
 		return nil, err
 	}
@@ -87,7 +87,7 @@
 	return nil
 }
 
-// Find returns the entry of a token.
+// Find returns the entry of a token, and reports whether there is one.
 func (t *Tokens) Find(token string) (Token, bool) {
 	t.watch.refresh()
 	sum := sha256.Sum256([]byte(token))
