--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -12,7 +12,7 @@
 	"github.com/tideliftd/tidelift/internal/yamlfile"
 )
 
-// check collects everything that is wrong with the settings.
+// check collects all problems of the settings.
 func (s *Settings) check(c *yamlfile.Checker) error {
 	required(c, "$.name", s.Name, "the name of a declared host")
 	required(c, "$.data-centre", s.DataCentre, "the name of a data centre")
@@ -111,8 +111,8 @@
 	}
 }
 
-// isLoopback reports whether the address is on loopback. An address that cannot be read counts
-// as such here; address refuses it.
+// isLoopback reports whether the address is on loopback. It returns true for an address that cannot be parsed, which
+// the function address reports.
 func isLoopback(value string) bool {
 	parsed, err := netip.ParseAddrPort(value)
 	return err != nil || parsed.Addr().IsLoopback()
@@ -124,7 +124,7 @@
 	}
 }
 
-// address checks one of the addresses where daemons listen.
+// address checks an address on which daemons listen.
 func address(c *yamlfile.Checker, path, value string) { c.CheckAddress(path, value, "127.0.0.1:7400") }
 
 func positive(c *yamlfile.Checker, path string, value time.Duration) {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,11 +1,10 @@
 // Package settings reads the settings of one daemon: its name, its addresses, its limits and
-// where its declaration comes from. What the fleet serves is declared apart from them, in
-// package fleet.
+// the source of its declaration. What the fleet serves is declared separately, in package fleet.
 //
-// It owns the defaults of the settings, but for those that hold for a service: these are
-// package fleet's. It relies on yamlfile for reading and for the place of each problem. The
-// field tags are the settings file's documentation: docs/CONFIGURATION.md and the JSON Schema
-// are written from them.
+// The package owns the defaults of the settings, except those that apply to a service, which
+// belong to package fleet. It relies on yamlfile for reading and for the location of each
+// problem. The field tags document the settings file: docs/CONFIGURATION.md and the JSON Schema
+// are generated from them.
 //
 // # Usage
 //
@@ -28,36 +27,33 @@
 	"github.com/tideliftd/tidelift/internal/yamlfile"
 )
 
-// Defaults of the settings. The time and size limits are not measured; each says what it has
-// to be longer or larger than.
+// Defaults of the settings.
 const (
-	// DefaultStopLimit is as long as the longest deadline that a declaration allows, so that
-	// a planned stop can finish every request.
+	// DefaultStopLimit equals the longest deadline that a declaration allows, so that a planned stop
+	// can finish every request.
 	DefaultStopLimit = 30 * time.Second
-	// DefaultLogLevel leaves out the debug events, which come with each refusal.
+	// DefaultLogLevel omits the debug events, which are logged for each refusal.
 	DefaultLogLevel = "info"
-	// DefaultPrefix starts the keys in the platform's store.
+	// DefaultPrefix is the prefix of the keys in the platform's store.
 	DefaultPrefix = "tidelift"
-	// DefaultMaxHeader is in bytes: room for cookies and tokens of several kilobytes.
+	// DefaultMaxHeader, in bytes, leaves room for cookies and tokens of several kilobytes.
 	DefaultMaxHeader = 32 << 10
-	// DefaultHeaderTimeout is many round trips of a slow caller, and bounds how long one that
-	// sends nothing holds a connection.
+	// DefaultHeaderTimeout allows for many round trips of a slow caller, and bounds how long a
+	// silent caller holds a connection.
 	DefaultHeaderTimeout = 5 * time.Second
-	// DefaultIdleTimeout keeps a caller's connection between requests that come some times a
+	// DefaultIdleTimeout keeps a caller's connection open between requests sent a few times a
 	// minute.
 	DefaultIdleTimeout = 60 * time.Second
-	// DefaultProcessors is how many processors a daemon uses at once. It shares its host with
+	// DefaultProcessors is the number of processors that a daemon uses. It shares its host with
 	// the backend servers.
 	DefaultProcessors = 2
-	// DefaultHeapGrowth, in percent, lets the heap grow to five times what is live before it
-	// is collected. A daemon's live heap is small, so that with thousands of requests a
-	// second Go's usual 100 percent is reached many times in each. Source: two daemons took
-	// 1.25 times the processor time of two hops that decide nothing at 500 requests a
-	// second and 1.28 times at 1,000; with 100 percent 1.41 and 1.44 (one run each, 40 s).
+	// DefaultHeapGrowth, in percent, allows the heap to grow to five times the live heap before
+	// a collection. A daemon's live heap is small, so that with thousands of requests a second
+	// Go's default of 100 percent would run many collections a second.
 	DefaultHeapGrowth = 400
 )
 
-// Settings is the whole of a daemon's settings file.
+// Settings is a daemon's complete settings file.
 type Settings struct {
 	Name        string      `yaml:"name" json:"name" jsonschema:"description=The daemon's name; the declaration's host of the same name."`
 	Service     string      `yaml:"service" json:"service,omitempty" jsonschema:"description=The service of the applications on this host, whose own requests begin here."`
@@ -85,21 +81,21 @@
 	Operators     string `yaml:"operators" json:"operators" jsonschema:"description=Serves the operator API and the metrics page."`
 }
 
-// Declared names who writes the declaration.
+// Declared selects the writer of the declaration.
 type Declared string
 
 // Who writes the declaration.
 const (
-	// DeclaredByOperators means that operators apply it through a daemon. It lists hosts and
-	// backend servers.
+	// DeclaredByOperators means that operators apply the declaration through a daemon. It lists
+	// hosts and backend servers.
 	DeclaredByOperators Declared = "operators"
-	// DeclaredByPlatform means that the platform's operator writes it to the store in the
-	// platform's form. Hosts and backend servers register themselves.
+	// DeclaredByPlatform means that the platform's operator writes the declaration to the store
+	// in the platform's format. Hosts and backend servers register themselves.
 	DeclaredByPlatform Declared = "platform"
 )
 
-// Source is where the declaration comes from, and what holds for every service of which the
-// declaration does not say.
+// Source holds the source of the declaration, and the values for all services that the
+// declaration does not define.
 type Source struct {
 	Declared    Declared      `yaml:"declared" json:"declared,omitempty" jsonschema:"enum=operators,enum=platform,description=Who writes the declaration: operators through a daemon or the platform to its store. Default operators."`
 	FloorShare  float64       `yaml:"floor-share" json:"floor-share,omitempty" jsonschema:"description=The floor of a service whose backend servers register themselves as a share of them. Default 0.7."`
@@ -108,14 +104,13 @@
 	RetryWindow time.Duration `yaml:"retry-window" json:"retry-window,omitempty" jsonschema:"type=string,description=The time that retries are counted over. Default 10s."`
 }
 
-// Platform is the platform's key-value store.
+// Platform locates the platform's key-value store.
 type Platform struct {
 	Address string `yaml:"address" json:"address" jsonschema:"description=URL of the key-value service such as http://127.0.0.1:8500."`
 	Prefix  string `yaml:"prefix" json:"prefix,omitempty" jsonschema:"description=What the names of all keys start with. Default tidelift."`
 }
 
-// Keys names the files with certificates and tokens. They are read again when they
-// change.
+// Keys names the files with certificates and tokens. They are reloaded when they change.
 type Keys struct {
 	Certificate    string `yaml:"certificate" json:"certificate,omitempty" jsonschema:"description=PEM file with the daemon's certificate for the DNS name tidelift."`
 	Key            string `yaml:"key" json:"key,omitempty" jsonschema:"description=PEM file with its key."`
@@ -124,7 +119,7 @@
 	Tokens         string `yaml:"tokens" json:"tokens,omitempty" jsonschema:"description=YAML file with the operators' tokens as hashes."`
 }
 
-// MutualTLS reports whether daemons prove themselves to each other by certificates.
+// MutualTLS reports whether daemons authenticate each other by certificates.
 func (k Keys) MutualTLS() bool { return k.Certificate != "" }
 
 // Limits bounds what callers may send and how long a stop may take.
@@ -136,31 +131,31 @@
 	IdleTimeout   time.Duration `yaml:"idle-timeout" json:"idle-timeout,omitempty" jsonschema:"type=string,description=How long a caller's idle connection is kept. Default 60s."`
 }
 
-// Log bounds what is logged.
+// Log configures logging.
 type Log struct {
 	PerSecond int    `yaml:"per-second" json:"per-second,omitempty" jsonschema:"description=The most lines of a second; what goes beyond is dropped and counted. Default 500."`
 	Level     string `yaml:"level" json:"level,omitempty" jsonschema:"enum=debug,enum=info,enum=warn,enum=error,description=The least level that is logged. Default info."`
 }
 
-// Experiments names the mechanisms that are switched off.
+// Experiments names the disabled mechanisms.
 type Experiments struct {
 	Off experiment.Off `yaml:"off" json:"off,omitempty" jsonschema:"description=Names of mechanisms such as hedges; internal/experiment lists them. Default none."`
 }
 
-// Equal reports whether both settings are the same in every field.
+// Equal reports whether both settings are equal in every field.
 func (s Settings) Equal(other Settings) bool { return reflect.DeepEqual(s, other) }
 
-// SlogLevel returns the least level that is logged, info if the settings were not checked.
+// SlogLevel returns the minimum level that is logged, or info if the level is invalid.
 func (l Log) SlogLevel() slog.Level {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(l.Level)); err != nil {
-		return slog.LevelInfo // not reached: the settings were checked
+		return slog.LevelInfo // not reached, since Parse checks the level
 	}
 	return level
 }
 
-// Parse reads settings, fills in the defaults and checks them. Its error is a *yamlfile.Error
-// with every problem; file is the name to give in it.
+// Parse reads settings, applies the defaults and checks them. Its error is a *yamlfile.Error
+// with all problems, which name the given file.
 func Parse(file string, data []byte) (Settings, error) {
 	var s Settings
 	if err := yamlfile.Decode(file, data, &s); err != nil {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -34,7 +34,8 @@
 	}
 }
 
-// TestRefusals names for each wrong value the field and what to change.
+// TestRefusals guards against accepting an invalid value, and against an error that does not name the field and a
+// valid value.
 func TestRefusals(t *testing.T) {
 	tests := []struct{ name, add, field, want string }{
 		{"a wait as long as the stop", "limits: {stop: 2s, unready: 2s}", "limits.unready", "less than stop"},
@@ -50,11 +51,11 @@
 		t.Run(test.name, func(t *testing.T) {
 			_, err := settings.Parse("settings.yaml", []byte(right+test.add+"\n"))
 			if err == nil {
-				t.Fatal("it was taken")
+				t.Fatal("Parse accepted an invalid value")
 			}
 			for _, part := range []string{"settings.yaml:5", test.field, test.want} {
 				if !strings.Contains(err.Error(), part) {
-					t.Errorf("no %q in %q", part, err)
+					t.Errorf("error does not contain %q: %q", part, err)
 				}
 			}
 		})
