--- a/internal/yamlfile/yamlfile.go
+++ b/internal/yamlfile/yamlfile.go
@@ -1,5 +1,5 @@
-// Package yamlfile reads YAML files strictly and reports what is wrong with
-// them by file, line and field.
+// Package yamlfile decodes YAML files strictly and reports problems by file, line
+// and field.
 //
 // # Usage
 //
@@ -9,9 +9,9 @@
 //	problems.Add("$.services[0].floor", "is 9", "at most 3, the number of backend servers")
 //	return problems.Err()
 //
-// A field that the structs do not have is refused. A duration is written with its unit, such
-// as 1500ms. Field paths are YAMLPath as github.com/goccy/go-yaml defines it. The package keeps
-// nothing but what one Checker collects, and reads no file itself.
+// Unknown fields are refused. A duration is written with its unit, such as 1500ms. Field paths
+// are YAMLPath as defined by github.com/goccy/go-yaml. The package reads no files, and its only
+// state is that of a Checker.
 package yamlfile
 
 import (
@@ -26,17 +26,17 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// Problem is one thing that is wrong with a file.
+// Problem describes one problem in a file.
 type Problem struct {
-	// File names the file, as the caller gave it.
+	// File is the name of the file, as given by the caller.
 	File string
-	// Line counts from 1; 0 means that the place is not known.
+	// Line counts from 1; 0 means that the line is unknown.
 	Line int
 	// Field is the YAML path of the field, such as $.services[0].floor.
 	Field string
-	// Wrong is what is wrong with it, as the end of a sentence about the field.
+	// Wrong describes the problem as the end of a sentence about the field.
 	Wrong string
-	// Want is what would be right; it may be empty.
+	// Want describes valid values; it may be empty.
 	Want string
 }
 
@@ -53,7 +53,7 @@
 	return text + "; want " + p.Want
 }
 
-// Error holds every problem found in a file.
+// Error holds all problems found in a file.
 type Error struct {
 	// Problems is never empty.
 	Problems []Problem
@@ -68,8 +68,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// Decode reads data into v and refuses unknown fields. Its error is an *Error with the first
-// problem that the decoder met.
+// Decode decodes data into v and refuses unknown fields. Its error is an *Error with the first
+// problem that the decoder found.
 func Decode(file string, data []byte, v any) error {
 	err := yaml.UnmarshalWithOptions(data, v, yaml.Strict())
 	if err == nil {
@@ -78,7 +78,7 @@
 	return &Error{Problems: []Problem{decodeProblem(file, data, err)}}
 }
 
-// decodeProblem returns the decoder's error with the line and field that it names, if it does.
+// decodeProblem converts the decoder's error to a Problem, with the line and field if the error has them.
 func decodeProblem(file string, data []byte, err error) Problem {
 	problem := Problem{File: file, Wrong: err.Error()}
 	var withToken yaml.Error
@@ -101,8 +101,7 @@
 
 var invalidDuration = regexp.MustCompile(`invalid duration "(.*)"`)
 
-// valueProblem finds the place of a value that its type refused. The decoder names
-// the value alone.
+// valueProblem locates a value that its type rejected. The decoder reports only the value.
 func valueProblem(problem Problem, data []byte) Problem {
 	found := invalidDuration.FindStringSubmatch(problem.Wrong)
 	if found == nil {
@@ -126,7 +125,7 @@
 	return problem
 }
 
-// valueFinder finds the first node that holds a value.
+// valueFinder finds the first node with a value.
 type valueFinder struct {
 	value string
 	node  ast.Node
@@ -144,7 +143,7 @@
 type Checker struct {
 	file     string
 	data     []byte
-	root     *ast.File // parsed when the first problem needs its line
+	root     *ast.File // parsed on first use
 	problems []Problem
 }
 
@@ -153,7 +152,7 @@
 	return &Checker{file: file, data: data}
 }
 
-// Add records that the field at the path is wrong.
+// Add records a problem with the field at the path.
 func (c *Checker) Add(path, wrong, want string) {
 	c.problems = append(c.problems, Problem{
 		File:  c.file,
@@ -164,15 +163,15 @@
 	})
 }
 
-// CheckAddress adds a problem unless the value is an IP address with a port. The example is one
-// that would be right.
+// CheckAddress records a problem unless the value is an IP address with a port. The problem
+// names example as a valid address.
 func (c *Checker) CheckAddress(path, value, example string) {
 	if _, err := netip.ParseAddrPort(value); err != nil {
 		c.Add(path, fmt.Sprintf("is %q", value), "an IP address and port such as "+example)
 	}
 }
 
-// Err returns an *Error with every problem, or nil if there is none.
+// Err returns an *Error with all problems, or nil if there are none.
 func (c *Checker) Err() error {
 	if len(c.problems) == 0 {
 		return nil
@@ -180,7 +179,7 @@
 	return &Error{Problems: c.problems}
 }
 
-// line returns the line of the field, or of the nearest parent that is there.
+// line returns the line of the field, or of the nearest parent that exists.
 func (c *Checker) line(path string) int {
 	if c.root == nil {
 		root, err := parser.ParseBytes(c.data, 0)
