--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,9 +1,9 @@
-// Package experiment names the mechanisms that the settings can switch off, to measure what each
-// is worth.
+// Package experiment names the mechanisms that the settings can disable, to measure the effect of
+// each.
 //
-// Each of them makes answers faster, likelier or cheaper. None is needed for a guarantee: what
-// runs at most once, what "not run" means, the floor, the retry limit and what a planned stop
-// finishes cannot be switched off.
+// Each mechanism makes responses faster, more likely to succeed or cheaper. No guarantee depends on
+// them: at-most-once execution, the meaning of "not run", the floor, the retry limit and the requests
+// that a planned stop finishes cannot be disabled.
 //
 // # Usage
 //
@@ -14,7 +14,7 @@
 //
 //	if !config.Off.Has(experiment.Hedges) { ... }
 //
-// `make ablate` plays days with each of them switched off in turn.
+// `make ablate` simulates days with each of them disabled in turn.
 package experiment
 
 import "slices"
@@ -24,28 +24,27 @@
 
 // The mechanisms.
 const (
-	// Hedges sends a slow idempotent request to another backend server too.
+	// Hedges sends a slow idempotent request to a second backend server as well.
 	Hedges Mechanism = "hedges"
-	// Compression compresses bytes between data centres.
+	// Compression compresses traffic between data centres.
 	Compression Mechanism = "compression"
 	// Subrequests learns which routes backend servers call, and serves their requests first.
 	Subrequests Mechanism = "subrequests"
-	// LatencyTargets refuses a request in a crowded queue that would miss its latency target.
+	// LatencyTargets refuses requests in a crowded queue that would miss their latency target.
 	LatencyTargets Mechanism = "aims"
-	// Suspicion asks a backend server last at the first sign of failing.
+	// Suspicion ranks a backend server last at the first sign of failure.
 	Suspicion Mechanism = "suspicion"
-	// HangChecks sends requests that must not be lost elsewhere than to a backend server that
-	// seems to hang.
+	// HangChecks routes requests that must not be lost away from a backend server that seems to hang.
 	HangChecks Mechanism = "hang-checks"
 )
 
-// All returns every mechanism.
+// All returns all mechanisms.
 func All() []Mechanism {
 	return []Mechanism{Hedges, Compression, Subrequests, LatencyTargets, Suspicion, HangChecks}
 }
 
-// Off are the mechanisms that are switched off.
+// Off lists the disabled mechanisms.
 type Off []Mechanism
 
-// Has reports whether the mechanism is switched off.
+// Has reports whether the mechanism is disabled.
 func (o Off) Has(m Mechanism) bool { return slices.Contains(o, m) }
