--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,9 +1,9 @@
-// Package wait waits for a time or for a context's end, whichever comes first.
+// Package wait waits for a duration or for the end of a context, whichever comes first.
 //
 // # Usage
 //
 //	if !wait.For(ctx, time.Second) { return }
-//	if !wait.Woken(ctx, time.Second, wake) { return }
+//	if !wait.ForOrSignal(ctx, time.Second, signal) { return }
 package wait
 
 import (
@@ -11,11 +11,11 @@
 	"time"
 )
 
-// For waits for the length, or until ctx ends, and reports whether ctx goes on.
+// For waits for the duration, or until ctx ends. It reports whether ctx is still active.
 func For(ctx context.Context, length time.Duration) bool { return ForOrSignal(ctx, length, nil) }
 
-// ForOrSignal waits like For, or until there is something to receive from wake or that is closed.
-func ForOrSignal(ctx context.Context, length time.Duration, wake <-chan struct{}) bool {
+// ForOrSignal is like For, but also returns when it receives from signal or signal is closed.
+func ForOrSignal(ctx context.Context, length time.Duration, signal <-chan struct{}) bool {
 	timer := time.NewTimer(length)
 	defer timer.Stop()
 	select {
@@ -23,7 +23,7 @@
 		return false
 	case <-timer.C:
 		return true
-	case <-wake:
+	case <-signal:
 		return true
 	}
 }
