--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -1,9 +1,9 @@
-// Package version holds the version of the build, which operators see and daemons log.
+// Package version holds the version of the build, for operators and the daemon's log.
 //
 // # Usage
 //
 //	fmt.Println(version.Version)
 package version
 
-// Version is set by the linker in a release (-ldflags "-X"); builds of a checkout keep "dev".
+// Version is set by the linker in a release (-ldflags "-X"); development builds keep "dev".
 var Version = "dev"
