--- a/internal/body/body.go
+++ b/internal/body/body.go
@@ -149,7 +149,7 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for missing := b.missing(limit); missing > 0; missing = b.missing(limit) {
+	for missing := b.unread(limit); missing > 0; missing = b.unread(limit) {
 		if _, err := b.read(make([]byte, min(readAhead, missing))); err != nil && !errors.Is(err, io.EOF) {
 			return nil, err
 		}
@@ -167,14 +167,14 @@
 		return nil, ErrUnread // another read is waiting for the caller
 	}
 	defer b.mu.Unlock()
-	if b.missing(limit) > 0 {
+	if b.unread(limit) > 0 {
 		return nil, ErrUnread
 	}
 	return b.buffered[:min(len(b.buffered), limit)], nil
 }
 
-// missing returns how many bytes at most must still be read for a Peek of limit bytes. The caller holds mu.
-func (b *Body) missing(limit int) int {
+// unread returns how many bytes at most must still be read for a Peek of limit bytes. The caller holds mu.
+func (b *Body) unread(limit int) int {
 	if b.ended.Load() || b.overflowed {
 		return 0
 	}
--- a/internal/keys/certificates.go
+++ b/internal/keys/certificates.go
@@ -25,9 +25,9 @@
 
 // Certificates holds the daemon's certificate and the authority that it trusts.
 type Certificates struct {
-	config CertificatesConfig
-	watch  *fileWatcher
-	loaded atomic.Pointer[credentials]
+	config      CertificatesConfig
+	watch       *fileWatcher
+	credentials atomic.Pointer[credentials]
 }
 
 type credentials struct {
@@ -59,13 +59,13 @@
 	if !pool.AppendCertsFromPEM(authority) {
 		return errors.Errorf("%s holds no certificate", c.config.Authority)
 	}
-	c.loaded.Store(&credentials{own: own, authority: pool})
+	c.credentials.Store(&credentials{own: own, authority: pool})
 	return nil
 }
 
 func (c *Certificates) current() *credentials {
 	c.watch.refresh()
-	return c.loaded.Load()
+	return c.credentials.Load()
 }
 
 // Server returns the TLS configuration of a listener that accepts only daemons.
--- a/internal/serve/conn_test.go
+++ b/internal/serve/conn_test.go
@@ -182,15 +182,15 @@
 // the connection idle until it has read the whole head, and may close it in the meantime.
 func TestCloseWaitsForARunningHandler(t *testing.T) {
 	here, there := net.Pipe()
-	var open atomic.Int64
-	c := &conn{Conn: here, closing: &open, phase: phaseIdle}
+	var closing atomic.Int64
+	c := &conn{Conn: here, closing: &closing, phase: phaseIdle}
 	if !c.beginRequest() {
 		t.Fatal("beginRequest returned false on an open connection")
 	}
 	if err := c.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if open.Load() != 1 {
+	if closing.Load() != 1 {
 		t.Fatal("the connection is not counted as closing while its handler runs")
 	}
 	var answered sync.WaitGroup
@@ -203,7 +203,7 @@
 		t.Fatalf("read %q, %v", data, err)
 	}
 	answered.Wait()
-	if open.Load() != 0 {
+	if closing.Load() != 0 {
 		t.Fatal("the connection is still counted as closing")
 	}
 }
