--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -126,9 +126,9 @@
 	Customer string
 	// Priority is the rank; 0 is served first.
 	Priority int
-	// TargetAt is the latency target: the time by which the answer should arrive; zero if there
+	// LatencyTargetAt is the latency target: the time by which the answer should arrive; zero if there
 	// is none.
-	TargetAt time.Time
+	LatencyTargetAt time.Time
 	// TypicalLatency is how long an answer typically takes; zero if that is not known.
 	TypicalLatency time.Duration
 	// Deadline is the time by which the answer has to arrive.
@@ -217,7 +217,7 @@
 	if typical == 0 {
 		typical = q.serviceTime
 	}
-	return !r.TargetAt.IsZero() && from.Add(typical).After(r.TargetAt)
+	return !r.LatencyTargetAt.IsZero() && from.Add(typical).After(r.LatencyTargetAt)
 }
 
 // countAhead returns the number of waiting requests that are served before a new one of the
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -112,7 +112,7 @@
 	q := admission.NewQueue(admission.Config{Slots: 1, Depth: 10})
 	for id, target := range []time.Duration{time.Second, 50 * time.Millisecond, 60 * time.Millisecond, time.Second} {
 		r := request(uint64(id)+1, "a")
-		r.TargetAt = start.Add(target)
+		r.LatencyTargetAt = start.Add(target)
 		q.Offer(start, r)
 	}
 	late := start.Add(55 * time.Millisecond)
@@ -219,7 +219,7 @@
 	q := admission.NewQueue(admission.Config{Slots: 2, Depth: 100})
 	offer := func(id uint64, target time.Duration) admission.Verdict {
 		return q.Offer(now, admission.Request{
-			ID: id, TargetAt: now.Add(target), TypicalLatency: 400 * time.Millisecond, Deadline: now.Add(time.Minute),
+			ID: id, LatencyTargetAt: now.Add(target), TypicalLatency: 400 * time.Millisecond, Deadline: now.Add(time.Minute),
 		}).Verdict
 	}
 	for id := range uint64(4) {
--- a/internal/admission/line.go
+++ b/internal/admission/line.go
@@ -40,7 +40,7 @@
 // Late requests come last because, with many customers waiting with one request each, serving
 // them in turn leaves too few slots for requests that can still be in time.
 func (l *level) popNext(ready time.Time) Request {
-	next := l.firstMatching(func(r Request) bool { return r.TargetAt.IsZero() || !r.TargetAt.Before(ready) })
+	next := l.firstMatching(func(r Request) bool { return r.LatencyTargetAt.IsZero() || !r.LatencyTargetAt.Before(ready) })
 	if next < 0 {
 		next = l.firstMatching(func(Request) bool { return true })
 	}
--- a/internal/admission/many_test.go
+++ b/internal/admission/many_test.go
@@ -70,11 +70,11 @@
 		}
 		total++
 		id := uint64(total)
-		r := admission.Request{ID: id, Customer: fmt.Sprint(random.IntN(c.customers)), TargetAt: now.Add(c.target), TypicalLatency: c.serviceTime, Deadline: now.Add(c.deadline)}
+		r := admission.Request{ID: id, Customer: fmt.Sprint(random.IntN(c.customers)), LatencyTargetAt: now.Add(c.target), TypicalLatency: c.serviceTime, Deadline: now.Add(c.deadline)}
 		if random.Float64() >= c.urgent {
 			r.Priority = 1
 		}
-		targets[id], arrivedAt[id] = r.TargetAt, now
+		targets[id], arrivedAt[id] = r.LatencyTargetAt, now
 		switch decision := q.Offer(now, r); decision.Verdict {
 		case admission.Granted:
 			grant(now, []uint64{id})
--- a/internal/attempts/attempts.go
+++ b/internal/attempts/attempts.go
@@ -78,7 +78,7 @@
 	MaxSent int
 	// StartedAt is the time at which the request arrived.
 	StartedAt time.Time
-	// TargetAt is the time by which the request should be answered (its latency target). Until then
+	// LatencyTargetAt is the time by which the request should be answered (its latency target). Until then
 	// it may wait in a crowded queue.
-	TargetAt time.Time
+	LatencyTargetAt time.Time
 }
--- a/internal/attempts/choose.go
+++ b/internal/attempts/choose.go
@@ -129,6 +129,6 @@
 
 // hasTimeToReselect reports whether the request has time for another selection.
 func (r Request) hasTimeToReselect(now time.Time) bool {
-	searchTime := r.TargetAt.Sub(r.StartedAt) / selectionTimeDivisor
+	searchTime := r.LatencyTargetAt.Sub(r.StartedAt) / selectionTimeDivisor
 	return searchTime-now.Sub(r.StartedAt) > SelectionRetryDelay
 }
--- a/internal/attempts/choose_test.go
+++ b/internal/attempts/choose_test.go
@@ -32,7 +32,7 @@
 
 // requestTo returns an idempotent request to the service that arrived at start.
 func requestTo(s *attempts.Service) attempts.Request {
-	return attempts.Request{Service: s, MaxSent: 2, StartedAt: start, TargetAt: start.Add(4 * time.Second)}
+	return attempts.Request{Service: s, MaxSent: 2, StartedAt: start, LatencyTargetAt: start.Add(4 * time.Second)}
 }
 
 // queryAll refuses each choice as busy until the request is to wait at a target, and returns the
--- a/internal/attempts/retry.go
+++ b/internal/attempts/retry.go
@@ -25,7 +25,7 @@
 	switch {
 	case bodyConsumed || class.Final:
 		return false
-	case class.Target == failures.QueueFull && now.After(r.TargetAt):
+	case class.Target == failures.QueueFull && now.After(r.LatencyTargetAt):
 		return false // the other queues are as full, and the latency target has passed
 	case class.Target == failures.QueueFull:
 		return h.FullQueues < MaxFullQueues || r.Subrequest
--- a/internal/attempts/retry_test.go
+++ b/internal/attempts/retry_test.go
@@ -17,9 +17,9 @@
 	began := time.Now()
 	target := began.Add(time.Second)
 	inTime, tooLate := began, target.Add(1)
-	nonIdempotent := attempts.Request{NonIdempotent: true, MaxSent: 2, TargetAt: target}
-	idempotent := attempts.Request{MaxSent: 2, TargetAt: target}
-	subrequest := attempts.Request{MaxSent: 2, TargetAt: target, Subrequest: true}
+	nonIdempotent := attempts.Request{NonIdempotent: true, MaxSent: 2, LatencyTargetAt: target}
+	idempotent := attempts.Request{MaxSent: 2, LatencyTargetAt: target}
+	subrequest := attempts.Request{MaxSent: 2, LatencyTargetAt: target, Subrequest: true}
 	tests := []struct {
 		name    string
 		request attempts.Request
--- a/internal/hop/call.go
+++ b/internal/hop/call.go
@@ -12,9 +12,9 @@
 	BackendServer string
 	// TimeLeft is the time until the caller's deadline.
 	TimeLeft time.Duration
-	// TargetLeft is what remains of the request's latency target; zero or less if the target has
+	// LatencyTargetLeft is what remains of the request's latency target; zero or less if the target has
 	// passed.
-	TargetLeft time.Duration
+	LatencyTargetLeft time.Duration
 	// LatencyTarget is the route's latency target; zero if unknown.
 	LatencyTarget time.Duration
 	// SlowAfter is how long a request of the route runs before it counts as slow, because nearly
--- a/internal/hop/encode.go
+++ b/internal/hop/encode.go
@@ -12,20 +12,20 @@
 // wireCall is the encoded form of a call: an array without field names, with times in microseconds
 // and the flags in one number, which keeps the traffic between data centres small.
 type wireCall struct {
-	_             struct{} `cbor:",toarray"`
-	BackendServer string
-	Flags         uint64
-	TimeLeft      int64
-	TargetLeft    int64
-	LatencyTarget int64
-	SlowAfter     int64
-	Usual         int64
-	Priority      int
-	Customer      string
-	Reservation   string
-	Origin        string
-	Host          string
-	Baseline      string
+	_                 struct{} `cbor:",toarray"`
+	BackendServer     string
+	Flags             uint64
+	TimeLeft          int64
+	LatencyTargetLeft int64
+	LatencyTarget     int64
+	SlowAfter         int64
+	TypicalLatency    int64
+	Priority          int
+	Customer          string
+	Reservation       string
+	Origin            string
+	Host              string
+	Baseline          string
 }
 
 // Flags of a call.
@@ -44,19 +44,19 @@
 // Encode sets the header of the call.
 func (c Call) Encode(h http.Header) error {
 	data, err := cbor.Marshal(wireCall{
-		BackendServer: c.BackendServer,
-		Flags:         c.flags(),
-		TimeLeft:      c.TimeLeft.Microseconds(),
-		TargetLeft:    nonNegativeMicros(c.TargetLeft),
-		LatencyTarget: nonNegativeMicros(c.LatencyTarget),
-		SlowAfter:     nonNegativeMicros(c.SlowAfter),
-		Usual:         nonNegativeMicros(c.TypicalLatency),
-		Priority:      c.Priority,
-		Customer:      c.Customer,
-		Reservation:   c.Reservation,
-		Origin:        c.Origin,
-		Host:          c.Host,
-		Baseline:      c.Baseline,
+		BackendServer:     c.BackendServer,
+		Flags:             c.flags(),
+		TimeLeft:          c.TimeLeft.Microseconds(),
+		LatencyTargetLeft: nonNegativeMicros(c.LatencyTargetLeft),
+		LatencyTarget:     nonNegativeMicros(c.LatencyTarget),
+		SlowAfter:         nonNegativeMicros(c.SlowAfter),
+		TypicalLatency:    nonNegativeMicros(c.TypicalLatency),
+		Priority:          c.Priority,
+		Customer:          c.Customer,
+		Reservation:       c.Reservation,
+		Origin:            c.Origin,
+		Host:              c.Host,
+		Baseline:          c.Baseline,
 	})
 	if err != nil {
 		return errors.Wrap(err, "encode call")
@@ -102,24 +102,24 @@
 // call returns the decoded call.
 func (w wireCall) call() Call {
 	return Call{
-		BackendServer:    w.BackendServer,
-		TimeLeft:         micros(w.TimeLeft),
-		TargetLeft:       micros(w.TargetLeft),
-		LatencyTarget:    micros(w.LatencyTarget),
-		SlowAfter:        micros(w.SlowAfter),
-		TypicalLatency:   micros(w.Usual),
-		Priority:         w.Priority,
-		Customer:         w.Customer,
-		Reservation:      w.Reservation,
-		Origin:           w.Origin,
-		Host:             w.Host,
-		Baseline:         w.Baseline,
-		NonIdempotent:    w.Flags&flagNonIdempotent != 0,
-		WantReservation:  w.Flags&flagWantReservation != 0,
-		DespiteSuspicion: w.Flags&flagDespiteSuspicion != 0,
-		RefuseIfBusy:     w.Flags&flagRefuseIfBusy != 0,
-		RefuseIfHanging:  w.Flags&flagRefuseIfHanging != 0,
-		Retry:            w.Flags&flagRetry != 0,
+		BackendServer:     w.BackendServer,
+		TimeLeft:          micros(w.TimeLeft),
+		LatencyTargetLeft: micros(w.LatencyTargetLeft),
+		LatencyTarget:     micros(w.LatencyTarget),
+		SlowAfter:         micros(w.SlowAfter),
+		TypicalLatency:    micros(w.TypicalLatency),
+		Priority:          w.Priority,
+		Customer:          w.Customer,
+		Reservation:       w.Reservation,
+		Origin:            w.Origin,
+		Host:              w.Host,
+		Baseline:          w.Baseline,
+		NonIdempotent:     w.Flags&flagNonIdempotent != 0,
+		WantReservation:   w.Flags&flagWantReservation != 0,
+		DespiteSuspicion:  w.Flags&flagDespiteSuspicion != 0,
+		RefuseIfBusy:      w.Flags&flagRefuseIfBusy != 0,
+		RefuseIfHanging:   w.Flags&flagRefuseIfHanging != 0,
+		Retry:             w.Flags&flagRetry != 0,
 	}
 }
 
--- a/internal/hop/hop_test.go
+++ b/internal/hop/hop_test.go
@@ -12,7 +12,7 @@
 	want := hop.Call{
 		BackendServer: "csepel/lookup-1", TimeLeft: 1500 * time.Millisecond, Customer: "county-7", NonIdempotent: true,
 		WantReservation: true, Reservation: "t", Baseline: "1,2,3,4,5", Origin: "records", Priority: 2, DespiteSuspicion: true, RefuseIfBusy: true,
-		RefuseIfHanging: true, Host: "csepel-1", TargetLeft: 500 * time.Millisecond, LatencyTarget: 800 * time.Millisecond, TypicalLatency: 700 * time.Millisecond,
+		RefuseIfHanging: true, Host: "csepel-1", LatencyTargetLeft: 500 * time.Millisecond, LatencyTarget: 800 * time.Millisecond, TypicalLatency: 700 * time.Millisecond,
 		SlowAfter: 300 * time.Millisecond,
 	}
 	h := http.Header{}
@@ -61,7 +61,7 @@
 func TestACallIsShort(t *testing.T) {
 	h := http.Header{}
 	call := hop.Call{
-		BackendServer: "lookup-123", TimeLeft: 1500 * time.Millisecond, TargetLeft: 500 * time.Millisecond, LatencyTarget: 800 * time.Millisecond,
+		BackendServer: "lookup-123", TimeLeft: 1500 * time.Millisecond, LatencyTargetLeft: 500 * time.Millisecond, LatencyTarget: 800 * time.Millisecond,
 		TypicalLatency: 700 * time.Millisecond, NonIdempotent: true, WantReservation: true, RefuseIfBusy: true, RefuseIfHanging: true, Origin: "records",
 		Host: "host-twenty-letters1",
 	}
--- a/internal/ingress/admit.go
+++ b/internal/ingress/admit.go
@@ -116,11 +116,11 @@
 		customer:      a.caller.name,
 		queueCustomer: in.queueCustomer(a.state, a.caller),
 		terms: attempts.Request{
-			Service:       &service.attempts,
-			NonIdempotent: !a.match.Idempotent(r.Method),
-			MaxSent:       a.match.Attempts,
-			StartedAt:     now,
-			TargetAt:      now.Add(target),
+			Service:         &service.attempts,
+			NonIdempotent:   !a.match.Idempotent(r.Method),
+			MaxSent:         a.match.Attempts,
+			StartedAt:       now,
+			LatencyTargetAt: now.Add(target),
 		},
 		priority: a.caller.priority,
 		body:     body.New(w, r, a.match.MaxBody),
@@ -130,7 +130,7 @@
 		mayBeSubrequest: a.state.mayBeSubrequest(a.caller),
 	}
 	if in.disabled.latencyTargets {
-		admitted.terms.TargetAt = admitted.deadline
+		admitted.terms.LatencyTargetAt = admitted.deadline
 	}
 	return admitted
 }
@@ -142,7 +142,7 @@
 		return
 	}
 	r.terms.Subrequest = true
-	r.terms.TargetAt = r.deadline
+	r.terms.LatencyTargetAt = r.deadline
 	r.priority = subrequestPriority
 }
 
--- a/internal/ingress/disabled_test.go
+++ b/internal/ingress/disabled_test.go
@@ -32,7 +32,7 @@
 			t.Errorf("%q disabled: no hedges: %t, hanging ignored: %t", mechanism, s.attempts.NoHedges, s.attempts.IgnoreHanging)
 		}
 		first := admitted(t, in)
-		if waitsForDeadline := first.terms.TargetAt.Equal(first.deadline); waitsForDeadline != (mechanism == experiment.LatencyTargets) {
+		if waitsForDeadline := first.terms.LatencyTargetAt.Equal(first.deadline); waitsForDeadline != (mechanism == experiment.LatencyTargets) {
 			t.Errorf("%q disabled: a request waits until its deadline: %t", mechanism, waitsForDeadline)
 		}
 		in.MarkSubrequestRoutes([]route.Name{first.route})
--- a/internal/sidecar/acquire.go
+++ b/internal/sidecar/acquire.go
@@ -14,12 +14,12 @@
 // newRequest returns the call's request for a slot.
 func newRequest(id uint64, call hop.Call, deadline time.Time) admission.Request {
 	return admission.Request{
-		ID:             id,
-		Customer:       call.Customer,
-		Priority:       call.Priority,
-		TargetAt:       deadline.Add(call.TargetLeft - call.TimeLeft),
-		TypicalLatency: call.TypicalLatency,
-		Deadline:       deadline,
+		ID:              id,
+		Customer:        call.Customer,
+		Priority:        call.Priority,
+		LatencyTargetAt: deadline.Add(call.LatencyTargetLeft - call.TimeLeft),
+		TypicalLatency:  call.TypicalLatency,
+		Deadline:        deadline,
 	}
 }
 
--- a/internal/sidecar/acquire_test.go
+++ b/internal/sidecar/acquire_test.go
@@ -21,7 +21,7 @@
 // BenchmarkAcquire acquires and releases a slot of a backend server, each by a message to its task.
 func BenchmarkAcquire(b *testing.B) {
 	s := newTestServer(b)
-	call := hop.Call{Customer: "county-7", Host: "obuda-1", TimeLeft: time.Minute, TargetLeft: time.Second}
+	call := hop.Call{Customer: "county-7", Host: "obuda-1", TimeLeft: time.Minute, LatencyTargetLeft: time.Second}
 	b.ReportAllocs()
 	for b.Loop() {
 		slot, err := s.acquire(b.Context(), 1, call)
