--- a/internal/quota/collector.go
+++ b/internal/quota/collector.go
@@ -3,16 +3,15 @@
 import "time"
 
 const (
-	// reporterTTL is how long a reporter counts as present after a report. At the usual pause
-	// between reports two may be lost.
+	// reporterTTL is how long a reporter counts as present after a report. Two
+	// consecutive reports may be lost.
 	reporterTTL = time.Second
-	// forwardEvery is the minimum pause between two reports of a collector to the ledger.
+	// forwardEvery is the minimum interval between two reports of a collector to the ledger.
 	forwardEvery = 100 * time.Millisecond
 	// verdictKeptFor is how long a collector sends its last verdict to a new ledger.
 	verdictKeptFor = 2 * time.Second
-	// verdictFreshFor is how long a collector returns its last verdict to gates. An older one
-	// would let a gate conclude that a customer is below its limit while the ledger is gone and
-	// the rate rises.
+	// verdictFreshFor is how long a collector returns its last verdict to gates. With an older one
+	// a gate could exceed a limit if the rate rises while the ledger is gone.
 	verdictFreshFor = 300 * time.Millisecond
 )
 
--- a/internal/quota/gate.go
+++ b/internal/quota/gate.go
@@ -6,28 +6,27 @@
 	// urgentCount is the number of unreported requests of one customer that makes a report
 	// urgent.
 	urgentCount = 3
-	// urgentEvery is the minimum pause between urgent reports, and between reports before the
+	// urgentEvery is the minimum interval between urgent reports, and between reports before the
 	// first verdict.
 	urgentEvery = 100 * time.Millisecond
-	// awaitEvery is the minimum pause between reports while the gate refuses requests until the
+	// awaitEvery is the minimum interval between reports while the gate refuses requests until the
 	// next verdict.
 	awaitEvery = 20 * time.Millisecond
-	// nearEvery is the pause while a customer is near or beyond its limit. It is shorter than
-	// reportEvery, so that shares rise soon after the customer is below its limit again.
+	// nearEvery is the interval between reports while a customer is near or beyond its limit. It is
+	// shorter than reportEvery, so that shares rise soon after the customer is below its limit again.
 	nearEvery = 200 * time.Millisecond
-	// reportEvery is the pause between other reports. Together with a collector's pause it stays
-	// below half a second, which bounds the requests admitted before a rise in a customer's rate
-	// is counted.
+	// reportEvery is the interval between other reports. With forwardEvery added it stays below half
+	// a second, which bounds the requests admitted before a rise in a customer's rate is counted.
 	reportEvery = 400 * time.Millisecond
 )
 
 const (
-	// unconfirmedPart is the factor on a host's part of the burst that gives maxUnconfirmed. It
+	// unconfirmedFactor is multiplied by a host's share of the burst to get maxUnconfirmed. It
 	// allows for an uneven spread of callers.
-	unconfirmedPart = 2.0
-	// unconfirmedPartEarly is the factor before the first verdict. It is smaller, because with
+	unconfirmedFactor = 2.0
+	// earlyUnconfirmedFactor is the factor before the first verdict. It is smaller, because with
 	// frequent restarts each start grants this amount again.
-	unconfirmedPartEarly = 0.5
+	earlyUnconfirmedFactor = 0.5
 )
 
 const (
@@ -36,7 +35,7 @@
 	maxRetryAfter = 5 * time.Second
 )
 
-// Decision says whether a request is admitted.
+// Decision holds whether a request is admitted.
 type Decision struct {
 	Admitted bool
 	// RetryAfter is the delay after which the limit has room for a refused request.
@@ -104,16 +103,16 @@
 }
 
 // maxUnconfirmed returns the number of requests of one customer that are admitted between two
-// verdicts: twice this host's part of the burst, which the bucket holds while the customer is
-// below its limit. It bounds what a flood gets before the ledger has counted it. When it is
-// used up, the gate reports immediately, so that a customer whose callers are all on one host
-// waits for a single answer and is not limited otherwise.
+// verdicts: a multiple of this host's share of the burst, which the bucket holds while the customer
+// is below its limit. It bounds the requests of a flood that are admitted before the ledger has
+// counted it. When it is used up, the gate reports immediately, so that a customer whose callers
+// are all on one host only waits for one answer.
 func (g *Gate) maxUnconfirmed(limit Limit) float64 {
-	part := limit.Burst / float64(max(1, g.hosts))
+	burstShare := limit.Burst / float64(max(1, g.hosts))
 	if !g.hasVerdict {
-		return max(1, unconfirmedPartEarly*part)
+		return max(1, earlyUnconfirmedFactor*burstShare)
 	}
-	return max(urgentCount, unconfirmedPart*part)
+	return max(urgentCount, unconfirmedFactor*burstShare)
 }
 
 // spend adds the share to the customer's credit and takes one request from it, and reports
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -12,55 +12,51 @@
 	// rateWindow is the time constant of the decaying request rate. It is shorter than the
 	// horizon, so that a rise is visible within it.
 	rateWindow = 400 * time.Millisecond
-	// leeway is the debt in requests that a bucket may have before the customer gets a share of
-	// its requests only. At a few requests per second the rate cannot be estimated within half a
-	// second.
+	// leeway is the debt, in requests, up to which all of a customer's requests are admitted. It
+	// allows for the uncertain estimate of a rate of a few requests per second.
 	leeway = 5
-	// reportedBelow is the part of its burst below which a bucket's level is included in the
+	// reportedBelow is the fraction of its burst below which a bucket's level is included in the
 	// verdict, so that another ledger can continue from it.
 	reportedBelow = 0.5
 	// adoptOwnFor is how long a new ledger adopts levels from verdicts under its own name, which
-	// an earlier start of it may have given. Levels of other ledgers are adopted at any time:
-	// while daemons restart, reports can move to another host and back within a second, and the
-	// buckets here have filled in between.
+	// its previous incarnation may have sent. Levels of other ledgers are always adopted, since
+	// reports can move to another host and back while the buckets here fill.
 	adoptOwnFor = time.Second
-	// warmUpFor is how long a ledger counts before it gives a verdict. After a simultaneous
-	// start each daemon needs this time to report twice; before, a customer far above its usual
-	// rate appears to send few requests.
+	// warmUpFor is how long a ledger counts before it gives a verdict, so that each daemon can
+	// report twice after a simultaneous start. Earlier rates would be underestimated.
 	warmUpFor = 250 * time.Millisecond
 	// minRateAge is the minimum time over which the rate of a new bucket is computed.
 	minRateAge = 100 * time.Millisecond
 	// startupInflow is the time whose inflow a bucket starts with after a simultaneous start. It
 	// is less than the restart time of a daemon, in which no request is admitted.
 	startupInflow = 400 * time.Millisecond
-	// minStartupPart is the minimum part of the hosts that a ledger assumes within startupWithin
-	// after a simultaneous start, since the daemons return one after the other while their
-	// callers continue to send requests. If the fleet is in two partitions at that time, they
-	// may together exceed the limit by three quarters of a second's requests.
-	minStartupPart = 0.75
-	startupWithin  = 1500 * time.Millisecond
+	// minStartupFraction is the minimum fraction of the hosts that a ledger assumes within
+	// startupWithin after a simultaneous start, since daemons return one by one while callers keep
+	// sending. Two partitions at that time may together exceed the limit by 0.75 s of requests.
+	minStartupFraction = 0.75
+	startupWithin      = 1500 * time.Millisecond
 	// returnWithin is how long after their reports ended hosts can return without counting as
 	// partitioned. A restarted collector has reports of all its hosts within this time.
 	returnWithin = time.Second
-	// minBurst is the minimum burst of a bucket, regardless of the part of the fleet.
+	// minBurst is the minimum burst of a bucket, regardless of the fraction of hosts that report.
 	minBurst = 1
 )
 
 // Ledger keeps the buckets of all customers for the hosts that report to it.
 type Ledger struct {
-	name       string
-	limits     map[string]Limit
-	buckets    map[string]*bucket
-	reporters  reporters
-	known      int     // number of declared hosts
-	filledPart float64 // part of the known hosts that the buckets are filled for
-	lostPart   float64 // part recently taken from the buckets, last at lostAt
-	lostAt     time.Time
-	startedAt  time.Time
-	hadVerdict bool // a reporter had a verdict before, so that not all daemons have just started
-}
-
-// bucket is a customer's token bucket; a token is good for one request.
+	name           string
+	limits         map[string]Limit
+	buckets        map[string]*bucket
+	reporters      reporters
+	known          int     // number of declared hosts
+	filledFraction float64 // fraction of the known hosts that the buckets are filled for
+	lostFraction   float64 // fraction recently taken from the buckets, last at lostAt
+	lostAt         time.Time
+	startedAt      time.Time
+	hadVerdict     bool // a reporter had a verdict before, so that not all daemons have just started
+}
+
+// bucket is a customer's token bucket; each request takes one token.
 type bucket struct {
 	level     float64
 	sum       float64 // number of requests, each with a weight that decays over rateWindow
@@ -89,60 +85,61 @@
 	if l.reporters.hosts(now) == 0 {
 		l.startedAt, l.hadVerdict = now, false // no recent report: the state is outdated
 		clear(l.buckets)
-		l.filledPart, l.lostPart = 0, 0
+		l.filledFraction, l.lostFraction = 0, 0
 	}
 	l.hadVerdict = l.hadVerdict || r.HadVerdict || r.LastVerdict.Known
 	l.reporters[r.From] = reporter{at: now, hosts: r.Hosts}
-	part := l.reportingPart(now)
-	l.resize(now, part)
+	fraction := l.reportingFraction(now)
+	l.resize(now, fraction)
 	if r.LastVerdict.LedgerHost != l.name || now.Sub(l.startedAt) < adoptOwnFor {
-		l.adoptLevels(now, part, r.LastVerdict)
+		l.adoptLevels(now, fraction, r.LastVerdict)
 	}
 	for _, c := range r.Counts {
 		if limit, limited := l.limits[c.Customer]; limited {
-			l.bucket(now, c.Customer, limit).add(now, limit.scale(part), c)
+			l.bucket(now, c.Customer, limit).add(now, limit.scale(fraction), c)
 		}
 	}
-	return l.verdict(now, part)
+	return l.verdict(now, fraction)
 }
 
-// reportingPart returns the share of the known hosts that report here. Shortly after a
-// simultaneous start, hosts that have not returned yet are included, up to minStartupPart.
-func (l *Ledger) reportingPart(now time.Time) float64 {
-	part := min(1, float64(l.reporters.hosts(now))/float64(max(1, l.known)))
+// reportingFraction returns the fraction of the known hosts that report here. Shortly after a
+// simultaneous start, hosts that have not returned yet are included, up
+// to minStartupFraction.
+func (l *Ledger) reportingFraction(now time.Time) float64 {
+	fraction := min(1, float64(l.reporters.hosts(now))/float64(max(1, l.known)))
 	if !l.hadVerdict && now.Sub(l.startedAt) < startupWithin {
-		return max(minStartupPart, part)
+		return max(minStartupFraction, fraction)
 	}
-	return part
+	return fraction
 }
 
-// resize fills the buckets for the given part of the hosts from now on. Hosts that no longer
+// resize fills the buckets for the given fraction of the hosts from now on. Hosts that no longer
 // report may be partitioned with a ledger of their own, whose buckets have been filled for them
 // since their last report here; that inflow is taken out of the buckets here, or a flood that
 // begins with the partition would exceed the limit. Hosts that return within returnWithin were
 // not partitioned, but their collector has restarted; their inflow is put back.
-func (l *Ledger) resize(now time.Time, part float64) {
-	change := part - l.filledPart
-	l.filledPart = part
+func (l *Ledger) resize(now time.Time, fraction float64) {
+	change := fraction - l.filledFraction
+	l.filledFraction = fraction
 	switch {
 	case change < 0:
-		l.lostPart, l.lostAt = l.lostPart-change, now
+		l.lostFraction, l.lostAt = l.lostFraction-change, now
 	case now.Sub(l.lostAt) < returnWithin:
-		change = min(change, l.lostPart)
-		l.lostPart -= change
+		change = min(change, l.lostFraction)
+		l.lostFraction -= change
 	default:
-		l.lostPart = 0
+		l.lostFraction = 0
 		return
 	}
 	for customer, b := range l.buckets {
 		limit := l.limits[customer]
-		b.fill(now, limit.scale(part))
+		b.fill(now, limit.scale(fraction))
 		b.level += change * limit.Rate * reporterTTL.Seconds()
 	}
 }
 
 // adoptLevels sets the buckets to the levels in the verdict of a previous ledger.
-func (l *Ledger) adoptLevels(now time.Time, part float64, last Verdict) {
+func (l *Ledger) adoptLevels(now time.Time, fraction float64, last Verdict) {
 	if !last.Known {
 		return
 	}
@@ -151,7 +148,7 @@
 		levels[s.Customer] = s.Level
 	}
 	for customer, declared := range l.limits {
-		limit := declared.scale(part)
+		limit := declared.scale(fraction)
 		level, reported := levels[customer]
 		if !reported {
 			level = limit.Burst
@@ -182,9 +179,9 @@
 	return b
 }
 
-// scale returns the limit for a part of the fleet.
-func (l Limit) scale(part float64) Limit {
-	return Limit{Rate: l.Rate * part, Burst: max(minBurst, l.Burst*part)}
+// scale returns the limit for a fraction of the hosts.
+func (l Limit) scale(fraction float64) Limit {
+	return Limit{Rate: l.Rate * fraction, Burst: max(minBurst, l.Burst*fraction)}
 }
 
 // add fills the bucket up to now and takes out the admitted requests.
@@ -222,13 +219,13 @@
 
 // verdict returns the allowances of the customers near their limit. It is unknown during
 // warmUpFor.
-func (l *Ledger) verdict(now time.Time, part float64) Verdict {
+func (l *Ledger) verdict(now time.Time, fraction float64) Verdict {
 	if now.Sub(l.startedAt) < warmUpFor {
 		return Verdict{}
 	}
 	v := Verdict{Known: true, LedgerHost: l.name}
 	for customer, b := range l.buckets {
-		limit := l.limits[customer].scale(part)
+		limit := l.limits[customer].scale(fraction)
 		b.fill(now, limit)
 		share := b.share(limit)
 		if share < 1 || b.level < reportedBelow*limit.Burst {
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -41,14 +41,14 @@
 //   - A report that may have been lost is sent again: a count that arrives twice makes the
 //     limit stricter for a moment, whereas a lost one would make it laxer.
 //
-//   - A gate that has admitted its part of a customer's burst without a verdict of the ledger
-//     reports immediately and refuses requests until the report is answered. This bounds what
-//     a flood gets before the ledger has counted it.
+//   - A gate that has used up its share of a customer's burst without a verdict of the ledger
+//     reports immediately and refuses requests until the report is answered. This bounds the
+//     requests of a flood that are admitted before the ledger has counted it.
 //
 // The bound: in any time w all partitions together admit at most rate*w + burst, plus the
 // requests that arrive within one reporting delay after the customer's rate rises, as far as
-// the bucket has not recovered them by the end of w, plus one request for each partition.
-// TestSimulatedFleetKeepsLimits checks it.
+// the bucket has not recovered them by the end of w, plus one request for each partition
+// (TestSimulatedFleetKeepsLimits).
 //
 // Units: rates are in requests per second; bursts, levels and counts in requests; shares from
 // 0 to 1. A Gate, Collector or Ledger has no clock, socket or goroutine and is not safe for
@@ -59,7 +59,7 @@
 type Limit struct {
 	// Rate is in requests per second and greater than zero.
 	Rate float64
-	// Burst is the number of requests allowed at once beyond the rate.
+	// Burst is the number of requests allowed beyond the rate in a burst.
 	Burst float64
 }
 
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -39,9 +39,8 @@
 	}
 }
 
-// TestFloodPartitionAndRestartsKeepLimits guards against a flood that exceeds the rule when it
-// begins with a partition of half of the hosts while a fifth restart each second. The seed once
-// exceeded it.
+// TestFloodPartitionAndRestartsKeepLimits guards against a regression with a seed that exceeded
+// the rule in a flood with a partition of half of the hosts and restarts of a fifth each second.
 func TestFloodPartitionAndRestartsKeepLimits(t *testing.T) {
 	const seed = 0x17354e
 	if f := simulate(simEvent{hot: 9, partitioned: 0.5, restart: 0.2}, collected(), seed); f.excess > 0 {
@@ -114,9 +113,9 @@
 	}
 }
 
-// TestARefusalSaysWhenThereIsRoom guards against a retry delay after which the customer is
+// TestRetryDelayOfARefusalSuffices guards against a retry delay after which the customer is
 // refused again.
-func TestARefusalSaysWhenThereIsRoom(t *testing.T) {
+func TestRetryDelayOfARefusalSuffices(t *testing.T) {
 	h := newOneHost(10, 20)
 	var after time.Duration
 	for range 20 {
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -229,9 +229,8 @@
 	{name: "limit to a fifth", hot: 2, lowered: 0.2, maxLost: 0.05},
 }
 
-// TestSimulatedFleetKeepsLimits guards against windows beyond the rule and needless refusals
-// below the limit, for each event. The other strategies run for comparison, with the results in
-// docs/design/0012-customers.md.
+// TestSimulatedFleetKeepsLimits guards against windows beyond the rule and needless refusals below
+// the limit. The other strategies are for comparison (docs/design/0012-customers.md).
 func TestSimulatedFleetKeepsLimits(t *testing.T) {
 	const seeds = 3
 	for _, event := range simEvents {
--- a/internal/quota/ways_test.go
+++ b/internal/quota/ways_test.go
@@ -10,7 +10,7 @@
 func collected() simStrategy {
 	var limits map[string]quota.Limit
 	messages := 0
-	part := func(int) int { return 0 }
+	partitionOf := func(int) int { return 0 }
 	gates := make([]*quota.Gate, simHosts)
 	collectors := make([]*quota.Collector, simHosts)
 	ledgers := make([]*quota.Ledger, simHosts)
@@ -27,7 +27,7 @@
 	// the data centre or, if place is negative, in any.
 	first := func(of, place int) int {
 		for host := range simHosts {
-			if part(host) == of && (place < 0 || host%simDataCentres == place) && downFor[host] < simSkipAfter {
+			if partitionOf(host) == of && (place < 0 || host%simDataCentres == place) && downFor[host] < simSkipAfter {
 				return host
 			}
 		}
@@ -36,7 +36,7 @@
 	forward := func(now time.Time, host int) {
 		messages += 2
 		report := collectors[host].Drain(now, customerName(host))
-		to := first(part(host), -1)
+		to := first(partitionOf(host), -1)
 		if downFor[to] > 0 {
 			collectors[host].Restore(report.Counts) // the host does not answer
 			return
@@ -48,7 +48,7 @@
 		gate := gates[host]
 		urgent := gate.AwaitsVerdict()
 		counts := gate.Drain(now)
-		to := first(part(host), host%simDataCentres)
+		to := first(partitionOf(host), host%simDataCentres)
 		if downFor[to] > 0 {
 			gate.Restore(counts)
 			return
@@ -99,7 +99,7 @@
 				ledgers[host].Reconfigure(limits, simHosts)
 			}
 		},
-		partition: func(place func(int) int) { part = place },
+		partition: func(place func(int) int) { partitionOf = place },
 	}
 }
 
@@ -117,7 +117,7 @@
 	b.at = now
 }
 
-// fixed is the strategy of giving each host a fixed part of each limit.
+// fixed is the strategy of giving each host a fixed share of each limit.
 func fixed() simStrategy {
 	var limits []quota.Limit
 	messages := 0
@@ -158,11 +158,11 @@
 
 // leased is the strategy of an owner for each customer that leases tokens to hosts for a
 // second, twice as many as the host had requests in the second before; a host without tokens
-// requests a lease before it decides. A host that cannot reach the owner uses a fixed part.
+// requests a lease before it decides. A host that cannot reach the owner uses a fixed share.
 func leased() simStrategy {
 	var limits []quota.Limit
 	messages := 0
-	part := func(int) int { return 0 }
+	partitionOf := func(int) int { return 0 }
 	owners := make([]tokenBucket, simCustomers)
 	leases := make(map[[2]int]*lease)
 	fallback := fixed()
@@ -189,7 +189,7 @@
 			owner := (c * 37) % simHosts
 			l, ok := leases[[2]int{host, c}]
 			if !ok || now.After(l.until) || l.tokens < 1 {
-				if part(host) != part(owner) {
+				if partitionOf(host) != partitionOf(owner) {
 					return fallback.admit(now, host, c)
 				}
 				l = renew(now, host, c)
@@ -220,6 +220,6 @@
 				}
 			}
 		},
-		partition: func(place func(int) int) { part = place },
+		partition: func(place func(int) int) { partitionOf = place },
 	}
 }
