--- a/internal/ingress/admit.go
+++ b/internal/ingress/admit.go
@@ -25,16 +25,16 @@
 	latencyTarget   time.Duration // target for the time to the answer
 	deadline        time.Time
 	customer        string
-	queueCustomer   string // under which it is queued
-	terms           attempts.Request
+	queueCustomer   string // customer under which it is queued
+	attempts        attempts.Request
 	priority        int
 	body            *body.Body
 	route           route.Name
-	latency         *latency.Estimate // of its route
+	latency         *latency.Estimate // estimate of its route
 	mayBeSubrequest bool              // a backend server may have sent it
 	sentByRetry     bool              // sent by a run that is itself a retry
 	countsAsRetry   bool              // counted as a retry on admission; endRetry ends it
-	reached         atomic.Bool       // a backend server, or possibly
+	reached         atomic.Bool       // it reached a backend server, or may have
 }
 
 // subrequestPriority is the priority of subrequests. It precedes all other priorities, since
@@ -106,21 +106,21 @@
 	// Attempts replace the body. The original request must stay unchanged, since
 	// net/http uses its body to decide whether to send 100 Continue.
 	own := *r
-	target := min(a.match.Target, a.timeLeft)
+	latencyTarget := min(a.match.Target, a.timeLeft)
 	admitted := &request{
 		Request:       &own,
 		service:       service,
 		serviceName:   name,
-		latencyTarget: target,
+		latencyTarget: latencyTarget,
 		deadline:      now.Add(a.timeLeft),
 		customer:      a.caller.name,
 		queueCustomer: in.queueCustomer(a.state, a.caller),
-		terms: attempts.Request{
+		attempts: attempts.Request{
 			Service:         &service.attempts,
 			NonIdempotent:   !a.match.Idempotent(r.Method),
 			MaxSent:         a.match.Attempts,
 			StartedAt:       now,
-			LatencyTargetAt: now.Add(target),
+			LatencyTargetAt: now.Add(latencyTarget),
 		},
 		priority: a.caller.priority,
 		body:     body.New(w, r, a.match.MaxBody),
@@ -130,7 +130,7 @@
 		mayBeSubrequest: a.state.mayBeSubrequest(a.caller),
 	}
 	if in.disabled.latencyTargets {
-		admitted.terms.LatencyTargetAt = admitted.deadline
+		admitted.attempts.LatencyTargetAt = admitted.deadline
 	}
 	return admitted
 }
@@ -141,8 +141,8 @@
 	if in.disabled.subrequests || !r.mayBeSubrequest || !in.subrequest.IsSubrequest(r.route) {
 		return
 	}
-	r.terms.Subrequest = true
-	r.terms.LatencyTargetAt = r.deadline
+	r.attempts.Subrequest = true
+	r.attempts.LatencyTargetAt = r.deadline
 	r.priority = subrequestPriority
 }
 
--- a/internal/ingress/customer_test.go
+++ b/internal/ingress/customer_test.go
@@ -112,10 +112,10 @@
 		}
 		return r
 	}
-	if fail("/closed/x", "school-key").terms.Subrequest {
+	if fail("/closed/x", "school-key").attempts.Subrequest {
 		t.Error("a request with a key is classified as a subrequest")
 	}
-	if !fail("/open/x", "").terms.Subrequest {
+	if !fail("/open/x", "").attempts.Subrequest {
 		t.Error("invalid test: a request without a key is not classified as a subrequest either")
 	}
 }
--- a/internal/ingress/judge.go
+++ b/internal/ingress/judge.go
@@ -45,8 +45,8 @@
 	lastSeen    time.Time // of the last observation
 }
 
-// observation is what a request observed of a target. A probation is a request that an avoided
-// target gets to show that it has recovered.
+// observation is what a request observed of a target. A probation request is sent to an avoided
+// target to test whether it has recovered.
 type observation struct {
 	target     *balance.Target
 	probation  bool
@@ -151,7 +151,8 @@
 	d.group.Reconfigure(detect.RulesOf(declared.Detection), names)
 }
 
-// observe records an observation of a target. If the request was a probation, observe ends it.
+// observe records an observation of a target. If the request was a probation request, observe ends
+// the probation.
 func (d *outlierDetector) observe(now time.Time, o observation) {
 	d.lastSeen = now
 	subject, ok := d.group.Subject(o.target.Name)
--- a/internal/ingress/learn.go
+++ b/internal/ingress/learn.go
@@ -43,13 +43,13 @@
 // learnFromFailure records what a failure shows about the target, and skips a target that refuses
 // requests for a while.
 func (a *attempt) learnFromFailure(failure *result.Error, took time.Duration) {
-	meaning := failures.Classify(failure.Code)
-	if meaning.Reached {
+	classification := failures.Classify(failure.Code)
+	if classification.Reached {
 		a.Target.RecordFailure()
 	}
-	a.report(detect.Observation{Outcome: meaning.Evidence, Latency: took, WasOverdue: a.overdue.Load()}, meaning.Evidence != "")
+	a.report(detect.Observation{Outcome: classification.Evidence, Latency: took, WasOverdue: a.overdue.Load()}, classification.Evidence != "")
 	pool := a.request.service.pool
-	switch meaning.Target {
+	switch classification.Target {
 	case failures.NoSlot:
 		pool.RecordLoad(a.Target, 1, time.Now())
 		pool.RecordSlotCheck(false)
@@ -58,7 +58,7 @@
 	case failures.NotAccepting:
 		pool.Pause(a.Target, time.Now().Add(pauseFor(failure)))
 	case failures.HostUnreachable, failures.HostUnresponsive:
-		a.skipHost(meaning.Target)
+		a.skipHost(classification.Target)
 	case failures.Unreachable:
 		pool.Pause(a.Target, time.Now().Add(unreachablePause))
 	case failures.Unchanged, failures.QueueFull, failures.Hanging, failures.NoRetryBudget: // nothing to remember beyond the request
--- a/internal/ingress/limit.go
+++ b/internal/ingress/limit.go
@@ -19,7 +19,7 @@
 	grantBorrowed retryGrant = "lent"
 )
 
-// retryLimit is this host's part of a service's retry limit.
+// retryLimit is this host's share of a service's retry limit.
 type retryLimit struct {
 	budgets *retry.Budgets
 	service string
--- a/internal/ingress/reservation_test.go
+++ b/internal/ingress/reservation_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestCancelledReservationIsNoEvidence guards against evidence from a reservation that was
-// cancelled because the caller left or another attempt was answered.
+// cancelled because the caller disconnected or another attempt was answered.
 func TestCancelledReservationIsNoEvidence(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
--- a/internal/ingress/service.go
+++ b/internal/ingress/service.go
@@ -29,7 +29,7 @@
 	outlierDetector *outlierDetector
 	rules           detect.Rules
 	subrequests     subrequestCounters
-	// attempts is the part of the service that package attempts reads.
+	// attempts holds the backend servers and settings that package attempts reads.
 	attempts attempts.Service
 }
 
@@ -43,7 +43,7 @@
 		services: make(map[string]*service, len(index.Declaration.Services)),
 	}
 	next.customers = in.customerTable(index.Declaration)
-	in.config.Retries.SetLimits(time.Now(), in.retrySizes(index.Declaration))
+	in.config.Retries.SetLimits(time.Now(), in.retryLimits(index.Declaration))
 	for _, declared := range index.Declaration.Services {
 		next.services[declared.Name] = in.reconfigureService(declared, index)
 	}
@@ -55,18 +55,18 @@
 	}
 }
 
-// retrySizes returns the retry limits of the services. Their slack is divided among all hosts once
-// these have been counted.
-func (in *Ingress) retrySizes(d fleet.Declaration) map[string]retry.Limit {
+// retryLimits returns the retry limits of the services. Hosts is zero until the hosts
+// have been counted, so that no slack is used before.
+func (in *Ingress) retryLimits(d fleet.Declaration) map[string]retry.Limit {
 	hosts := len(d.Hosts)
 	if in.config.ShareUsable != nil && !in.config.ShareUsable() {
 		hosts = 0
 	}
-	sizes := make(map[string]retry.Limit, len(d.Services))
+	limits := make(map[string]retry.Limit, len(d.Services))
 	for _, s := range d.Services {
-		sizes[s.Name] = retry.Limit{Share: s.RetryShare, Slack: s.RetrySlack, Window: s.RetryWindow, Hosts: hosts}
+		limits[s.Name] = retry.Limit{Share: s.RetryShare, Slack: s.RetrySlack, Window: s.RetryWindow, Hosts: hosts}
 	}
-	return sizes
+	return limits
 }
 
 // stopRemoved stops the outlier detectors of services that are no longer declared.
--- a/internal/ingress/subrequest.go
+++ b/internal/ingress/subrequest.go
@@ -47,7 +47,7 @@
 }
 
 // reportFailed records that a request failed, since that may fail the backend server of this host
-// that sent it. A request whose caller has gone away is ignored, as the caller failed first.
+// that sent it. A request whose caller has disconnected is ignored, as the caller failed first.
 func (in *Ingress) reportFailed(r *request, err error) {
 	if !r.mayBeSubrequest {
 		return
