--- a/internal/attempts/attempts.go
+++ b/internal/attempts/attempts.go
@@ -3,8 +3,8 @@
 // which failure is returned to the caller.
 //
 // A History records the request's attempts so far; it belongs to the goroutine that serves the
-// request. The Request and the time are passed in: the package has no clock, goroutine or socket.
-// It relies on package failures for the meaning of a failure, and on package balance for the
+// request. The Request and the time are passed in; the package has no clock, goroutine or socket.
+// It relies on package failures to classify a failure, and on package balance for the
 // backend servers of the service and their known load.
 //
 // # Usage
@@ -26,17 +26,17 @@
 //
 // Whether a failed attempt may be retried (retry.go):
 //
-//   - A refusal by a sidecar costs the backend servers nothing, so another may be queried: a few
-//     more if queues are full, any number if the refusing backend server accepts no requests or
-//     if the request is a subrequest.
+//   - A refusal by a sidecar costs the backend servers nothing, so others may be queried: a few
+//     if queues are full, any number if the refusing backend server accepts no requests or if the
+//     request is a subrequest.
 //   - An attempt that reached a backend server is retried elsewhere within the route's attempts and
 //     the service's retry limit, and only if the request did not run or may run more than once.
 //   - A failure that another backend server would not change is final: the customer's own limits,
 //     the deadline, a caller that disconnected, a malformed request.
 //
-// Which backend server gets it (choose.go), in order of preference:
+// Which backend server gets the next attempt (choose.go), in order of preference:
 //
-//   - for an idempotent request's first attempt, a backend server whose recovery has to be verified;
+//   - for an idempotent request's first attempt, a backend server whose recovery has to be tested;
 //   - one that may have a free slot, of which a few are queried;
 //   - the one with the shortest wait for a slot;
 //   - a suspected one, unless queues are full.
@@ -78,7 +78,7 @@
 	MaxSent int
 	// StartedAt is the time at which the request arrived.
 	StartedAt time.Time
-	// LatencyTargetAt is the time by which the request should be answered (its latency target). Until then
-	// it may wait in a crowded queue.
+	// LatencyTargetAt is the time by which the request should be answered. Until then it may wait in
+	// a crowded queue.
 	LatencyTargetAt time.Time
 }
--- a/internal/attempts/choose.go
+++ b/internal/attempts/choose.go
@@ -34,7 +34,7 @@
 type Choice struct {
 	// Target is the backend server; nil if none is left.
 	Target *balance.Target
-	// Probation is set if the request verifies whether the target has recovered.
+	// Probation is set if the request tests whether the target has recovered.
 	Probation bool
 	// RefuseIfBusy requests a refusal instead of a wait for a slot.
 	RefuseIfBusy bool
@@ -72,15 +72,15 @@
 		return Choice{Target: h.removeLeastBusy()}
 	}
 	if h.FullQueues > 0 && !r.Subrequest {
-		return Choice{} // a suspected one would most likely fail it, and a refusal is accurate
+		return Choice{} // a suspected target would most likely fail, and a refusal is accurate
 	}
 	target, _ := r.Service.Pool.PickSuspected(now, h.Tried)
 	return Choice{Target: target, DespiteSuspicion: true}
 }
 
-// chooseForRecovery returns a target whose recovery the request verifies: one on probation, or, if
-// a retry is left in case it fails, one of this data centre that was suspected and may be tried
-// again.
+// chooseForRecovery returns a target whose recovery the request tests: one on probation or, if a
+// retry is left in case the request fails, a suspected one in this data centre that is due for a
+// probe.
 func chooseForRecovery(now time.Time, s *Service) Choice {
 	if target, ok := s.Pool.PickProbation(now); ok {
 		return Choice{Target: target, Probation: true}
@@ -107,7 +107,7 @@
 }
 
 // chooseForSlot returns a target to query for a free slot. A request that cannot be retried goes to
-// one that does not appear to hang, unless several have refused it for that reason.
+// a target that does not appear to hang, unless maxHangingRefusals have refused it for that reason.
 func chooseForSlot(now time.Time, r Request, h *History) Choice {
 	pool := r.Service.Pool
 	lastChance := r.NonIdempotent || h.Sent > 0 || !r.Service.RetryLeft(now)
@@ -120,8 +120,9 @@
 	return Choice{Target: target, RefuseIfBusy: true}
 }
 
-// mayFindBetter reports whether another selection may find a better target: not if queues are full
-// or all targets were tried. If no backend server is known yet, one may become known.
+// mayFindBetter reports whether another selection may find a better target, which it cannot if
+// queues are full or all targets were tried. If no backend server is known yet, one may become
+// known.
 func (h *History) mayFindBetter(pool *balance.Pool) bool {
 	known := len(pool.Targets())
 	return h.FullQueues == 0 && (known == 0 || len(h.Tried) < known)
--- a/internal/attempts/choose_test.go
+++ b/internal/attempts/choose_test.go
@@ -77,7 +77,7 @@
 }
 
 // TestARequestWaitsWhereTheWaitIsShortest guards against a request that waits at a target with a
-// longer wait, or that gives up after the first refusal there.
+// longer wait, or that fails after the first refusal there.
 func TestARequestWaitsWhereTheWaitIsShortest(t *testing.T) {
 	s := newService(t, 3)
 	targets := s.Pool.Targets()
@@ -96,8 +96,8 @@
 	}
 }
 
-// TestRecoveryIsVerified guards against a recovered backend server that gets no request to verify
-// it, and against requests that must not be risked for that.
+// TestRecoveryIsVerified guards against a recovered backend server that gets no request to test it,
+// and against tests with requests that must not be lost.
 func TestRecoveryIsVerified(t *testing.T) {
 	for name, test := range map[string]struct {
 		probation, nonIdempotent, tried, noRetry bool
@@ -115,7 +115,7 @@
 		s.RetryLeft = func(time.Time) bool { return !test.noRetry }
 		unhealthy, healthy := s.Pool.Targets()[0], s.Pool.Targets()[1]
 		for range 50 {
-			healthy.Begin() // so that it is not chosen for its load
+			healthy.Begin() // so that it is not preferred for its load
 		}
 		unhealthy.SetShare(0)
 		healthy.SetShare(balance.FullShare)
--- a/internal/attempts/hedge.go
+++ b/internal/attempts/hedge.go
@@ -11,7 +11,7 @@
 	// hedgeChecks is the number of checks for a free hedge target per slowAfter, once the request
 	// is slow.
 	hedgeChecks = 4
-	// minCheckInterval limits the cost of the checks where answers take milliseconds.
+	// minCheckInterval limits the cost of the checks on routes whose answers take milliseconds.
 	minCheckInterval = 10 * time.Millisecond
 )
 
@@ -23,9 +23,10 @@
 	slowAfter time.Duration
 	// avoid holds the backend servers to which no hedge is sent.
 	avoid []*balance.Target
-	// refused holds those that had no slot for a hedge. They are queried again after all others.
+	// refused holds the backend servers that had no slot for a hedge. They are queried again after
+	// all others.
 	refused []*balance.Target
-	// allRefused is set once all have been queried.
+	// allRefused is set once all have refused.
 	allRefused bool
 }
 
@@ -39,7 +40,7 @@
 	Failed int
 	// BodyConsumed is set if the request's body cannot be sent again from its start.
 	BodyConsumed bool
-	// Stopping is set once a planned stop has begun, after which no other daemon may take the
+	// Stopping is set once a planned stop has begun, after which other daemons may refuse the
 	// request.
 	Stopping bool
 }
