--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -23,8 +23,8 @@
 // The first rule that applies decides (Queue.Admit, then Queue.Offer):
 //
 //  1. The backend server is draining: refused.
-//  2. It is suspected: refused, except for a request that no other backend server is left for,
-//     a probe, and an idempotent request if the suspicion rests mostly on slow requests.
+//  2. It is suspected: refused, except for a request for which no other backend server is
+//     left, a probe, and an idempotent request if the suspicion rests mostly on slow requests.
 //     Ejection is not checked in this case.
 //  3. It is ejected: refused. In probation it accepts one idempotent request at a time.
 //  4. It appears to hang, and the request is to be refused in that case: refused.
@@ -126,8 +126,8 @@
 	Customer string
 	// Priority is the rank; 0 is served first.
 	Priority int
-	// LatencyTargetAt is the latency target: the time by which the answer should arrive; zero if there
-	// is none.
+	// LatencyTargetAt is the time by which the answer should arrive; zero if there is no latency
+	// target.
 	LatencyTargetAt time.Time
 	// TypicalLatency is how long an answer typically takes; zero if that is not known.
 	TypicalLatency time.Duration
--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -82,15 +82,15 @@
 	return decision
 }
 
-// isEjected reports whether the ejection decides what the backend server accepts. While it is
-// suspected the suspicion decides, since its probes show a recovery sooner.
+// isEjected reports whether the ejection decides what the backend server accepts. While the backend
+// server is suspected, the suspicion decides, since its probes show a recovery sooner.
 func (s *Server) isEjected() bool {
 	return s.State != detect.Serving && !s.Suspicion.Suspected
 }
 
-// accepts reports whether a suspected backend server accepts the attempt: one that no other
-// backend server is left for, an idempotent one that a hedge covers if it is slow here too, or
-// a probe.
+// accepts reports whether a suspected backend server accepts the attempt: one for which no other
+// backend server is left, an idempotent one if the suspicion rests mostly on slow requests, since
+// a hedge covers it, or a probe.
 func (s *Suspicion) accepts(a Attempt) bool {
 	switch {
 	case a.DespiteSuspicion:
--- a/internal/admission/admit_test.go
+++ b/internal/admission/admit_test.go
@@ -16,7 +16,7 @@
 	attempt    admission.Attempt
 	running    int // of two slots
 	want       admission.Verdict
-	retryAfter time.Duration // not looked at where the queue decides
+	retryAfter time.Duration // not checked if the queue decides
 	probation  bool
 }
 
@@ -30,12 +30,12 @@
 	return []admitCase{
 		{name: "nothing is known", want: admission.Granted},
 		{
-			name: "draining goes before all", server: admission.Server{Draining: true, Suspicion: suspected, State: detect.Ejected},
+			name: "draining precedes all other rules", server: admission.Server{Draining: true, Suspicion: suspected, State: detect.Ejected},
 			attempt: admission.Attempt{DespiteSuspicion: true}, want: admission.RefusedDraining,
 		},
 		{name: "suspected", server: admission.Server{Suspicion: suspected}, want: admission.RefusedSuspected, retryAfter: suspectedFor},
 		{
-			name: "suspected, and nobody else takes it", server: admission.Server{Suspicion: suspected},
+			name: "suspected, no other backend server left", server: admission.Server{Suspicion: suspected},
 			attempt: admission.Attempt{NonIdempotent: true, DespiteSuspicion: true}, want: admission.Granted,
 		},
 		{name: "suspected as slow, idempotent", server: admission.Server{Suspicion: slow}, want: admission.Granted},
@@ -43,7 +43,7 @@
 		{name: "a probe is due, idempotent", server: admission.Server{Suspicion: probed}, want: admission.Granted},
 		{name: "a probe is due, not idempotent", server: admission.Server{Suspicion: probed}, attempt: nonIdempotent, want: admission.RefusedSuspected},
 		{name: "a probe is long due, not idempotent", server: admission.Server{Suspicion: probedByAny}, attempt: nonIdempotent, want: admission.Granted},
-		{name: "suspicion goes before ejection", server: admission.Server{Suspicion: probed, State: detect.Ejected}, want: admission.Granted},
+		{name: "suspicion precedes ejection", server: admission.Server{Suspicion: probed, State: detect.Ejected}, want: admission.Granted},
 		{
 			name: "ejected", server: admission.Server{State: detect.Ejected, EjectedFor: 400 * time.Millisecond},
 			attempt: admission.Attempt{DespiteSuspicion: true}, want: admission.RefusedEjected, retryAfter: 400 * time.Millisecond,
@@ -60,7 +60,7 @@
 		{name: "in probation, no slot", server: admission.Server{State: detect.Probation}, running: 2, want: admission.Queued},
 		{name: "hanging", server: admission.Server{Hanging: true}, want: admission.Granted},
 		{
-			name: "hanging, and it asks not to be taken", server: admission.Server{Hanging: true},
+			name: "hanging, refusal requested", server: admission.Server{Hanging: true},
 			attempt: admission.Attempt{RefuseIfHanging: true, Retry: true}, want: admission.RefusedHanging,
 		},
 		{name: "no retry is left, a first attempt", want: admission.Granted},
@@ -68,7 +68,7 @@
 		{name: "a retry is left", server: admission.Server{RetryLeft: true}, attempt: admission.Attempt{Retry: true}, want: admission.Granted},
 		{name: "busy", running: 2, want: admission.Queued},
 		{
-			name: "busy, and it does not wait", running: 2, attempt: admission.Attempt{RefuseIfBusy: true},
+			name: "busy, refusal requested", running: 2, attempt: admission.Attempt{RefuseIfBusy: true},
 			want: admission.RefusedBusy, retryAfter: 5 * time.Millisecond,
 		},
 	}
--- a/internal/admission/line.go
+++ b/internal/admission/line.go
@@ -37,8 +37,8 @@
 // is not before ready, the earliest time at which an answer could arrive, or among all requests
 // if there are none. The level must not be empty.
 //
-// Late requests come last because, with many customers waiting with one request each, serving
-// them in turn leaves too few slots for requests that can still be in time.
+// Late requests come last: if many customers wait with one request each, serving them in turn
+// leaves too few slots for requests that can still be in time.
 func (l *level) popNext(ready time.Time) Request {
 	next := l.firstMatching(func(r Request) bool { return r.LatencyTargetAt.IsZero() || !r.LatencyTargetAt.Before(ready) })
 	if next < 0 {
