--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -6,12 +6,11 @@
 )
 
 const (
-	// carryOverShare is the part of its share of a retry that a request earns for the window after
-	// its own. Each daemon must use the same value: only then is the sum of their retries at most
-	// the share of the better of both windows.
+	// carryOverShare is the fraction of a request's retry share that it earns for the next window.
+	// The retries of all daemons together are bounded only if all use the same value.
 	carryOverShare = 0.25
-	// usableSlackShare is the part of the slack that hosts may use. The rest is a reserve for hosts
-	// that are not known yet and for calls that were not expected.
+	// usableSlackShare is the fraction of the slack that hosts may use. The rest is a reserve for
+	// hosts that are not known yet and for unexpected calls.
 	usableSlackShare = 0.75
 	// oneRetry is the cost of a retry.
 	oneRetry = 1
@@ -34,7 +33,7 @@
 // SetLimit is called.
 type Budget struct {
 	limit          Limit
-	maxHosts       int // the most that were ever known
+	maxHosts       int // largest number of hosts that was ever known
 	startedAt      time.Time
 	slackUnusedFor time.Duration // before the daemon started
 	counted        window
@@ -42,11 +41,12 @@
 }
 
 // NewBudget returns the budget of a daemon that started at that time. A restarted daemon gets no
-// part of the slack until all that its previous incarnation used of it is out of the window.
+// share of the slack until everything that its previous incarnation may have used has left the
+// window.
 func NewBudget(startedAt time.Time) *Budget { return &Budget{startedAt: startedAt} }
 
-// SetSlackUnusedFor records that this host's part of the slack was unused for that long before the
-// daemon started, which shortens the wait for it.
+// SetSlackUnusedFor records that this host's share of the slack was unused for that long before
+// the daemon started, which shortens the wait for it.
 func (b *Budget) SetSlackUnusedFor(before time.Duration) { b.slackUnusedFor = before }
 
 // SetLimit sets the limit. Counts are kept unless the window changes, in which case the budget
@@ -90,7 +90,7 @@
 	return max(0, int(math.Floor(minimum))-b.inFlight)
 }
 
-// slack returns this budget's part of the slack.
+// slack returns this budget's share of the slack.
 func (b *Budget) slack(now time.Time) float64 {
 	if b.limit.Hosts == 0 || now.Before(b.startedAt.Add(b.limit.Window-b.slackUnusedFor)) {
 		return 0
@@ -107,7 +107,7 @@
 	return true
 }
 
-// Charge takes a retry that is made whether one is left or not. The caller must call End for it.
+// Charge takes a retry that is made even if none is left. The caller must call End for it.
 func (b *Budget) Charge() { b.inFlight++ }
 
 // End ends a retry that was taken. One that was sent counts for a window from now on, the latest
--- a/internal/retry/budget_test.go
+++ b/internal/retry/budget_test.go
@@ -51,11 +51,11 @@
 }
 
 // TestBudget guards against more retries in any window than the requests of that window and the one
-// before have earned, plus the budget's part of the slack, while the number of hosts changes.
+// before have earned, plus the budget's share of the slack, while the number of hosts changes.
 func TestBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newBudgetModel(t)
-		part := p.limit.Slack / float64(p.limit.Hosts) * 3 / 4
+		slackShare := p.limit.Slack / float64(p.limit.Hosts) * 3 / 4
 		t.Repeat(map[string]func(*rapid.T){
 			"wait": func(t *rapid.T) {
 				p.now = p.now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond)
@@ -91,11 +91,11 @@
 			"": func(t *rapid.T) {
 				retries := p.window(p.retries, 0)
 				both := 3*p.window(p.requests, 0)/4 + p.window(p.requests, p.limit.Window)/4
-				if retries > p.limit.Share*both+part {
+				if retries > p.limit.Share*both+slackShare {
 					t.Fatalf("%g retries, %g requests of two windows, limit %+v", retries, both, p.limit)
 				}
 				best := max(p.window(p.requests, 0), p.window(p.requests, p.limit.Window/2), p.window(p.requests, p.limit.Window))
-				if retries > p.limit.Share*best+part {
+				if retries > p.limit.Share*best+slackShare {
 					t.Fatalf("%g retries, %g requests in the best window, limit %+v", retries, best, p.limit)
 				}
 			},
@@ -110,9 +110,9 @@
 	return b, epoch.Add(10 * time.Second)
 }
 
-// TestABurstIsPaidFromTheWindow guards against a burst of failures that gets more or fewer retries
-// than the requests of two windows have earned, plus the part of the slack.
-func TestABurstIsPaidFromTheWindow(t *testing.T) {
+// TestBurstIsLimitedByEarnedRetries guards against a burst of failures that gets more or fewer
+// retries than the requests of two windows have earned, plus the share of the slack.
+func TestBurstIsLimitedByEarnedRetries(t *testing.T) {
 	b, now := newIdleBudget()
 	send := func(requests int) (taken int) {
 		for range requests {
@@ -150,16 +150,16 @@
 	return taken
 }
 
-// TestAStartHasNoPartOfTheSlack guards against daemons that restart within a window and use the
+// TestNoSlackWithinAWindowOfTheStart guards against daemons that restart within a window and use the
 // slack again each time.
-func TestAStartHasNoPartOfTheSlack(t *testing.T) {
+func TestNoSlackWithinAWindowOfTheStart(t *testing.T) {
 	now := epoch
 	for range 20 {
 		b := retry.NewBudget(now)
 		b.SetLimit(epoch, retry.Limit{Share: 0.2, Slack: 56, Window: 10 * time.Second, Hosts: 1})
 		now = now.Add(9 * time.Second)
 		if b.Remaining(now) > 0 {
-			t.Fatal("the budget has a part of the slack within a window of its start")
+			t.Fatal("the budget has a share of the slack within a window of its start")
 		}
 	}
 }
@@ -180,9 +180,9 @@
 	}
 }
 
-// TestThePartOfTheSlack guards against a wrong part of the slack while the number of known hosts
+// TestShareOfTheSlack guards against a wrong share of the slack while the number of known hosts
 // changes.
-func TestThePartOfTheSlack(t *testing.T) {
+func TestShareOfTheSlack(t *testing.T) {
 	tests := []struct {
 		name  string
 		hosts []int // the known numbers, in this order
--- a/internal/retry/budgets.go
+++ b/internal/retry/budgets.go
@@ -1,10 +1,10 @@
 // Package retry keeps the retries of a whole service within its limit. Package attempts decides
 // whether a failed attempt may be retried at all.
 //
-// The limit covers what all daemons together do to a service: in any window of time, its backend
+// The limit covers the retries of all daemons together: in any window of time, a service's backend
 // servers get at most a share of its requests, plus a slack, as retries. A retry is a request that is
 // sent to a backend server again, and each call of a run that was itself a retry. The sum is not
-// counted anywhere. A Budgets accounts for the part of one daemon: the requests that begin on its
+// counted anywhere. A Budgets accounts for the share of one daemon: the requests that begin on its
 // host, and the calls of the host's backend servers. It takes retries only from what those requests
 // earned, so the limit holds for the sum without coordination: no daemon needs to know how many
 // there are, a restarted daemon has earned nothing yet, and a partitioned one earns no more than
@@ -35,7 +35,7 @@
 //     window and the one before, so the retries of all daemons together are at most the share of the
 //     better of both windows.
 //   - Three quarters of the slack are divided among the hosts that the platform's store listed. Each
-//     host uses its part once no previous daemon of that host can have used it within a window, and
+//     host uses its share once no previous daemon of that host can have used it within a window, and
 //     while the store has its record.
 //   - A host that has no retry left may borrow one, which counts at the lender.
 //   - A retry runs only if there is room for the calls that it may make, judged by the calls of the
@@ -106,7 +106,7 @@
 	}
 }
 
-// SetSlackUnused records that no daemon of this host used its part of the slack for that long
+// SetSlackUnused records that no daemon of this host used its share of the slack for that long
 // before this one started.
 func (b *Budgets) SetSlackUnused(before time.Duration) {
 	b.mu.Lock()
--- a/internal/retry/budgets_test.go
+++ b/internal/retry/budgets_test.go
@@ -9,7 +9,7 @@
 )
 
 // newTestBudgets returns the budgets of a host on which two hundred requests to each of two
-// services have begun, so that each of them has ten retries.
+// services have begun, so that each service has ten retries.
 func newTestBudgets() *retry.Budgets {
 	b := retry.NewBudgets(retry.Config{StartedAt: epoch})
 	limit := retry.Limit{Share: 0.2, Window: 10 * time.Second, Hosts: 1}
@@ -134,9 +134,9 @@
 	}
 }
 
-// TestAServiceThatIsDeclaredAgainHasNothingTwice guards against a service that gets its slack twice
+// TestRedeclaredServiceGetsItsSlackOnce guards against a service that gets its slack twice
 // by being removed from the declaration and added again.
-func TestAServiceThatIsDeclaredAgainHasNothingTwice(t *testing.T) {
+func TestRedeclaredServiceGetsItsSlackOnce(t *testing.T) {
 	limit := retry.Limit{Share: 0.2, Slack: 8, Window: 10 * time.Second, Hosts: 1}
 	both, one := map[string]retry.Limit{"search": limit, "names": limit}, map[string]retry.Limit{"search": limit}
 	b := retry.NewBudgets(retry.Config{StartedAt: epoch})
@@ -174,9 +174,9 @@
 	take(slack)
 }
 
-// TestAnotherWindowBeginsAnew guards against a part of the slack that is used twice when the
-// window's length changes.
-func TestAnotherWindowBeginsAnew(t *testing.T) {
+// TestWindowChangeRestartsTheBudget guards against a share of the slack that is used twice when
+// the window's length changes.
+func TestWindowChangeRestartsTheBudget(t *testing.T) {
 	b := retry.NewBudgets(retry.Config{StartedAt: epoch})
 	limit := retry.Limit{Slack: 8, Window: 10 * time.Second, Hosts: 1}
 	b.SetLimits(epoch, map[string]retry.Limit{"names": limit})
--- a/internal/retry/fleet_test.go
+++ b/internal/retry/fleet_test.go
@@ -11,8 +11,8 @@
 	"github.com/tideliftd/tidelift/internal/retry"
 )
 
-// The simulation guards against a sum of retries beyond a service's limit while every daemon keeps to
-// its own part: calls of runs that are retries themselves, and hosts that daemons count differently.
+// The simulation guards against a sum of retries beyond a service's limit although every daemon keeps
+// to its own share: through the calls of retried runs, and hosts that daemons count differently.
 
 const (
 	fleetShare  = 0.2
--- a/internal/retry/window.go
+++ b/internal/retry/window.go
@@ -25,7 +25,7 @@
 	newest  int64
 }
 
-// bucket holds the counts of a part of the window.
+// bucket holds the counts of one of the intervals into which a window is divided.
 type bucket struct{ requests, retries int32 }
 
 // current returns the bucket of that time, after clearing those that have expired. It returns nil
