--- a/internal/membership/exchange.go
+++ b/internal/membership/exchange.go
@@ -17,21 +17,21 @@
 
 // AddDigest adds the local digest to the answer if the requesting daemon's state
 // differs.
-func (m *Membership) AddDigest(asked control.RevisionQuery, held *control.RevisionResponse) {
-	if asked.Hosts == 0 || !m.config.Registers || asked.Hosts == m.Sum() {
+func (m *Membership) AddDigest(query control.RevisionQuery, response *control.RevisionResponse) {
+	if query.Hosts == 0 || !m.config.Registers || query.Hosts == m.Sum() {
 		return
 	}
-	held.Digest = m.known.digest()
+	response.Digest = m.known.digest()
 }
 
 // Exchange sends the peer the hosts by which the peer's digest differs, and
 // merges the records that it returns.
-func (m *Membership) Exchange(ctx context.Context, address string, held control.RevisionResponse) {
-	if held.Digest == nil || !m.known.beginExchange(time.Now()) {
+func (m *Membership) Exchange(ctx context.Context, address string, response control.RevisionResponse) {
+	if response.Digest == nil || !m.known.beginExchange(time.Now()) {
 		return
 	}
 	updates := control.HostUpdates{Host: m.config.Self.Name}
-	updates.Hosts, updates.Digest = m.known.diffAndDigest(held.Digest)
+	updates.Hosts, updates.Digest = m.known.diffAndDigest(response.Digest)
 	var rest control.HostUpdatesResponse
 	if err := m.config.Peers.CallLogged(ctx, address, control.MethodHostUpdates, updates, &rest); err != nil {
 		return
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -8,8 +8,8 @@
 // updates arrive later. A host that does not answer is considered gone once its
 // record in the store is gone, too.
 //
-// Where hosts are declared, none of this is active: only the local host is known,
-// and a declaration is complete.
+// If hosts are declared, none of this is active: only the local host is known, and a
+// declaration is complete.
 //
 // The package owns the table of hosts, the registry of local backend servers, the
 // queue of updates to send, and the host's record. It relies on internal/member
@@ -147,8 +147,8 @@
 	}
 }
 
-// ShareUsable reports whether this daemon may use its part of what is divided among
-// the hosts. Where hosts are declared their number is known, so it always may.
+// ShareUsable reports whether this daemon may use its share of what is divided among
+// the hosts. It always may if hosts are declared, since their number is known.
 func (m *Membership) ShareUsable() bool { return !m.config.Registers || m.record.ShareUsable() }
 
 // Hosts returns all known hosts, including the local one and those that are gone.
