--- a/internal/lend/lend.go
+++ b/internal/lend/lend.go
@@ -1,7 +1,7 @@
 // Package lend borrows retries from other hosts, and lends retries to them.
 //
-// Each host may make its part of a service's retries. If that part is used up, the daemon of
-// another host may lend a retry of its own, which counts against that host's part.
+// Each host may make its share of a service's retries. If that share is used up, the daemon of
+// another host may lend a retry of its own, which counts against that host's share.
 //
 // The package selects the hosts to query and counts the retries borrowed. It relies on
 // internal/retry, which owns the budgets and decides whether a retry may be lent, and on
@@ -29,7 +29,7 @@
 
 const (
 	// maxHostsQueried is the number of hosts queried for a retry, one after the other, before a
-	// failed request is given up.
+	// failed request is not retried.
 	maxHostsQueried = 3
 	// queryTimeout bounds a query to one host. It is short, since the caller waits.
 	queryTimeout = 30 * time.Millisecond
