--- a/internal/declaration/ask.go
+++ b/internal/declaration/ask.go
@@ -25,26 +25,26 @@
 func (f *Follower) Sync(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, syncTimeout)
 	defer cancel()
-	above := control.RevisionQuery{Revision: f.Revision(), Hosts: f.config.Members.Sum(), Quarantines: f.config.Quarantines.Sum()}
-	var held control.RevisionResponse
-	if err := f.config.Peers.Call(ctx, address, control.MethodRevision, above, &held); err != nil {
+	query := control.RevisionQuery{Revision: f.Revision(), Hosts: f.config.Members.Sum(), Quarantines: f.config.Quarantines.Sum()}
+	var response control.RevisionResponse
+	if err := f.config.Peers.Call(ctx, address, control.MethodRevision, query, &response); err != nil {
 		return false
 	}
-	f.config.Members.Exchange(ctx, address, held)
-	f.recordQuarantines(held)
-	f.config.Health.RecordSeen(time.Now().Add(-time.Duration(held.SilentMs) * time.Millisecond))
-	if held.Revision.Number > above.Revision {
-		f.apply(revision.Revision(held.Revision))
+	f.config.Members.Exchange(ctx, address, response)
+	f.recordQuarantines(response)
+	f.config.Health.RecordSeen(time.Now().Add(-time.Duration(response.SilentMs) * time.Millisecond))
+	if response.Revision.Number > query.Revision {
+		f.apply(revision.Revision(response.Revision))
 	}
 	return true
 }
 
 // recordQuarantines merges the quarantines of another daemon's answer. The answer holds none if
 // both daemons have the same.
-func (f *Follower) recordQuarantines(held control.RevisionResponse) {
+func (f *Follower) recordQuarantines(response control.RevisionResponse) {
 	f.peerAnswered.Store(true)
-	if len(held.Quarantines) > 0 {
-		f.config.Quarantines.Merge(held.Quarantines)
+	if len(response.Quarantines) > 0 {
+		f.config.Quarantines.Merge(response.Quarantines)
 	}
 }
 
@@ -54,28 +54,28 @@
 
 // HandleRevision handles another daemon's request for the revision of this one.
 func (f *Follower) HandleRevision(_ context.Context, params json.RawMessage) (any, error) {
-	var above control.RevisionQuery
-	if err := control.Decode(params, &above); err != nil {
+	var query control.RevisionQuery
+	if err := control.Decode(params, &query); err != nil {
 		return nil, err
 	}
-	return f.answer(above), nil
+	return f.answer(query), nil
 }
 
 // answer returns what the requesting daemon does not have yet.
-func (f *Follower) answer(request control.RevisionQuery) control.RevisionResponse {
-	above := request.Revision
-	held := control.RevisionResponse{SilentMs: time.Since(f.config.Health.LastSeen()).Milliseconds()}
-	f.config.Members.AddDigest(request, &held)
-	if request.Quarantines != f.config.Quarantines.Sum() {
-		held.Quarantines = f.config.Quarantines.Quarantines()
+func (f *Follower) answer(query control.RevisionQuery) control.RevisionResponse {
+	above := query.Revision
+	response := control.RevisionResponse{SilentMs: time.Since(f.config.Health.LastSeen()).Milliseconds()}
+	f.config.Members.AddDigest(query, &response)
+	if query.Quarantines != f.config.Quarantines.Sum() {
+		response.Quarantines = f.config.Quarantines.Quarantines()
 	}
 	current := f.inForce.Load()
 	if current == nil {
-		return held
+		return response
 	}
-	held.Revision.Number = current.Revision.Number
+	response.Revision.Number = current.Revision.Number
 	if current.Revision.Number > above {
-		held.Revision = control.Revision(current.Revision)
+		response.Revision = control.Revision(current.Revision)
 	}
-	return held
+	return response
 }
--- a/internal/declaration/watch.go
+++ b/internal/declaration/watch.go
@@ -57,7 +57,7 @@
 }
 
 // Watches reports whether this daemon watches the platform: because the plan selects it, because
-// there is no plan yet, or because it has no declaration and no watcher has been heard of recently.
+// there is no plan yet, or because it has no declaration and no watcher was seen recently.
 func (f *Follower) Watches() bool {
 	plan := f.plan.Load()
 	seen := f.config.Health.LastSeen()
