--- a/internal/customer/customer.go
+++ b/internal/customer/customer.go
@@ -2,7 +2,7 @@
 //
 // A key is known only by its SHA-256 digest: neither the declaration nor a daemon's memory,
 // log or answers contain the key itself. The digest is unsalted, which is safe only for long
-// random keys; a key chosen by a person could be guessed from its digest.
+// random keys; any other key could be guessed from its digest.
 //
 // # Usage
 //
