--- a/internal/hop/call.go
+++ b/internal/hop/call.go
@@ -12,8 +12,8 @@
 	BackendServer string
 	// TimeLeft is the time until the caller's deadline.
 	TimeLeft time.Duration
-	// LatencyTargetLeft is what remains of the request's latency target; zero or less if the target has
-	// passed.
+	// LatencyTargetLeft is the time that remains of the request's latency target; zero or less if
+	// the target has passed.
 	LatencyTargetLeft time.Duration
 	// LatencyTarget is the route's latency target; zero if unknown.
 	LatencyTarget time.Duration
--- a/internal/hop/forward.go
+++ b/internal/hop/forward.go
@@ -55,9 +55,8 @@
 }
 
 // forbidReplay modifies the request so that http.Transport does not resend it after a lost
-// connection. The transport treats a request without a body as idempotent if its method is GET,
-// HEAD, OPTIONS or TRACE, or if it has an Idempotency-Key header; whether to retry is not its
-// decision here.
+// connection; only the ingress may retry it. The transport treats a request without a body as
+// idempotent if its method is GET, HEAD, OPTIONS or TRACE, or if it has an Idempotency-Key header.
 //
 // The transport never treats a request with an empty but non-nil body as idempotent, and the
 // identity coding keeps that body off the wire. The body is a reader that net/http recognises as
--- a/internal/hop/trip_test.go
+++ b/internal/hop/trip_test.go
@@ -26,9 +26,9 @@
 	return hop.Sender{Transport: transport, Address: server.Listener.Addr().String(), Unreachable: result.PeerUnreachable}
 }
 
-// TestABodyArrivesAsItIs guards against a body that arrives altered, or with another length or
+// TestBodyArrivesUnchanged guards against a body that arrives altered, or with another length or
 // transfer coding.
-func TestABodyArrivesAsItIs(t *testing.T) {
+func TestBodyArrivesUnchanged(t *testing.T) {
 	type arrived struct {
 		length int64
 		coding string
