--- a/internal/sidecar/draining.go
+++ b/internal/sidecar/draining.go
@@ -16,7 +16,7 @@
 	return t.draining || t.hostDraining || now.Before(t.selfDrainUntil)
 }
 
-// applyHostList records whether the platform's host list has the host as draining.
+// applyHostList records whether the platform's host list marks the host as draining.
 func (t *task) applyHostList(now time.Time, draining bool) {
 	before := t.isDraining(now)
 	t.hostDraining = draining
--- a/internal/sidecar/eject.go
+++ b/internal/sidecar/eject.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// ejectRetryPause is the minimum pause between two attempts to be ejected. A random part of up
-	// to the same length is added, so that two backend servers do not keep colliding.
+	// ejectRetryPause is the minimum pause between two attempts to be ejected. A random pause of
+	// up to the same length is added, so that two backend servers do not collide repeatedly.
 	ejectRetryPause = 300 * time.Millisecond
 	// suspectedEjectRetryPause is the pause while the backend server is suspected. Ingresses
 	// already select a suspected backend server last, and each attempt costs a call to every other
@@ -24,7 +24,7 @@
 )
 
 // isEjected reports whether the backend server is ejected now. It reinstates the backend server
-// immediately if the leases have expired, also if they did while this process was suspended.
+// immediately if the leases have expired, even if that was while this process was suspended.
 func (t *task) isEjected(now time.Time) bool {
 	if t.subject.State(now) == detect.Serving {
 		return false
--- a/internal/sidecar/ends.go
+++ b/internal/sidecar/ends.go
@@ -69,8 +69,8 @@
 }
 
 // recordFailure checks whether a request failed because its backend server has ended, and reports
-// that. Only the sidecar can check it: from other hosts a lost connection and a lost host look the
-// same.
+// that. Only the sidecar can check it: from other hosts a lost connection and a lost host are
+// indistinguishable.
 func (s *Sidecar) recordFailure(server *server, failure *result.Error, call hop.Call, in *http.Request, began time.Time) {
 	if failure.Code.Number != result.ConnectionLost.Number || server.isDraining() {
 		return
--- a/internal/sidecar/lease.go
+++ b/internal/sidecar/lease.go
@@ -9,8 +9,8 @@
 	"github.com/tideliftd/tidelift/internal/floor"
 )
 
-// Peer makes the calls that keep the floor, to the sidecars of other backend servers of the
-// service.
+// Peer makes the calls that maintain the floor to the sidecars of the service's other backend
+// servers.
 type Peer struct {
 	// RequestLease requests a lease.
 	RequestLease func(ctx context.Context, other fleet.Placement, r floor.Request) (LeaseResponse, error)
@@ -130,9 +130,9 @@
 // answerLeaseRequest answers a lease request of another backend server.
 func (t *task) answerLeaseRequest(now time.Time, r floor.Request) LeaseResponse {
 	t.isEjected(now)
-	dead := t.subject.Verdict(now).Cause == detect.CauseRefuses
-	cold := t.subject.TrafficShare(now) < 1
-	t.ledger.SetUnable(t.isDraining(now) || dead || cold)
+	refusesConnections := t.subject.Verdict(now).Cause == detect.CauseRefuses
+	rampingUp := t.subject.TrafficShare(now) < 1
+	t.ledger.SetUnable(t.isDraining(now) || refusesConnections || rampingUp)
 	since := now.Add(-time.Duration(r.SuspectedFor) * time.Millisecond)
 	return LeaseResponse{Refusal: t.ledger.Answer(now, r), Summary: t.subject.Summary(since)}
 }
--- a/internal/sidecar/messages.go
+++ b/internal/sidecar/messages.go
@@ -39,7 +39,7 @@
 		reply   chan bool
 	}
 	drainMessage struct{ draining bool }
-	// hostListMessage reports whether the platform's host list has the host as draining.
+	// hostListMessage reports whether the platform's host list marks the host as draining.
 	hostListMessage struct{ draining bool }
 	// selfDrainMessage reports that an answer of the backend server says that it is draining.
 	selfDrainMessage   struct{}
--- a/internal/sidecar/runs.go
+++ b/internal/sidecar/runs.go
@@ -36,8 +36,8 @@
 	return func() { s.config.Retries.FinishRun(time.Now(), run) }, nil
 }
 
-// borrowRetries borrows the retries that the calls of a retry lack. It returns the services that
-// they are for, and false if no other host lends them.
+// borrowRetries borrows the retries that are missing for the calls of a retry. It returns the
+// called services, one entry per retry, and false if no other host lends them.
 func (s *Sidecar) borrowRetries(ctx context.Context, run runs.Run) (borrowed []string, ok bool) {
 	if !run.Retry || s.config.BorrowRetry == nil {
 		return nil, true
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -1,5 +1,5 @@
 // Package sidecar is the part of a daemon that sends requests to the backend servers of its own
-// host. No other process of the fleet sends them any.
+// host. No other process of the fleet sends requests to them.
 //
 // Slots, the queue, draining, ejection, and whether a request was run are therefore state of one
 // process. One task for each backend server owns that state and communicates by messages. The files
@@ -25,7 +25,7 @@
 //	lease.go       requests, grants and releases leases
 //	report.go      describes the backend server to operators
 //	runs.go        counts and records what is sent, and reserves the retry budget of a retry's calls
-//	ends.go        finds out which requests a backend server ran when it ended
+//	ends.go        detects which requests a backend server ran when it ended
 //	usage.go       counts slot time by use
 //
 // # Usage
@@ -179,7 +179,7 @@
 	return nil
 }
 
-// HostDraining records whether the platform's host list has the host as draining.
+// HostDraining records whether the platform's host list marks the host as draining.
 func (s *Sidecar) HostDraining(draining bool) {
 	for _, server := range *s.servers.Load() {
 		server.send(hostListMessage{draining: draining})
--- a/internal/sidecar/slot.go
+++ b/internal/sidecar/slot.go
@@ -14,17 +14,17 @@
 // slot is the right to run one request, and observes the outcome. It is used by one goroutine,
 // except for the overdue timer.
 type slot struct {
-	server     *server
-	probation  bool
-	others     detect.Baseline
-	target     time.Duration // latency target of the route; zero if unknown
-	slowAfter  time.Duration // how long the request runs before it counts as slow; zero if unknown
-	granted    time.Time
-	waited     time.Duration // until it was granted
-	started    time.Time     // zero until the request is sent
-	overdue    *time.Timer
-	watch      slowWatch
-	wasOverdue atomic.Bool
+	server        *server
+	probation     bool
+	others        detect.Baseline
+	latencyTarget time.Duration // latency target of the route; zero if unknown
+	slowAfter     time.Duration // how long the request runs before it counts as slow; zero if unknown
+	granted       time.Time
+	waited        time.Duration // until it was granted
+	started       time.Time     // zero until the request is sent
+	overdue       *time.Timer
+	watch         slowWatch
+	wasOverdue    atomic.Bool
 	// isEvidence reports whether the observation reflects on the backend server.
 	isEvidence  bool
 	observation detect.Observation
@@ -32,7 +32,7 @@
 
 // begin starts the request's timers.
 func (s *slot) begin(others detect.Baseline, call hop.Call) {
-	s.target = call.LatencyTarget
+	s.latencyTarget = call.LatencyTarget
 	s.slowAfter = call.SlowAfter
 	s.others = others
 	s.started = time.Now()
@@ -76,7 +76,7 @@
 	}
 	s.watch.end()
 	s.observation.WasOverdue = s.wasOverdue.Load()
-	s.observation.PastTarget = s.target > 0 && s.observation.Latency > s.target
+	s.observation.PastTarget = s.latencyTarget > 0 && s.observation.Latency > s.latencyTarget
 	if s.isEvidence && !s.probation {
 		s.server.send(observeMessage{observation: s.observation, others: s.others})
 	}
--- a/internal/sidecar/suspicion.go
+++ b/internal/sidecar/suspicion.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// clearSuspicion ends the suspicion, and an ejection that began meanwhile, which would otherwise
+// clearSuspicion ends the suspicion, and an ejection that began during it, which would otherwise
 // outlast the failure.
 func (t *task) clearSuspicion(now time.Time) {
 	t.log(event.ServerTrusted)
--- a/internal/sidecar/task.go
+++ b/internal/sidecar/task.go
@@ -27,12 +27,12 @@
 	subject           *detect.Subject
 	ledger            *floor.Ledger
 	ejection          ejection
-	draining          bool      // by an operator
-	hostDraining      bool      // by the platform's list of hosts
-	selfDrainUntil    time.Time // reported by its own answer, until this time
+	draining          bool      // set by an operator
+	hostDraining      bool      // set by the platform's host list
+	selfDrainUntil    time.Time // end of the draining that its own answer reported
 	probationInFlight bool      // a probation request is running
 	suspicion         *suspicion.Suspicion
-	refusedHosts      map[string]bool // hosts whose requests were refused for suspicion
+	refusedHosts      map[string]bool // hosts whose requests were refused because of suspicion
 }
 
 func newTask(config Config, s *server, d *declared) *task {
