--- a/internal/hop/encode.go
+++ b/internal/hop/encode.go
@@ -19,7 +19,7 @@
 	LatencyTargetLeft int64
 	LatencyTarget     int64
 	SlowAfter         int64
-	TypicalLatency    int64
+	Typical           int64
 	Priority          int
 	Customer          string
 	Reservation       string
@@ -50,7 +50,7 @@
 		LatencyTargetLeft: nonNegativeMicros(c.LatencyTargetLeft),
 		LatencyTarget:     nonNegativeMicros(c.LatencyTarget),
 		SlowAfter:         nonNegativeMicros(c.SlowAfter),
-		TypicalLatency:    nonNegativeMicros(c.TypicalLatency),
+		Typical:           nonNegativeMicros(c.TypicalLatency),
 		Priority:          c.Priority,
 		Customer:          c.Customer,
 		Reservation:       c.Reservation,
@@ -107,7 +107,7 @@
 		LatencyTargetLeft: micros(w.LatencyTargetLeft),
 		LatencyTarget:     micros(w.LatencyTarget),
 		SlowAfter:         micros(w.SlowAfter),
-		TypicalLatency:    micros(w.TypicalLatency),
+		TypicalLatency:    micros(w.Typical),
 		Priority:          w.Priority,
 		Customer:          w.Customer,
 		Reservation:       w.Reservation,
