--- a/internal/ingress/admit.go
+++ b/internal/ingress/admit.go
@@ -26,7 +26,7 @@
 	deadline        time.Time
 	customer        string
 	queueCustomer   string // customer under which it is queued
-	attempts        attempts.Request
+	attemptRequest  attempts.Request
 	priority        int
 	body            *body.Body
 	route           route.Name
@@ -106,21 +106,21 @@
 	// Attempts replace the body. The original request must stay unchanged, since
 	// net/http uses its body to decide whether to send 100 Continue.
 	own := *r
-	latencyTarget := min(a.match.Target, a.timeLeft)
+	effectiveTarget := min(a.match.Target, a.timeLeft)
 	admitted := &request{
 		Request:       &own,
 		service:       service,
 		serviceName:   name,
-		latencyTarget: latencyTarget,
+		latencyTarget: effectiveTarget,
 		deadline:      now.Add(a.timeLeft),
 		customer:      a.caller.name,
 		queueCustomer: in.queueCustomer(a.state, a.caller),
-		attempts: attempts.Request{
+		attemptRequest: attempts.Request{
 			Service:         &service.attempts,
 			NonIdempotent:   !a.match.Idempotent(r.Method),
 			MaxSent:         a.match.Attempts,
 			StartedAt:       now,
-			LatencyTargetAt: now.Add(latencyTarget),
+			LatencyTargetAt: now.Add(effectiveTarget),
 		},
 		priority: a.caller.priority,
 		body:     body.New(w, r, a.match.MaxBody),
@@ -130,7 +130,7 @@
 		mayBeSubrequest: a.state.mayBeSubrequest(a.caller),
 	}
 	if in.disabled.latencyTargets {
-		admitted.attempts.LatencyTargetAt = admitted.deadline
+		admitted.attemptRequest.LatencyTargetAt = admitted.deadline
 	}
 	return admitted
 }
@@ -141,8 +141,8 @@
 	if in.disabled.subrequests || !r.mayBeSubrequest || !in.subrequest.IsSubrequest(r.route) {
 		return
 	}
-	r.attempts.Subrequest = true
-	r.attempts.LatencyTargetAt = r.deadline
+	r.attemptRequest.Subrequest = true
+	r.attemptRequest.LatencyTargetAt = r.deadline
 	r.priority = subrequestPriority
 }
 
--- a/internal/ingress/attempt.go
+++ b/internal/ingress/attempt.go
@@ -63,7 +63,7 @@
 	a.reservation = reservation
 	event.Log(a.in.config.Logger, event.RequestHedged,
 		"request", a.in.requestID(a.request.Request), "service", a.request.serviceName, "backend_server", a.Target.Name,
-		"after_ms", time.Since(a.request.attempts.StartedAt).Milliseconds())
+		"after_ms", time.Since(a.request.attemptRequest.StartedAt).Milliseconds())
 	return nil
 }
 
--- a/internal/ingress/attempt_test.go
+++ b/internal/ingress/attempt_test.go
@@ -25,8 +25,8 @@
 	pool.Reconfigure(declaration.Services[0], index)
 	in := &Ingress{config: Config{Logger: slog.New(slog.DiscardHandler)}}
 	r := &race{in: in, progress: &progress{}, done: make(chan outcome)}
-	r.request = &request{attempts: attempts.Request{Service: &attempts.Service{Pool: pool}, MaxSent: 3}, service: &service{limit: &retryLimit{}}}
-	r.hedging = attempts.NewHedging(r.request.attempts, time.Millisecond, &r.progress.History)
+	r.request = &request{attemptRequest: attempts.Request{Service: &attempts.Service{Pool: pool}, MaxSent: 3}, service: &service{limit: &retryLimit{}}}
+	r.hedging = attempts.NewHedging(r.request.attemptRequest, time.Millisecond, &r.progress.History)
 	for range running {
 		a := &attempt{in: in, request: r.request, Choice: attempts.Choice{Target: pool.Targets()[0]}, cancel: func(error) {}}
 		r.running = append(r.running, a)
--- a/internal/ingress/attempts.go
+++ b/internal/ingress/attempts.go
@@ -28,7 +28,7 @@
 			return o.response, nil
 		}
 		failure := p.record(o)
-		retried := p.MayRetry(time.Now(), r.attempts, r.body.Consumed()) && in.takeRetry(ctx, r, p)
+		retried := p.MayRetry(time.Now(), r.attemptRequest, r.body.Consumed()) && in.takeRetry(ctx, r, p)
 		in.logAttempt(r, o.attempt, p, failure, retried)
 		if !retried {
 			return p.end(p.Failure())
@@ -40,9 +40,9 @@
 // choose returns the next backend server to try. It waits while a better choice may become
 // available.
 func (in *Ingress) choose(ctx context.Context, r *request, p *progress) attempts.Choice {
-	choice := attempts.Choose(time.Now(), r.attempts, &p.History)
+	choice := attempts.Choose(time.Now(), r.attemptRequest, &p.History)
 	for choice.RetrySelection && wait.For(ctx, attempts.SelectionRetryDelay) {
-		choice = attempts.Choose(time.Now(), r.attempts, &p.History)
+		choice = attempts.Choose(time.Now(), r.attemptRequest, &p.History)
 	}
 	return choice
 }
@@ -72,6 +72,6 @@
 	event.Log(in.config.Logger, event.AttemptFailed,
 		"request", in.requestID(r.Request), "service", r.serviceName, "backend_server", a.Target.Name, "trial", a.Probation,
 		"no_wait", a.RefuseIfBusy, "proven", a.RefuseIfHanging, "insist", a.DespiteSuspicion,
-		"tried", len(p.Tried), "sent", p.Sent, "once", r.attempts.NonIdempotent, "code", failure.Code.Number, "result", failure.Code.Name,
+		"tried", len(p.Tried), "sent", p.Sent, "once", r.attemptRequest.NonIdempotent, "code", failure.Code.Number, "result", failure.Code.Name,
 		"why", failure.Error(), "again", retried, "passed_over", p.passedOver.String())
 }
--- a/internal/ingress/customer_test.go
+++ b/internal/ingress/customer_test.go
@@ -112,10 +112,10 @@
 		}
 		return r
 	}
-	if fail("/closed/x", "school-key").attempts.Subrequest {
+	if fail("/closed/x", "school-key").attemptRequest.Subrequest {
 		t.Error("a request with a key is classified as a subrequest")
 	}
-	if !fail("/open/x", "").attempts.Subrequest {
+	if !fail("/open/x", "").attemptRequest.Subrequest {
 		t.Error("invalid test: a request without a key is not classified as a subrequest either")
 	}
 }
@@ -123,24 +123,24 @@
 // TestCustomerLimitAndRefund guards against counting requests that reached no backend server,
 // and against applying a limit to requests without a customer.
 func TestCustomerLimitAndRefund(t *testing.T) {
-	within, givenBack := true, 0
+	within, refunded := true, 0
 	in := customersIngress(t, Config{
 		Host: "csepel-1",
 		AdmitCustomer: func(string) quota.Decision {
 			return quota.Decision{Admitted: within, RetryAfter: 1700 * time.Millisecond}
 		},
-		RefundCustomer: func(string) { givenBack++ },
+		RefundCustomer: func(string) { refunded++ },
 	})
 	w := httptest.NewRecorder()
 	in.ServeHTTP(w, newCustomerRequest("/closed/x", "school-key")) // the service has no backend servers
-	if w.Code != http.StatusServiceUnavailable || givenBack != 1 {
-		t.Fatalf("status %d, %d refunded", w.Code, givenBack)
+	if w.Code != http.StatusServiceUnavailable || refunded != 1 {
+		t.Fatalf("status %d, %d refunded", w.Code, refunded)
 	}
 	within = false
 	w = httptest.NewRecorder()
 	in.ServeHTTP(w, newCustomerRequest("/closed/x", "school-key"))
-	if w.Code != http.StatusTooManyRequests || w.Header().Get("Retry-After") != "2" || givenBack != 1 {
-		t.Fatalf("status %d, Retry-After %q, %d refunded", w.Code, w.Header().Get("Retry-After"), givenBack)
+	if w.Code != http.StatusTooManyRequests || w.Header().Get("Retry-After") != "2" || refunded != 1 {
+		t.Fatalf("status %d, Retry-After %q, %d refunded", w.Code, w.Header().Get("Retry-After"), refunded)
 	}
 	w = httptest.NewRecorder()
 	in.ServeHTTP(w, newCustomerRequest("/open/x", ""))
--- a/internal/ingress/disabled_test.go
+++ b/internal/ingress/disabled_test.go
@@ -32,11 +32,11 @@
 			t.Errorf("%q disabled: no hedges: %t, hanging ignored: %t", mechanism, s.attempts.NoHedges, s.attempts.IgnoreHanging)
 		}
 		first := admitted(t, in)
-		if waitsForDeadline := first.attempts.LatencyTargetAt.Equal(first.deadline); waitsForDeadline != (mechanism == experiment.LatencyTargets) {
+		if waitsForDeadline := first.attemptRequest.LatencyTargetAt.Equal(first.deadline); waitsForDeadline != (mechanism == experiment.LatencyTargets) {
 			t.Errorf("%q disabled: a request waits until its deadline: %t", mechanism, waitsForDeadline)
 		}
 		in.MarkSubrequestRoutes([]route.Name{first.route})
-		if got := admitted(t, in).attempts.Subrequest; got != (mechanism != experiment.Subrequests) {
+		if got := admitted(t, in).attemptRequest.Subrequest; got != (mechanism != experiment.Subrequests) {
 			t.Errorf("%q disabled: a subrequest is classified as one: %t", mechanism, got)
 		}
 	}
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -18,8 +18,8 @@
 //  1. Admission (admit.go). The request is refused if the daemon has no declaration or is stopping, if
 //     the request is malformed, ambiguous or too large (check.go), if no route matches, if its key is
 //     unknown (customer.go) or if its deadline is invalid. The customer's limit is checked last.
-//  2. newRequest (admit.go) picks the service by the route's split and fills in what package
-//     attempts needs to know of the request. Requests that a backend server of this host sent while running another
+//  2. newRequest (admit.go) picks the service by the route's split and describes the request to
+//     package attempts. Requests that a backend server of this host sent while running another
 //     request are prioritised (prioritizeSubrequest; subrequest.go learns which these are).
 //  3. A short body is read in full so that it can be resent (package body).
 //  4. tryAll (attempts.go) sends the request to one backend server after another. Package attempts
@@ -34,8 +34,8 @@
 //     overdue (clock.go).
 //  7. The outcome is recorded (learn.go): it may pause the backend server, and it is evidence for the
 //     service's outlierDetector (judge.go), which avoids (avoid.go) backend servers whose path looks
-//     unhealthy. Package failures classifies each failure. An unreachable host is pinged until it answers
-//     (reach.go).
+//     unhealthy. Package failures classifies each failure. An unreachable host is pinged until it
+//     answers (reach.go).
 //  8. The answer is forwarded (serve.go), or the failure is answered with its code and Retry-After
 //     (refuse.go). In a planned stop, callers that still wait get a final answer (stop.go).
 //
--- a/internal/ingress/limit_test.go
+++ b/internal/ingress/limit_test.go
@@ -132,9 +132,8 @@
 	}
 }
 
-// TestRefusedSubrequestOfRetryIsNotRun guards against running a subrequest of a retry, or answering
-// it as if it may have run, when all backend servers refuse it because the services that they call
-// have no retry budget left.
+// TestRefusedSubrequestOfRetryIsNotRun guards against running a subrequest of a retry, or reporting
+// that it may have run, when all backend servers refuse it for lack of retry budget for their calls.
 func TestRefusedSubrequestOfRetryIsNotRun(t *testing.T) {
 	code := result.RetryLimit
 	l := newLimitedIngress(t, &code)
--- a/internal/ingress/race.go
+++ b/internal/ingress/race.go
@@ -35,7 +35,7 @@
 
 // isAnswer reports whether the attempt has an answer that is final for the caller.
 func (o outcome) isAnswer() bool {
-	return o.err == nil && !o.attempt.request.attempts.MayImprove(o.response)
+	return o.err == nil && !o.attempt.request.attemptRequest.MayImprove(o.response)
 }
 
 // runRace runs the attempt and, if it is slow, hedges of it. It returns the outcome with the
@@ -45,7 +45,7 @@
 		in:       in,
 		request:  first.request,
 		progress: p,
-		hedging:  attempts.NewHedging(first.request.attempts, first.request.slowAfter(), &p.History),
+		hedging:  attempts.NewHedging(first.request.attemptRequest, first.request.slowAfter(), &p.History),
 		done:     make(chan outcome),
 	}
 	r.start(ctx, first)
--- a/internal/ingress/serve_bench_test.go
+++ b/internal/ingress/serve_bench_test.go
@@ -25,13 +25,13 @@
 			method = http.MethodPost
 		}
 		b.Run(name, func(b *testing.B) {
-			asked := 0
+			queried := 0
 			in, cleanUp := New(Config{
 				Host: "h1", DataCentre: "dc", Logger: slog.New(slog.DiscardHandler), Scope: tally.NoopScope, HeaderBytes: 1 << 16,
 				Off: experiment.Off{experiment.Hedges}, // most answers take microseconds, so one of a millisecond would be hedged
 				Local: func(_ context.Context, call hop.Call, r *http.Request) (sidecar.Answer, error) {
-					asked++
-					if name == "busy" && asked%2 == 1 {
+					queried++
+					if name == "busy" && queried%2 == 1 {
 						return sidecar.Answer{}, result.New(result.Busy)
 					}
 					return answered(call, r), nil
