--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -20,7 +20,7 @@
 	reportedBelow = 0.5
 	// adoptOwnFor is how long a new ledger adopts levels from verdicts under its own name, which
 	// its previous incarnation may have sent. Levels of other ledgers are always adopted, since
-	// reports can move to another host and back while the buckets here fill.
+	// reports can move to another host and back within a second while the buckets here fill.
 	adoptOwnFor = time.Second
 	// warmUpFor is how long a ledger counts before it gives a verdict, so that each daemon can
 	// report twice after a simultaneous start. Earlier rates would be underestimated.
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -48,7 +48,7 @@
 // The bound: in any time w all partitions together admit at most rate*w + burst, plus the
 // requests that arrive within one reporting delay after the customer's rate rises, as far as
 // the bucket has not recovered them by the end of w, plus one request for each partition
-// (TestSimulatedFleetKeepsLimits).
+// (see TestSimulatedFleetKeepsLimits).
 //
 // Units: rates are in requests per second; bursts, levels and counts in requests; shares from
 // 0 to 1. A Gate, Collector or Ledger has no clock, socket or goroutine and is not safe for
