--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -197,7 +197,7 @@
 		return Decision{Verdict: Granted}
 	}
 	start := now.Add(q.estimatedWait(q.countAhead(r.Priority) + 1))
-	if start.After(r.Deadline) || q.waiting >= q.config.Slots && q.missesTarget(start, r) {
+	if start.After(r.Deadline) || q.waiting >= q.config.Slots && q.missesLatencyTarget(start, r) {
 		return Decision{Verdict: RefusedTooSlow, RetryAfter: q.RetryAfter()}
 	}
 	if q.waiting >= q.config.Depth {
@@ -210,9 +210,9 @@
 	return Decision{Verdict: Queued}
 }
 
-// missesTarget reports whether a request that starts at the given time and takes its typical
+// missesLatencyTarget reports whether a request that starts at the given time and takes its typical
 // time is answered after its latency target.
-func (q *Queue) missesTarget(from time.Time, r Request) bool {
+func (q *Queue) missesLatencyTarget(from time.Time, r Request) bool {
 	typical := r.TypicalLatency
 	if typical == 0 {
 		typical = q.serviceTime
--- a/internal/admission/crowded.go
+++ b/internal/admission/crowded.go
@@ -12,14 +12,13 @@
 	// urgent one. It is short, because the evicted caller gets its refusal only then.
 	EvictLessUrgentWithin = 50 * time.Millisecond
 	// EvictWithin is how long after being queued a request can be evicted by another customer's
-	// request of the same priority. It is short, so that the evicted caller gets its refusal
-	// about as soon as if it had not been queued.
+	// request of the same priority. It is short, so that the evicted caller is refused early.
 	EvictWithin = 10 * time.Millisecond
 )
 
-// maxReservedShare is the maximum share of the places that is kept free for other customers.
-// Among hundreds of customers most of the active ones have no request to queue, and a queue
-// kept free for all of them would refuse requests needlessly.
+// maxReservedShare is the maximum share of the places that is kept free for other customers. With
+// hundreds of customers most active ones have no request to queue, and reserving a place for each
+// would refuse requests needlessly.
 const maxReservedShare = 0.5
 
 // hasRoom reports whether the bucket may take another place: it has less than its fair share,
@@ -68,7 +67,7 @@
 	return q.replace(now, own, longest, bucket, r)
 }
 
-// replace replaces the newest request of the evicted bucket by the given request.
+// replace replaces the newest request of the evicted bucket with the given request.
 func (q *Queue) replace(now time.Time, from *level, evicted, bucket int, r Request) Decision {
 	removed := from.popNewest(evicted)
 	q.waiting--
--- a/internal/admission/grant.go
+++ b/internal/admission/grant.go
@@ -6,8 +6,8 @@
 // which a less urgent one gets the next grant.
 const UrgentGrants = 3
 
-// minServiceDivisor is the divisor of the average service time that yields the time a request
-// needs before its deadline to be run at all.
+// minServiceDivisor divides the average service time to get the minimum time that must be left
+// before a request's deadline for the request to be run.
 const minServiceDivisor = 2
 
 // Done frees the slot of a request that took the given time, and returns the requests that get
--- a/internal/admission/remove.go
+++ b/internal/admission/remove.go
@@ -7,14 +7,14 @@
 // IDs.
 //
 // The estimate uses a request's current position, since more urgent requests may have been
-// queued after it; it is then refused before its target has passed.
+// queued after it; it is then refused before its latency target has passed.
 func (q *Queue) Expire(now time.Time) []uint64 {
 	expired := make(map[uint64]bool)
 	remaining := q.waiting
 	ahead := 0
 	for _, l := range q.levels {
 		for _, r := range l.inTurnOrder() {
-			late := remaining > q.config.Slots && q.missesTarget(now.Add(q.estimatedWait(ahead+1)), r.Request)
+			late := remaining > q.config.Slots && q.missesLatencyTarget(now.Add(q.estimatedWait(ahead+1)), r.Request)
 			if late || q.cannotMeetDeadline(now, r.Request) {
 				expired[r.ID] = true
 				remaining--
