--- a/internal/ingress/avoid.go
+++ b/internal/ingress/avoid.go
@@ -44,8 +44,8 @@
 		return cmp.Compare(b.verdict.Severity, a.verdict.Severity)
 	})
 	left := d.surplus(now, targets)
-	for _, s := range unhealthy {
-		left = d.avoid(now, s, left)
+	for _, candidate := range unhealthy {
+		left = d.avoid(now, candidate, left)
 	}
 }
 
@@ -87,19 +87,19 @@
 
 // avoid avoids an unhealthy target if the floor allows it, and returns how many more may be
 // avoided. A paused target is already counted as out of use.
-func (d *outlierDetector) avoid(now time.Time, s unhealthyTarget, left int) int {
-	name := s.target.Name
-	paused := d.pool.Paused(s.target, now)
+func (d *outlierDetector) avoid(now time.Time, candidate unhealthyTarget, left int) int {
+	name := candidate.target.Name
+	paused := d.pool.Paused(candidate.target, now)
 	if left <= 0 && !paused {
 		if !d.keptByFloor[name] {
 			d.keptByFloor[name] = true
-			d.log(event.FloorHeld, s.target, "cause", s.verdict.Cause)
+			d.log(event.FloorHeld, candidate.target, "cause", candidate.verdict.Cause)
 		}
 		return left
 	}
-	s.subject.Eject(now)
+	candidate.subject.Eject(now)
 	delete(d.keptByFloor, name)
-	d.log(event.ServerAvoided, s.target, "cause", s.verdict.Cause)
+	d.log(event.ServerAvoided, candidate.target, "cause", candidate.verdict.Cause)
 	if paused {
 		return left
 	}
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -45,8 +45,8 @@
 // backend servers, an outlierDetector, which runs in its own goroutine, and the retry limit
 // (service.go). It also owns a latency.Estimate for each route, the connections to other daemons,
 // the set of unreachable hosts and the evidence on subrequests. Reconfigure applies a new
-// declaration and keeps what was learned. Other parts of the daemon report backend servers that are draining or
-// trusted again, and query the evidence (targets.go).
+// declaration and keeps what was learned. Other parts of the daemon report backend servers that
+// are draining or trusted again, and query the evidence (targets.go).
 //
 // # Guarantees
 //
