--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -23,8 +23,8 @@
 // The first rule that applies decides (Queue.Admit, then Queue.Offer):
 //
 //  1. The backend server is draining: refused.
-//  2. It is suspected: refused, except for a request that no other backend server is left for,
-//     a probe, and an idempotent request if the suspicion rests mostly on slow requests.
+//  2. It is suspected: refused, except for a request for which no other backend server is
+//     left, a probe, and an idempotent request if the suspicion rests mostly on slow requests.
 //     Ejection is not checked in this case.
 //  3. It is ejected: refused. In probation it accepts one idempotent request at a time.
 //  4. It appears to hang, and the request is to be refused in that case: refused.
@@ -126,9 +126,9 @@
 	Customer string
 	// Priority is the rank; 0 is served first.
 	Priority int
-	// TargetAt is the latency target: the time by which the answer should arrive; zero if there
-	// is none.
-	TargetAt time.Time
+	// LatencyTargetAt is the time by which the answer should arrive; zero if there is no latency
+	// target.
+	LatencyTargetAt time.Time
 	// TypicalLatency is how long an answer typically takes; zero if that is not known.
 	TypicalLatency time.Duration
 	// Deadline is the time by which the answer has to arrive.
@@ -197,7 +197,7 @@
 		return Decision{Verdict: Granted}
 	}
 	start := now.Add(q.estimatedWait(q.countAhead(r.Priority) + 1))
-	if start.After(r.Deadline) || q.waiting >= q.config.Slots && q.missesTarget(start, r) {
+	if start.After(r.Deadline) || q.waiting >= q.config.Slots && q.missesLatencyTarget(start, r) {
 		return Decision{Verdict: RefusedTooSlow, RetryAfter: q.RetryAfter()}
 	}
 	if q.waiting >= q.config.Depth {
@@ -210,14 +210,14 @@
 	return Decision{Verdict: Queued}
 }
 
-// missesTarget reports whether a request that starts at the given time and takes its typical
+// missesLatencyTarget reports whether a request that starts at the given time and takes its typical
 // time is answered after its latency target.
-func (q *Queue) missesTarget(from time.Time, r Request) bool {
+func (q *Queue) missesLatencyTarget(from time.Time, r Request) bool {
 	typical := r.TypicalLatency
 	if typical == 0 {
 		typical = q.serviceTime
 	}
-	return !r.TargetAt.IsZero() && from.Add(typical).After(r.TargetAt)
+	return !r.LatencyTargetAt.IsZero() && from.Add(typical).After(r.LatencyTargetAt)
 }
 
 // countAhead returns the number of waiting requests that are served before a new one of the
