--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -93,7 +93,7 @@
 	Routes []route.Name `json:"routes,omitempty"`
 }
 
-// SuspicionCleared is the parameter of MethodTrusted.
+// SuspicionCleared is the parameter of MethodSuspicionCleared.
 type SuspicionCleared struct {
 	Names []string `json:"names"`
 }
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -17,7 +17,7 @@
 //	go l.Run(ctx)
 //	l.Reconfigure(declaration)
 //	if decision := l.Admit(customer); !decision.Admitted { ... }
-//	handlers[control.MethodReportCounts] = l.HandleCounted
+//	handlers[control.MethodReportCounts] = l.HandleCountReport
 package limits
 
 import (
