--- a/test/harness/backend.go
+++ b/test/harness/backend.go
@@ -10,7 +10,7 @@
 	"github.com/tideliftd/tidelift/test/backendserver"
 )
 
-// Backend is one backend server.
+// Backend is a backend server process, or the address of one that the test runs itself.
 type Backend struct {
 	process
 	Name    string
@@ -18,11 +18,11 @@
 	Host    *Daemon
 
 	fleet  *Fleet
-	number int // in the fleet
-	place  int // in the service
+	number int // index in the fleet
+	place  int // index in the service
 }
 
-// Work returns the IP:port where it takes requests, past any proxy.
+// Work returns the IP:port at which the backend server itself receives requests, behind any proxy.
 func (b *Backend) Work() string {
 	if b.Service.Addresses != nil {
 		return b.Service.Addresses[b.place]
@@ -34,9 +34,10 @@
 	return b.fleet.net.address(b.Host.number, portWorkProxy+b.number)
 }
 
+// mode returns the IP:port at which the backend server's mode is set and its ledger is read.
 func (b *Backend) mode() string { return b.fleet.net.address(b.Host.number, portMode+b.number) }
 
-// declared returns the address that the declaration gives.
+// declared returns the address to use in the declaration, which is the proxy's if there is one.
 func (b *Backend) declared() string {
 	if b.fleet.Spec.Proxied {
 		return b.workProxy()
@@ -57,8 +58,8 @@
 	return nil
 }
 
-// Start starts the backend server, also again after it has ended, and waits
-// until it takes connections.
+// Start starts the backend server, or restarts it after it has ended, and waits
+// until it accepts connections.
 func (b *Backend) Start() error {
 	err := b.start(b.fleet, b.Name, "testbackend", "-work", b.Work(), "-control", b.mode())
 	if err != nil {
@@ -67,7 +68,7 @@
 	return WaitListening(b.Work())
 }
 
-// SetMode makes the backend server behave so.
+// SetMode sets the behaviour of the backend server.
 func (b *Backend) SetMode(mode backendserver.Mode) error {
 	data, err := json.Marshal(mode)
 	if err != nil {
@@ -75,7 +76,7 @@
 	}
 	request, err := http.NewRequest(http.MethodPut, "http://"+b.mode()+"/mode", bytes.NewReader(data))
 	if err != nil {
-		return errors.Wrap(err, "make request")
+		return errors.Wrap(err, "create request")
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
@@ -84,7 +85,7 @@
 	return response.Body.Close()
 }
 
-// Ledger returns what the backend server has run since its start.
+// Ledger returns the runs of the backend server since its start.
 func (b *Backend) Ledger() (backendserver.Ledger, error) {
 	var ledger backendserver.Ledger
 	response, err := http.Get("http://" + b.mode() + "/ledger")
--- a/test/harness/daemon.go
+++ b/test/harness/daemon.go
@@ -14,10 +14,10 @@
 	"github.com/tideliftd/tidelift/internal/operatorapi"
 )
 
-// pollEvery is how often a condition is looked at while waiting for it.
+// pollEvery is the interval between checks of a condition that is waited for.
 const pollEvery = 20 * time.Millisecond
 
-// Daemon is one tideliftd.
+// Daemon is a tideliftd process.
 type Daemon struct {
 	process
 	Name       string
@@ -39,12 +39,12 @@
 // Operators returns the IP:port of the operator API.
 func (d *Daemon) Operators() string { return d.fleet.net.address(d.number, portOperators) }
 
-// peersFrom and controlFrom return the proxies' addresses for the data centre
-// of that number.
+// peersFrom returns the address of the proxy for requests from the data centre of that number.
 func (d *Daemon) peersFrom(dataCentre int) string {
 	return d.fleet.net.address(d.number, portPeers+100*(dataCentre+1))
 }
 
+// controlFrom returns the address of the proxy for control calls from the data centre of that number.
 func (d *Daemon) controlFrom(dataCentre int) string {
 	return d.fleet.net.address(d.number, portControl+100*(dataCentre+1))
 }
@@ -53,15 +53,15 @@
 func (d *Daemon) Client() *operatorapi.Client {
 	client, err := operatorapi.NewClient("http://"+d.Operators(), operatorapi.WithClient(tokenClient{d.fleet.Spec.Token}))
 	if err != nil {
-		panic(err) // the address is well formed
+		panic(err) // unreachable: the address is well formed
 	}
 	return client
 }
 
-// tokenClient sends calls with a token.
+// tokenClient adds a bearer token to each call.
 type tokenClient struct{ token string }
 
-// Do sends one call.
+// Do sends the call with the token, if there is one.
 func (c tokenClient) Do(r *http.Request) (*http.Response, error) {
 	if c.token != "" {
 		r.Header.Set("Authorization", "Bearer "+c.token)
@@ -104,8 +104,8 @@
 	return d.start(f, d.Name, "tideliftd", "--settings", file)
 }
 
-// Restart starts the daemon again after it has ended, with nothing kept, and
-// waits until it has a declaration in force.
+// Restart starts the daemon again after it has ended, without its earlier state, and
+// waits until it is ready.
 func (d *Daemon) Restart(ctx context.Context) error {
 	if err := d.fleet.startDaemon(d); err != nil {
 		return err
--- a/test/harness/events.go
+++ b/test/harness/events.go
@@ -9,7 +9,7 @@
 	"github.com/go-faster/errors"
 )
 
-// Logged is one event of a daemon's log.
+// Logged is an event in a daemon's log.
 type Logged struct {
 	Time          time.Time `json:"time"`
 	Event         int       `json:"event"`
@@ -20,7 +20,7 @@
 	Revision      int64     `json:"revision"`
 }
 
-// Events returns what every daemon has logged.
+// Events returns the events that the daemons have logged, grouped by daemon.
 func (f *Fleet) Events() ([]Logged, error) {
 	var all []Logged
 	for _, d := range f.Daemons {
--- a/test/harness/faults.go
+++ b/test/harness/faults.go
@@ -12,18 +12,18 @@
 	"github.com/rs/zerolog"
 )
 
-// Stream is a direction through a proxy.
+// Stream is the direction of data through a proxy.
 type Stream string
 
 // The directions.
 const (
-	// Requests go towards the server.
+	// Requests is the direction towards the server.
 	Requests Stream = "upstream"
-	// Answers come back from it.
+	// Answers is the direction back from the server.
 	Answers Stream = "downstream"
 )
 
-// Faults are the fault-injecting proxies of a fleet.
+// Faults controls the fault-injecting proxies of a fleet. A link is the name of a proxy.
 type Faults struct {
 	server *toxiproxy.ApiServer
 
@@ -58,39 +58,39 @@
 	}
 }
 
-// BackendLink names the proxy before a backend server.
+// BackendLink returns the name of the proxy in front of a backend server.
 func BackendLink(backend string) string { return "work " + backend }
 
-// PeerLink names the proxy before a daemon for requests from a data centre.
+// PeerLink returns the name of the proxy in front of a daemon for requests from a data centre.
 func PeerLink(dataCentre, daemon string) string { return "peers " + dataCentre + " " + daemon }
 
-// ControlLink names the proxy before a daemon for control calls from a data
-// centre.
+// ControlLink returns the name of the proxy in front of a daemon for control calls from a
+// data centre.
 func ControlLink(dataCentre, daemon string) string { return "control " + dataCentre + " " + daemon }
 
-// Cut lets nothing more through in that direction; the connection stays open.
+// Cut drops all further data in that direction. Connections stay open.
 func (x *Faults) Cut(link string, stream Stream) error {
 	return x.toxic(link, fmt.Sprintf(`{"name":"cut-%s","type":"timeout","stream":"%s","attributes":{"timeout":0}}`, stream, stream))
 }
 
-// Delay adds milliseconds to each piece in that direction.
+// Delay delays data in that direction by the given number of milliseconds.
 func (x *Faults) Delay(link string, stream Stream, millis int) error {
 	return x.toxic(link, fmt.Sprintf(`{"name":"delay-%s","type":"latency","stream":"%s","attributes":{"latency":%d}}`, stream, stream, millis))
 }
 
-// LimitData closes each connection after so many bytes in that direction.
+// LimitData closes each connection after the given number of bytes in that direction.
 func (x *Faults) LimitData(link string, stream Stream, bytes int) error {
 	return x.toxic(link, fmt.Sprintf(`{"name":"limit-%s","type":"limit_data","stream":"%s","attributes":{"bytes":%d}}`, stream, stream, bytes))
 }
 
-// Close ends the link's connections and takes no new ones.
+// Close closes the link's connections and refuses new ones.
 func (x *Faults) Close(link string) {
 	if proxy, err := x.proxy(link); err == nil {
 		proxy.Stop()
 	}
 }
 
-// Open takes connections again after Close.
+// Open accepts connections again after Close.
 func (x *Faults) Open(link string) error {
 	proxy, err := x.proxy(link)
 	if err != nil {
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// Heal takes every fault off the link.
+// Heal removes all faults from the link.
 func (x *Faults) Heal(link string) error {
 	proxy, err := x.proxy(link)
 	if err != nil {
@@ -133,7 +133,7 @@
 	return proxy, nil
 }
 
-// startProxies puts a proxy on each link, if the fleet is to have them.
+// startProxies starts a proxy for each link if Spec.Proxied is set.
 func (f *Fleet) startProxies() error {
 	if !f.Spec.Proxied {
 		return nil
--- a/test/harness/harness.go
+++ b/test/harness/harness.go
@@ -1,6 +1,6 @@
-// Package harness starts a fleet for tests and the demo: real daemons
-// and small backend servers as processes on loopback addresses, with the
-// platform's stand-in in this process.
+// Package harness starts a fleet for tests and the demo: real daemons and
+// small backend servers as processes on loopback addresses, with a stand-in
+// for the platform's store in the calling process.
 //
 // # Usage
 //
@@ -13,8 +13,8 @@
 //	defer cleanUp()
 //	response, err := http.Get(f.URL(0, "lookup", "/search"))
 //
-// Each daemon has a loopback address of its own in 127.0.0.0/8, so that ports
-// are fixed and no two fleets meet.
+// Each daemon has its own loopback address in 127.0.0.0/8, so that ports are
+// fixed and fleets do not conflict.
 package harness
 
 import (
@@ -47,27 +47,27 @@
 	portMode      = 9600
 )
 
-// readyWithin bounds a start.
+// readyWithin bounds the start of a fleet.
 const readyWithin = 30 * time.Second
 
-// Spec says what to start.
+// Spec describes the fleet to start.
 type Spec struct {
 	// Programs are the built programs.
 	Programs Programs
 	// DataCentres are the data centres' names.
 	DataCentres []string
-	// HostsEach is how many hosts each data centre has.
+	// HostsEach is the number of hosts in each data centre.
 	HostsEach int
-	// Services are spread over the hosts in turn.
+	// Services are the services to declare. Their backend servers are placed on the hosts in turn.
 	Services []Service
-	// Proxied puts a fault-injecting proxy before each backend server, and
-	// before each daemon for every other data centre.
+	// Proxied puts a fault-injecting proxy in front of each backend server, and
+	// in front of each daemon for every other data centre.
 	Proxied bool
-	// Settings is added to each daemon's settings, as YAML.
+	// Settings is YAML that is appended to each daemon's settings.
 	Settings string
-	// Token is the operators' token that the harness uses.
+	// Token is the operator token that the harness uses.
 	Token string
-	// Dir keeps the logs; empty means the programs' folder.
+	// Dir is the folder of the logs. If empty, it is the programs' folder.
 	Dir string
 }
 
@@ -80,19 +80,19 @@
 	Queue     int
 	Deadline  time.Duration
 	Detection string
-	// Adoption is that of every data centre; empty leaves steer.
+	// Adoption is the adoption of the service in every data centre. If empty, it is steer.
 	Adoption string
-	// DataCentres are where its backend servers are; nil means all.
+	// DataCentres are the data centres of its backend servers. If nil, all are used.
 	DataCentres []string
-	// Addresses are backend servers of the test's own, in place of processes.
+	// Addresses are the addresses of backend servers that the test runs itself, in place of processes.
 	Addresses []string
-	// MaxBody bounds request bodies, in bytes; 0 leaves the default.
+	// MaxBody bounds request bodies, in bytes. If 0, the default applies.
 	MaxBody int
-	// Idempotent lists the methods; nil leaves the default.
+	// Idempotent lists the idempotent methods. If nil, the default applies.
 	Idempotent []string
 }
 
-// Fleet is what was started.
+// Fleet is a running fleet.
 type Fleet struct {
 	Spec     Spec
 	Platform *standin.Standin
@@ -105,7 +105,7 @@
 }
 
 // Start starts the fleet and waits until every daemon has the declaration in
-// force. The function ends everything.
+// force. The returned function stops everything that was started.
 func Start(spec Spec) (*Fleet, func(), error) {
 	f := &Fleet{Spec: spec, Platform: standin.New()}
 	f.Faults = newFaults()
@@ -156,10 +156,10 @@
 	return nil
 }
 
-// claimNetwork chooses addresses that no other fleet of the machine has. They are the fleet's as
-// long as its platform listens, which it does from first to last.
+// claimNetwork chooses addresses that no other fleet on the machine uses, and returns the platform's
+// listener. The addresses stay reserved while the listener is open, which is the lifetime of the fleet.
 func (f *Fleet) claimNetwork() (net.Listener, error) {
-	const tries = 100 // far more than fleets run at once on one machine
+	const tries = 100 // far more than the fleets that run concurrently on one machine
 	var (
 		listener net.Listener
 		err      error
@@ -174,7 +174,7 @@
 	return listener, err
 }
 
-// PlatformAddress returns the stand-in's IP:port.
+// PlatformAddress returns the IP:port of the platform's stand-in.
 func (f *Fleet) PlatformAddress() string { return f.net.address(0, portPlatform) }
 
 func (f *Fleet) placeHosts() {
@@ -207,7 +207,7 @@
 	}
 }
 
-// hostsOf returns the daemons that may keep the service's backend servers.
+// hostsOf returns the daemons on whose hosts the service's backend servers are placed.
 func (f *Fleet) hostsOf(service Service) []*Daemon {
 	if service.DataCentres == nil {
 		return f.Daemons
@@ -221,7 +221,7 @@
 	return hosts
 }
 
-// declare puts the declaration in force and waits for every daemon.
+// declare applies the declaration and waits until it is in force at every daemon.
 func (f *Fleet) declare() error {
 	ctx, cancel := context.WithTimeout(context.Background(), readyWithin)
 	defer cancel()
@@ -245,7 +245,7 @@
 	})
 }
 
-// WaitRevision waits until every daemon has at least that revision in force.
+// WaitRevision waits until every daemon has that revision or a later one in force.
 func (f *Fleet) WaitRevision(ctx context.Context, revision int64) error {
 	return f.waitFor(ctx, func(s *operatorapi.Status) bool { return s.Revision >= revision })
 }
@@ -259,7 +259,7 @@
 	return nil
 }
 
-// URL returns the address of a service's path at the daemon of that number.
+// URL returns the URL of a service's path at the daemon of that number.
 func (f *Fleet) URL(daemon int, service, path string) string {
 	return "http://" + f.Daemons[daemon].Callers() + "/" + service + path
 }
@@ -333,7 +333,7 @@
 	}
 }
 
-// logName returns the file that a process logs to.
+// logName returns the path of a process's log file.
 func (f *Fleet) logName(name string) string {
 	dir := f.Spec.Dir
 	if dir == "" {
@@ -343,7 +343,7 @@
 	return filepath.Join(dir, own)
 }
 
-// logFile opens the file that a process logs to.
+// logFile opens the log file of a process.
 func (f *Fleet) logFile(name string) (*os.File, error) {
 	return os.OpenFile(f.logName(name), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 }
--- a/test/harness/network.go
+++ b/test/harness/network.go
@@ -8,8 +8,8 @@
 
 var fleets atomic.Uint32
 
-// network is the loopback addresses of one fleet: 127.a.b.host, with a and b drawn
-// from the process and the fleet. Another process may draw the same.
+// network is the range of loopback addresses of one fleet: 127.a.b.host, with a and b derived
+// from the process id and the fleet's number. Two processes may derive the same range.
 type network struct{ a, b int }
 
 func newNetwork() network {
--- a/test/harness/network_test.go
+++ b/test/harness/network_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestFleetsOfOneMachineNeverMeet gives a second fleet the number of the first, as processes
-// with neighbouring ids do.
+// TestFleetsOfOneMachineNeverMeet guards against two fleets with the same addresses when processes with neighbouring
+// ids derive the same range.
 func TestFleetsOfOneMachineNeverMeet(t *testing.T) {
 	number := fleets.Load()
 	first, second := &Fleet{}, &Fleet{}
@@ -16,6 +16,6 @@
 		defer func() { _ = listener.Close() }()
 	}
 	if first.net == second.net {
-		t.Fatalf("both have %v", first.net)
+		t.Fatalf("both fleets have network %v", first.net)
 	}
 }
--- a/test/harness/process.go
+++ b/test/harness/process.go
@@ -14,7 +14,7 @@
 	"github.com/go-faster/errors"
 )
 
-// process is a program that was started.
+// process is a started program.
 type process struct {
 	mu    sync.Mutex
 	cmd   *exec.Cmd
@@ -50,16 +50,16 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
-		return errors.New("process was not started")
+		return errors.New("signal a process that was not started")
 	}
 	return p.cmd.Process.Signal(signal)
 }
 
-// stopWithin bounds the wait for a signalled process to stand still.
+// stopWithin bounds the wait until all threads of a process are stopped after SIGSTOP.
 const stopWithin = 10 * time.Second
 
-// Stop makes the process stand still, as a paused host does, and returns once it does:
-// on a busy machine its threads run on for a while after the signal.
+// Stop suspends the process with SIGSTOP, as a paused host would, and waits until all its threads are
+// stopped: on a busy machine they continue to run for a while after the signal.
 func (p *process) Stop() error {
 	if err := p.Signal(syscall.SIGSTOP); err != nil {
 		return err
@@ -67,13 +67,13 @@
 	for end := time.Now().Add(stopWithin); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		stopped, err := allStopped(p.Pid())
 		if err != nil {
-			return errors.Wrap(err, "look whether the process stands still")
+			return errors.Wrap(err, "read thread states")
 		}
 		if stopped {
 			return nil
 		}
 	}
-	return errors.Errorf("process %d does not stand still within %s", p.Pid(), stopWithin)
+	return errors.Errorf("process %d still has running threads %s after SIGSTOP", p.Pid(), stopWithin)
 }
 
 // allStopped reports whether every thread of the process is stopped.
@@ -87,7 +87,7 @@
 		if err != nil {
 			return false, err
 		}
-		// The state stands after the name, which is in parentheses.
+		// The state follows the name, which is in parentheses.
 		_, rest, _ := strings.Cut(string(data), ") ")
 		if !strings.HasPrefix(rest, "T") {
 			return false, nil
@@ -96,10 +96,10 @@
 	return len(files) > 0, nil
 }
 
-// Continue lets it go on.
+// Continue resumes a suspended process.
 func (p *process) Continue() error { return p.Signal(syscall.SIGCONT) }
 
-// Wait waits until the process has ended and reports whether it did in time.
+// Wait waits until the process has ended and reports whether it ended in time.
 func (p *process) Wait(within time.Duration) bool {
 	p.mu.Lock()
 	ended := p.ended
@@ -115,21 +115,21 @@
 	}
 }
 
-// Kill ends the process at once.
+// Kill kills the process and waits until it has ended.
 func (p *process) Kill() {
 	if p.Signal(syscall.SIGKILL) == nil {
 		p.Wait(readyWithin)
 	}
 }
 
-// Pid returns the process's number.
+// Pid returns the process id.
 func (p *process) Pid() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd.Process.Pid
 }
 
-// WaitListening waits until the address takes connections.
+// WaitListening waits until the address accepts connections.
 func WaitListening(address string) error {
 	end := time.Now().Add(readyWithin)
 	for time.Now().Before(end) {
--- a/test/harness/programs.go
+++ b/test/harness/programs.go
@@ -11,13 +11,13 @@
 
 // Programs are the built programs.
 type Programs struct {
-	// Dir holds them.
+	// Dir is the folder that contains them.
 	Dir string
 }
 
-// Build builds the programs into a temporary folder, which the function
-// removes. With TIDELIFT_RACE set they look for data races and end when they
-// find one.
+// Build builds the programs into a temporary folder, which the returned
+// function removes. If TIDELIFT_RACE is set, they are built with the race
+// detector.
 func Build() (Programs, func(), error) {
 	root, err := moduleRoot()
 	if err != nil {
@@ -25,7 +25,7 @@
 	}
 	dir, err := os.MkdirTemp("", "tidelift-")
 	if err != nil {
-		return Programs{}, nil, errors.Wrap(err, "make folder")
+		return Programs{}, nil, errors.Wrap(err, "create folder for the programs")
 	}
 	remove := func() { _ = os.RemoveAll(dir) }
 	arguments := []string{"build", "-o", dir + string(filepath.Separator)}
@@ -41,7 +41,7 @@
 	return Programs{Dir: dir}, remove, nil
 }
 
-// Path returns the file of a built program.
+// Path returns the path of a built program.
 func (p Programs) Path(name string) string { return filepath.Join(p.Dir, name) }
 
 func moduleRoot() (string, error) {
--- a/test/harness/tests.go
+++ b/test/harness/tests.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// RunTests builds the programs, runs the tests of a package with them and ends the process with
-// their verdict. It is all that such a package's TestMain does.
+// RunTests builds the programs into programs, runs the package's tests and exits with their status. It is
+// meant to be the whole body of TestMain.
 func RunTests(m *testing.M, programs *Programs) {
 	built, cleanUp, err := Build()
 	if err != nil {
@@ -18,7 +18,8 @@
 	os.Exit(code)
 }
 
-// StartForTest starts a fleet whose logs are in Spec.Dir, or else in a directory that ends with the test.
+// StartForTest starts a fleet that is stopped at the end of the test. Its logs are in Spec.Dir, or in the test's
+// temporary directory if that is empty.
 func StartForTest(t *testing.T, spec Spec) *Fleet {
 	t.Helper()
 	if spec.Dir == "" {
--- a/test/harness/usage.go
+++ b/test/harness/usage.go
@@ -10,7 +10,7 @@
 	"github.com/go-faster/errors"
 )
 
-// clockTick is the unit of processor time in /proc, on Linux.
+// clockTick is the unit of processor time in /proc on Linux.
 const clockTick = 10 * time.Millisecond
 
 // processorTime returns the processor time that a process has used.
@@ -19,10 +19,10 @@
 	if err != nil {
 		return 0, errors.Wrap(err, "read processor time")
 	}
-	const user, system = 11, 12 // counted after the name in brackets
+	const user, system = 11, 12 // field indexes after the name in parentheses
 	fields := strings.Fields(string(data[strings.LastIndexByte(string(data), ')')+1:]))
 	if len(fields) <= system {
-		return 0, errors.New("process statistics are too short")
+		return 0, errors.New("read processor time: too few fields in /proc/PID/stat")
 	}
 	u, err1 := strconv.ParseInt(fields[user], 10, 64)
 	s, err2 := strconv.ParseInt(fields[system], 10, 64)
@@ -32,7 +32,7 @@
 	return time.Duration(u+s) * clockTick, nil
 }
 
-// residentMB returns the memory that a process holds, in MB.
+// residentMB returns the resident memory of a process, in MB.
 func residentMB(pid int) (float64, error) {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -49,10 +49,10 @@
 		}
 		return kilobytes / 1024, nil
 	}
-	return 0, errors.New("no memory figure")
+	return 0, errors.New("read memory: no VmRSS in /proc/PID/status")
 }
 
-// ProcessorTimes returns the processor time that processes have used together.
+// ProcessorTimes returns the total processor time of the processes.
 func ProcessorTimes(pids []int) (time.Duration, error) {
 	var sum time.Duration
 	for _, pid := range pids {
@@ -65,7 +65,7 @@
 	return sum, nil
 }
 
-// ProcessorTime returns the processor time that the fleet's daemons have used.
+// ProcessorTime returns the total processor time of the fleet's daemons.
 func (f *Fleet) ProcessorTime() (time.Duration, error) {
 	pids := make([]int, 0, len(f.Daemons))
 	for _, d := range f.Daemons {
@@ -74,5 +74,5 @@
 	return ProcessorTimes(pids)
 }
 
-// ResidentMB returns the memory that the process holds, in MB.
+// ResidentMB returns the resident memory of the process, in MB.
 func (p *process) ResidentMB() (float64, error) { return residentMB(p.Pid()) }
