--- a/test/standin/faults.go
+++ b/test/standin/faults.go
@@ -7,7 +7,7 @@
 	"net/http/httptest"
 )
 
-// faults are the switches.
+// faults are the faults that are switched on.
 type faults struct {
 	outage      bool
 	loseAnswers string
@@ -15,18 +15,19 @@
 	limited     bool
 }
 
-// SetOutage makes every call hang up, waiting watches included.
+// SetOutage makes the stand-in close the connection of every call without a response, including those of
+// waiting watches.
 func (s *Standin) SetOutage(on bool) {
 	s.set(func(f *faults) { f.outage = on })
 }
 
-// SetLoseResponses makes every write to a key whose name contains the text take
-// effect and its answer get lost; an empty text ends that.
+// SetLoseResponses makes the stand-in apply writes to keys whose names contain the text and close their connections
+// without a response. An empty text switches this off.
 func (s *Standin) SetLoseResponses(text string) {
 	s.set(func(f *faults) { f.loseAnswers = text })
 }
 
-// SetWriteLimit refuses writes after so many more; below zero there is no limit.
+// SetWriteLimit makes the stand-in refuse writes after the given number. A negative number removes the limit.
 func (s *Standin) SetWriteLimit(writes int) {
 	s.set(func(f *faults) { f.limited, f.writesLeft = writes >= 0, writes })
 }
@@ -38,7 +39,7 @@
 	s.wake()
 }
 
-// begin counts a call and returns the faults it meets.
+// begin counts a call and returns the faults that apply to it.
 func (s *Standin) begin(r *http.Request) (f faults, refused bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,7 +60,7 @@
 	return s.faults.outage
 }
 
-// withFaults puts the switches in front of the protocol.
+// withFaults returns a handler that applies the faults to calls of the API.
 func (s *Standin) withFaults(api http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		f, refused := s.begin(r)
@@ -83,7 +84,7 @@
 	})
 }
 
-// bodyContains looks into the body of a call and leaves it to be read again.
+// bodyContains reports whether the body of a call contains the text. The body can be read again afterwards.
 func bodyContains(r *http.Request, text string) bool {
 	data, err := io.ReadAll(r.Body)
 	r.Body = io.NopCloser(bytes.NewReader(data))
--- a/test/standin/standin.go
+++ b/test/standin/standin.go
@@ -1,5 +1,4 @@
-// Package standin is a stand-in for the platform's key-value store, for tests and the demo. It
-// keeps everything in memory.
+// Package standin is an in-memory stand-in for the platform's key-value store, for tests and the demo.
 //
 // # Usage
 //
@@ -7,10 +6,8 @@
 //	server := httptest.NewServer(s.Handler())
 //	s.SetOutage(true)
 //
-// It speaks the store's protocol as package platform does, and has switches for
-// what goes wrong with such a store: an outage, lost answers, a rate
-// limit, lapsed leases and forgotten history. It counts each call, a waiting
-// watch as one.
+// It implements the store's protocol as used by package platform, and can simulate an outage, lost
+// responses, a rate limit, expired leases and a compacted history.
 package standin
 
 import (
@@ -25,27 +22,27 @@
 	"time"
 )
 
-// maxValue is the largest value, in bytes. Source: the platform's pages.
+// maxValue is the largest accepted value, in bytes.
 const maxValue = 1 << 20
 
-// maxWait is how long a watch waits at most.
+// maxWait is the longest time that a watch waits.
 const maxWait = 30 * time.Second
 
-// Standin is the stand-in's state.
+// Standin is an in-memory key-value store. It is safe for concurrent use.
 type Standin struct {
 	mu       sync.Mutex
 	revision int64
 	items    map[string]item
 	history  []item
-	forgot   int64 // the last revision that is no longer in the history
+	forgot   int64 // last revision that is no longer in the history
 	leases   map[int64]lease
-	moved    chan struct{} // closed at each change
+	moved    chan struct{} // closed and replaced at each change
 	faults   faults
 	calls    int64
 	bytes    int64
 }
 
-// item is a key as the protocol writes it.
+// item is the protocol's representation of a key.
 type item struct {
 	Key       string `json:"key"`
 	Value     []byte `json:"value,omitempty"`
@@ -70,7 +67,7 @@
 	}
 }
 
-// Handler serves the protocol.
+// Handler returns a handler that serves the store's protocol.
 func (s *Standin) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /-/kv-key", s.serveKey)
@@ -133,7 +130,7 @@
 	after, err := strconv.ParseInt(query.Get("after"), 10, 64)
 	millis, err2 := strconv.Atoi(query.Get("wait-ms"))
 	if err != nil || err2 != nil {
-		http.Error(w, "bad watch", http.StatusBadRequest)
+		http.Error(w, "invalid watch parameters", http.StatusBadRequest)
 		return
 	}
 	wait := min(time.Duration(millis)*time.Millisecond, maxWait)
@@ -148,8 +145,8 @@
 	}{events, revision})
 }
 
-// waitFor waits for a change after a revision; false means that the history
-// since then is gone.
+// waitFor waits for changes after a revision. It reports false if the history
+// since that revision is no longer available.
 func (s *Standin) waitFor(ctx context.Context, prefix string, after int64, wait time.Duration) ([]item, int64, bool) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -184,7 +181,7 @@
 	return events, s.revision, s.moved, true
 }
 
-// change is a transaction as the protocol writes it.
+// change is the protocol's representation of a transaction.
 type change struct {
 	Expect []struct {
 		Key      string `json:"key"`
@@ -218,7 +215,7 @@
 	}{s.revision})
 }
 
-// refusal returns the status with which the change is refused, or 200.
+// refusal returns the status of a refused transaction, or 200.
 func (s *Standin) refusal(c change) int {
 	for _, e := range c.Expect {
 		if s.items[e.Key].Revision != e.Revision {
@@ -261,7 +258,7 @@
 	s.history = append(s.history, item{Key: key, Revision: s.revision, Tombstone: true})
 }
 
-// wake ends the wait of every watch.
+// wake wakes all waiting watches.
 func (s *Standin) wake() {
 	close(s.moved)
 	s.moved = make(chan struct{})
@@ -315,7 +312,7 @@
 	answer(w, http.StatusOK, struct{}{})
 }
 
-// expire ends the leases that have run out, and their keys.
+// expire removes expired leases and their keys.
 func (s *Standin) expire(now time.Time) {
 	for id, held := range s.leases {
 		if now.After(held.expires) {
@@ -335,7 +332,7 @@
 	s.wake()
 }
 
-// ExpireLeases ends every lease at once.
+// ExpireLeases expires every lease.
 func (s *Standin) ExpireLeases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -344,7 +341,7 @@
 	}
 }
 
-// CompactHistory drops the history, so that no watch can go on from before.
+// CompactHistory drops the history, so that watches cannot resume from an earlier revision.
 func (s *Standin) CompactHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -353,21 +350,21 @@
 	s.wake()
 }
 
-// Calls returns how many calls were made, a waiting watch counted as one.
+// Calls returns the number of calls. A waiting watch counts as one.
 func (s *Standin) Calls() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// Bytes returns how many bytes of answers were sent, headers not counted.
+// Bytes returns the number of bytes sent in response bodies.
 func (s *Standin) Bytes() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.bytes
 }
 
-// Write writes a key, as the platform's own tools do.
+// Write writes a key without a lease.
 func (s *Standin) Write(key string, data []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -380,7 +377,7 @@
 	s.apply(c)
 }
 
-// Value returns a key's value, for tests that look behind the protocol.
+// Value returns the value of a key and whether the key exists.
 func (s *Standin) Value(key string) (string, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
