--- a/test/hops/hops_test.go
+++ b/test/hops/hops_test.go
@@ -1,8 +1,8 @@
-// Package hops measures what two daemons add to a request, against two hops that decide
-// nothing.
+// Package hops measures the overhead of two daemons on a request, compared with two bare hops: reverse
+// proxies that only forward.
 //
-// It relies on test/harness for the daemons and the backend server, and starts its own test
-// binary again for each bare hop, so that every hop is a process of its own.
+// The daemons and the backend server are started by test/harness. Each bare hop is a separate process of
+// the test binary.
 //
 // # Usage
 //
@@ -27,12 +27,12 @@
 )
 
 const (
-	// variableTarget names what a bare hop passes requests on to. The test binary is a
-	// bare hop where it is set.
+	// variableTarget is the environment variable with the address that a bare hop forwards to. The test
+	// binary runs as a bare hop if it is set.
 	variableTarget = "BARE_HOP_TARGET"
-	// variableListen names where a bare hop takes requests.
+	// variableListen is the environment variable with the address that a bare hop listens on.
 	variableListen = "BARE_HOP_LISTEN"
-	// processors is how many a bare hop uses at once, as a daemon does by default.
+	// processors is the GOMAXPROCS of a bare hop, the same as a daemon's default.
 	processors = 2
 	// readyWithin bounds the start of a bare hop.
 	readyWithin = 10 * time.Second
@@ -45,7 +45,7 @@
 	os.Exit(m.Run())
 }
 
-// serveBareHop passes each request on to one address: the least that a hop by net/http costs.
+// serveBareHop forwards all requests to one address, as the baseline of a hop with net/http.
 func serveBareHop(listen, target string) {
 	runtime.GOMAXPROCS(processors)
 	transport := &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 1024}
@@ -67,22 +67,16 @@
 	log.Fatal((&http.Server{Addr: listen, Handler: http.HandlerFunc(pass), ReadHeaderTimeout: readyWithin}).ListenAndServe())
 }
 
-// way is one way to the backend server.
+// way is a route to the backend server.
 type way struct {
 	name string
 	url  string
-	pids []int // of the processes on the way
+	pids []int // processes of the hops
 }
 
-// BenchmarkHops sends one request after another, on a connection that stays open, to a backend
-// server that answers at once: directly, over two bare hops and over two daemons. For each way
-// it reports the median and the 99th percentile of the answers' times, and the processor time
-// of the hops a request.
-//
-// Source: six runs of 20,000 requests each, on a machine of ten processors beside other work
-// (a load of 39), medians: 84 us directly, 288 us over two bare hops, 748 us over two daemons;
-// at the 99th percentile 0.4, 1.8 and 4.1 ms; processor time of the hops 267 and 712 us a
-// request. Not measured: the same on an idle machine.
+// BenchmarkHops sends sequential requests on a kept connection to a backend server that responds immediately:
+// directly, over two bare hops and over two daemons. For each path it reports the median and the 99th percentile
+// of the latency, and the hops' processor time per request.
 func BenchmarkHops(b *testing.B) {
 	programs, remove, err := harness.Build()
 	if err != nil {
@@ -114,8 +108,7 @@
 	}
 }
 
-// startBareHop starts a bare hop on a free port and returns where it takes requests and its
-// process.
+// startBareHop starts a bare hop on a free port and returns its address and process id.
 func startBareHop(b *testing.B, target string) (address string, pid int) {
 	b.Helper()
 	free, err := net.Listen("tcp", "127.0.0.1:0")
@@ -143,7 +136,7 @@
 func (w way) measure(b *testing.B) {
 	client := &http.Client{Transport: &http.Transport{DisableCompression: true}}
 	defer client.CloseIdleConnections()
-	for range 500 { // until connections are open and code is in the caches
+	for range 500 { // warm up connections and caches
 		if err := ask(client, w.url); err != nil {
 			b.Fatal(err)
 		}
@@ -170,7 +163,7 @@
 	b.ReportMetric(float64((after-before).Microseconds())/float64(len(took)), "hops-cpu-us/op")
 }
 
-// ask sends one request and reads its answer.
+// ask sends one request and reads the response.
 func ask(client *http.Client, url string) error {
 	response, err := client.Get(url)
 	if err != nil {
@@ -181,7 +174,7 @@
 		return err
 	}
 	if response.StatusCode != http.StatusOK {
-		return errors.Errorf("%s answered %d", url, response.StatusCode)
+		return errors.Errorf("%s returned status %d", url, response.StatusCode)
 	}
 	return nil
 }
