--- a/test/capacity/declaration.go
+++ b/test/capacity/declaration.go
@@ -18,20 +18,19 @@
 	"github.com/tideliftd/tidelift/internal/sidecar"
 )
 
-// size is that of a fleet.
+// size is the size of a fleet.
 type size struct {
 	hosts, services, servers, routes int
 }
 
-// full is the size to design for.
+// full is the largest size that the design supports.
 var full = size{hosts: 4600, services: 1000, servers: 43_000, routes: 27_000}
 
 func (s size) part(n int) size {
 	return size{hosts: s.hosts / n, services: s.services / n, servers: s.servers / n, routes: s.routes / n}
 }
 
-// declaration returns a synthetic declaration of the size. It is the same each
-// time.
+// declaration returns a synthetic declaration of the size. The result is deterministic.
 func (s size) declaration() string {
 	const dataCentres = 15
 	var b strings.Builder
@@ -56,12 +55,12 @@
 	return b.String()
 }
 
-// loadFigures are what a declaration costs one daemon.
+// loadFigures are the costs of loading a declaration in one daemon.
 type loadFigures struct {
 	size     size
 	bytes    int
 	parse    time.Duration
-	take     time.Duration // putting a changed one in force, parsing not counted
+	take     time.Duration // putting a changed declaration in force, without parsing
 	heapMB   float64
 	findNs   float64
 	goroutes int
--- a/test/capacity/fleets.go
+++ b/test/capacity/fleets.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	// restFor is how long a fleet is watched at rest.
+	// restFor is how long an idle fleet is measured.
 	restFor = 10 * time.Second
-	// changes are applied one after another.
+	// changes is the number of changes that are applied in sequence.
 	changes = 20
-	// bound bounds the wait for a change to be in force.
+	// bound limits the wait for a change to be in force.
 	bound = 30 * time.Second
 )
 
-// fleetFigures are what a fleet of daemons costs at rest and for changes.
+// fleetFigures are the costs of a fleet of daemons when idle and for changes.
 type fleetFigures struct {
 	daemons       int
-	restCalls     float64 // of the platform, a second
-	changeCalls   float64 // of the platform, a change
-	changeBytes   float64 // of the platform's answers, a change and daemon
-	restCPU       float64 // percent of a core, a daemon
+	restCalls     float64 // platform calls per second
+	changeCalls   float64 // platform calls per change
+	changeBytes   float64 // bytes of the platform's responses, per change and daemon
+	restCPU       float64 // percent of a core, per daemon
 	residentMB    float64
-	inForceMillis float64 // from accepted to in force everywhere, the mean
+	inForceMillis float64 // mean time from accepted to in force everywhere
 	worstMillis   float64
 }
 
--- a/test/capacity/main.go
+++ b/test/capacity/main.go
@@ -1,13 +1,12 @@
-// Command capacity measures how a daemon's costs grow and rewrites the tables
-// of docs/CAPACITY.md.
+// Command capacity measures the costs of daemons for several fleet sizes and
+// rewrites the tables of docs/CAPACITY.md.
 //
 // # Usage
 //
 //	go run ./test/capacity
 //
-// It loads synthetic declarations of several sizes, up to the full one, into
-// the parts of a daemon, and it runs fleets of several sizes of real daemons at
-// rest and while changes are applied.
+// It loads synthetic declarations of several sizes into the components of a
+// daemon, and runs fleets of real daemons, idle and while changes are applied.
 package main
 
 import (
@@ -46,7 +45,7 @@
 	return nil
 }
 
-// write replaces the part of the page between its markers.
+// write replaces the text between the markers of the page's part.
 func write(part, text string) error {
 	data, err := os.ReadFile(page)
 	if err != nil {
@@ -56,7 +55,7 @@
 	before, rest, ok := strings.Cut(string(data), begin)
 	_, after, ok2 := strings.Cut(rest, end)
 	if !ok || !ok2 {
-		return errors.Errorf("%s has no part %q", page, part)
+		return errors.Errorf("%s has no markers for part %q", page, part)
 	}
 	if err := os.WriteFile(page, []byte(before+begin+"\n"+text+"\n"+end+after), 0o600); err != nil {
 		return errors.Wrap(err, "write page")
