--- a/test/bench/bench.go
+++ b/test/bench/bench.go
@@ -1,4 +1,5 @@
-// Package bench has the users' bench play days and reads its reports.
+// Package bench runs the users' bench and reads its reports. A day is a scenario of
+// the bench, and a play is one run of a day.
 //
 // # Usage
 //
@@ -6,9 +7,9 @@
 //	reports := player.PlayAll(ctx, []bench.Play{{Day: "quiet-1", Seed: 5}}, 4)
 //
 // The bench is the users' own program, and the site one of their files; neither is part
-// of this repository. The bench plays the sources of the folder that it runs in, writes an
-// entry in that folder's journal, and charges no processor time, so that a play mostly
-// repeats.
+// of this repository. The bench plays the sources of the folder that it runs in and writes
+// an entry in that folder's journal. It is run without charges for processor time, which
+// makes plays mostly reproducible.
 package bench
 
 import (
@@ -31,41 +32,41 @@
 	Site string
 }
 
-// NewPlayer returns the player, by absolute paths, since the bench runs in any checkout.
+// NewPlayer returns a player with absolute paths, since the bench may run in any folder.
 func NewPlayer(program, site string) (Player, error) {
 	program, err := filepath.Abs(program)
 	if err != nil {
-		return Player{}, errors.Wrap(err, "find the bench")
+		return Player{}, errors.Wrap(err, "resolve path of the bench")
 	}
 	site, err = filepath.Abs(site)
 	if err != nil {
-		return Player{}, errors.Wrap(err, "find the site file")
+		return Player{}, errors.Wrap(err, "resolve path of the site file")
 	}
 	return Player{Program: program, Site: site}, nil
 }
 
 // Play is one day to play.
 type Play struct {
-	// Day is the name of a day of the site, or the path of a file that holds one.
+	// Day is the name of a day of the site, or the path of a day file.
 	Day string
-	// Seed draws the day's luck; zero leaves it to the day.
+	// Seed is the random seed. If zero, the day's own seed is used.
 	Seed int
-	// Dir is the root of the sources to play; empty for the current folder.
+	// Dir is the root of the sources to play. If empty, it is the current folder.
 	Dir string
-	// Why is a line for the journal; it may be empty.
+	// Why is the reason to write in the journal. It may be empty.
 	Why string
 }
 
-// Outcome is a play with its report, or why there is none.
+// Outcome is a play with its report or its error.
 type Outcome struct {
 	Play   Play
 	Report Report
-	// Err says why the day could not be played; nil if it was.
+	// Err is the error of a play that failed, or nil.
 	Err error
 }
 
-// Trouble says why a play does not count as good: it failed, it broke rules or something
-// speaks against counting it. It is empty for a good one.
+// Trouble describes why a play is not successful: it failed, broke rules or had a fault. It
+// returns an empty string for a successful play.
 func (o Outcome) Trouble() string {
 	switch {
 	case o.Err != nil:
@@ -76,8 +77,8 @@
 	return ""
 }
 
-// PlayAll plays the days, a few at a time, and returns their outcomes in the same
-// order.
+// PlayAll runs the plays, at most jobs of them concurrently, and returns their outcomes in
+// the same order.
 func (p Player) PlayAll(ctx context.Context, plays []Play, jobs int) []Outcome {
 	outcomes := make([]Outcome, len(plays))
 	turns := make(chan struct{}, max(1, jobs))
@@ -94,14 +95,14 @@
 	return outcomes
 }
 
-// play has the bench play the day and reads its report.
+// play runs the bench and reads its report.
 func (p Player) play(ctx context.Context, play Play) (Report, error) {
 	target, err := os.CreateTemp("", "day-*.json")
 	if err != nil {
-		return Report{}, errors.Wrap(err, "make room for the report")
+		return Report{}, errors.Wrap(err, "create report file")
 	}
 	defer func() { _ = os.Remove(target.Name()) }()
-	_ = target.Close() // the bench writes it
+	_ = target.Close() // the bench writes to it by name
 	command := exec.CommandContext(ctx, p.Program, p.arguments(play, target.Name())...)
 	command.Dir = play.Dir
 	if output, err := command.CombinedOutput(); err != nil {
@@ -109,12 +110,12 @@
 	}
 	data, err := os.ReadFile(target.Name())
 	if err != nil {
-		return Report{}, errors.Wrap(err, "read the report")
+		return Report{}, errors.Wrap(err, "read report")
 	}
 	return ParseReport(data)
 }
 
-// arguments returns the bench's command line.
+// arguments returns the bench's command-line arguments.
 func (p Player) arguments(play Play, report string) []string {
 	arguments := []string{"run", p.Site, play.Day, "--no-cpu", "--report", report}
 	if play.Seed != 0 {
@@ -126,7 +127,7 @@
 	return arguments
 }
 
-// lastLine returns the last line that a program wrote, where it says why it ended.
+// lastLine returns the last line of a program's output, which contains the reason of a failure.
 func lastLine(output []byte) string {
 	lines := strings.Split(strings.TrimSpace(string(output)), "\n")
 	return lines[len(lines)-1]
--- a/test/bench/flags.go
+++ b/test/bench/flags.go
@@ -8,7 +8,7 @@
 	"github.com/urfave/cli/v3"
 )
 
-// Main runs a command that plays days; its exit status is 1 if that fails.
+// Main runs a command that plays days. It exits with status 1 on an error.
 func Main(command *cli.Command) {
 	if err := command.Run(context.Background(), os.Args); err != nil {
 		slog.Error(command.Name+" failed", "error", err)
@@ -16,8 +16,8 @@
 	}
 }
 
-// Flags returns the flags of a command that plays days: the bench, the site and how many
-// days are played at a time.
+// Flags returns the flags of a command that plays days: the bench, the site and the number
+// of concurrent plays, with jobs as its default.
 func Flags(jobs int) []cli.Flag {
 	return []cli.Flag{
 		&cli.StringFlag{Name: "bench", Usage: "the bench's program", Required: true},
@@ -26,18 +26,18 @@
 	}
 }
 
-// SeedsFlag is the flag of a command that plays each day with several seeds.
+// SeedsFlag returns the flag of a command that plays each day with several seeds.
 func SeedsFlag() cli.Flag {
 	return &cli.IntSliceFlag{Name: "seeds", Usage: "the seeds of each day", Value: []int{1, 2, 3}}
 }
 
-// PlayerOf returns the player that the flags name.
+// PlayerOf returns the player that the command's flags select.
 func PlayerOf(c *cli.Command) (Player, error) {
 	return NewPlayer(c.String("bench"), c.String("site"))
 }
 
-// PlaysOf returns the plays of every day that is named with every seed. Those of one day and
-// seed, one in each of the folders, stand side by side.
+// PlaysOf returns the plays of every day in the command's arguments with every seed in every
+// folder. The plays of the same day and seed are adjacent.
 func PlaysOf(c *cli.Command, why string, dirs ...string) []Play {
 	days, seeds := c.Args().Slice(), c.IntSlice("seeds")
 	plays := make([]Play, 0, len(days)*len(seeds)*len(dirs))
--- a/test/bench/pairs.go
+++ b/test/bench/pairs.go
@@ -5,16 +5,15 @@
 	"math"
 )
 
-// bytesPrice is how the bench calls the price of bytes between data centres.
+// bytesPrice is the bench's name of the price of bytes between data centres.
 const bytesPrice = "GB between zones"
 
-// Pair is two plays of the same day with the same seed, by two builds or two settings.
+// Pair is two plays of the same day with the same seed, with two builds or two settings.
 type Pair struct {
 	Before, After Outcome
 }
 
-// Pairs puts the plays together that follow each other; one that failed leaves its pair
-// out.
+// Pairs pairs adjacent plays and omits pairs with a failed play.
 func Pairs(outcomes []Outcome) []Pair {
 	var pairs []Pair
 	for i := 0; i+1 < len(outcomes); i += 2 {
@@ -37,7 +36,7 @@
 	return found
 }
 
-// figure is one number of a report.
+// figure returns one number of a report.
 type figure func(Report) float64
 
 func worth(r Report) float64  { return r.Worth }
@@ -53,15 +52,15 @@
 	return 0
 }
 
-// Line is the line of some pairs in the table: the mean of the second less that of the first
-// and the standard error of that mean, of the worth, the share that was served and the price
+// Line formats a line of the table for some pairs: the mean difference of the second play from
+// the first and its standard error, for the worth, the share of requests served and the price
 // of bytes between data centres.
 func Line(name string, pairs []Pair) string {
 	return fmt.Sprintf("%-14s %3d pairs  worth %s  served %s  bytes %s", name, len(pairs),
 		difference(pairs, worth), difference(pairs, served), difference(pairs, bytes))
 }
 
-// difference tells the means of both, the mean difference and its standard error.
+// difference formats the means of both plays, the mean change and its standard error.
 func difference(pairs []Pair, of figure) string {
 	differences := make([]float64, 0, len(pairs))
 	before, after := 0.0, 0.0
@@ -75,7 +74,7 @@
 	return fmt.Sprintf("%.3f to %.3f (%+.3f ±%.3f)", before, after, mean, standardError)
 }
 
-// meanOf returns the mean and its standard error, which is not a number for fewer than
+// meanOf returns the mean of the values and its standard error, which is NaN for fewer than
 // two values.
 func meanOf(values []float64) (mean, standardError float64) {
 	n := float64(len(values))
--- a/test/bench/pairs_test.go
+++ b/test/bench/pairs_test.go
@@ -13,7 +13,7 @@
 		t.Fatalf("mean %v, standard error %v", mean, standardError)
 	}
 	if _, one := meanOf([]float64{1}); !math.IsNaN(one) {
-		t.Fatalf("standard error of one value: %v", one)
+		t.Fatalf("standard error of one value is %v, want NaN", one)
 	}
 }
 
@@ -23,6 +23,6 @@
 	}
 	pairs := Pairs([]Outcome{day("a", nil), day("a", nil), day("b", nil), day("b", errors.New("lost"))})
 	if len(pairs) != 1 || len(OfDay(pairs, "a")) != 1 || len(OfDay(pairs, "b")) != 0 {
-		t.Fatalf("%d pairs", len(pairs))
+		t.Fatalf("got %d pairs, want only that of day a", len(pairs))
 	}
 }
--- a/test/bench/report.go
+++ b/test/bench/report.go
@@ -11,19 +11,19 @@
 
 // Report is the bench's report of a day.
 type Report struct {
-	// Worth is the day's mark before it is cut.
+	// Worth is the day's score before the bench clamps it.
 	Worth float64
 	// Served is the share of requests that were served.
 	Served float64
-	// Broken names the rules that were broken.
+	// Broken lists the rules that were broken.
 	Broken []string
-	// Fault says why the day does not count, as a process that ended; it may be empty.
+	// Fault is the reason why the play is invalid, such as a process that ended. It may be empty.
 	Fault string
-	// Prices are what was taken off, the largest first.
+	// Prices are the deductions from the score, largest first.
 	Prices []Price
 }
 
-// BrokenText names the rules that were broken, and the fault if there is one.
+// BrokenText returns the broken rules, and the fault if there is one, as text.
 func (r Report) BrokenText() string {
 	text := "none"
 	if len(r.Broken) > 0 {
@@ -35,13 +35,13 @@
 	return text
 }
 
-// Price is one thing that costs worth.
+// Price is a deduction from the score.
 type Price struct {
 	Of    string
 	Worth float64
 }
 
-// ParseReport reads the bench's report of a day.
+// ParseReport parses the bench's report of a day.
 func ParseReport(data []byte) (Report, error) {
 	var wire struct {
 		G      float64                    `json:"G"` // the worth
@@ -51,7 +51,7 @@
 		Prices [][]any                    `json:"prices"` // name, amount, worth
 	}
 	if err := json.Unmarshal(data, &wire); err != nil {
-		return Report{}, errors.Wrap(err, "read the report")
+		return Report{}, errors.Wrap(err, "parse report")
 	}
 	r := Report{Worth: wire.G, Served: wire.Served}
 	for rule := range wire.Breaks {
@@ -72,16 +72,16 @@
 	return r, nil
 }
 
-// parsePrice reads a price, which the bench writes as a name, an amount and a worth.
+// parsePrice parses a price, which the bench writes as an array of name, amount and worth.
 func parsePrice(row []any) (Price, error) {
 	const fields = 3
 	if len(row) != fields {
-		return Price{}, errors.Errorf("a price has %d fields, want %d", len(row), fields)
+		return Price{}, errors.Errorf("parse price: got %d fields, want %d", len(row), fields)
 	}
 	of, isName := row[0].(string)
 	worth, isWorth := row[2].(float64)
 	if !isName || !isWorth {
-		return Price{}, errors.Errorf("price %v: want a name, an amount and a worth", row)
+		return Price{}, errors.Errorf("parse price %v: want a name, an amount and a worth", row)
 	}
 	return Price{Of: of, Worth: worth}, nil
 }
--- a/test/bench/report_test.go
+++ b/test/bench/report_test.go
@@ -9,7 +9,7 @@
 func TestParseReportRefusesWhatItDoesNotKnow(t *testing.T) {
 	for _, text := range []string{`{`, `{"prices":[["only a name"]]}`, `{"prices":[[1,2,3]]}`} {
 		if _, err := bench.ParseReport([]byte(text)); err == nil {
-			t.Errorf("%q was taken", text)
+			t.Errorf("ParseReport(%q) returned no error", text)
 		}
 	}
 }
