--- a/test/days/main.go
+++ b/test/days/main.go
@@ -1,21 +1,20 @@
-// Command days plays days of our own on the users' bench and prints what became of
-// them.
+// Command days plays this project's days on the users' bench and prints their results.
 //
 // # Usage
 //
 //	go run ./test/days --bench PATH --site FILE [--jobs 4] [DAY ...]
 //
-// A day is a TOML file in test/days/days, whose first line says what it is for. Without
-// names all are played. The bench is the users' own program, and the site one of their
-// files; neither is part of this repository, so that CI does not run this. The words
-// inside the files are the bench's.
+// A day is a TOML file in test/days/days whose first line describes its purpose. Without
+// names, all days are played. The bench is the users' own program, and the site one of
+// their files; neither is part of this repository, so that CI does not run this command.
+// The bench defines the format of the files.
 //
-// The table has a line a day: the rules that were broken, the share of requests that
-// was served, the worth and the two largest prices. The exit status is 1 if a rule was
-// broken or a process ended by itself, or if a day could not be played.
+// The table has one line for each day: the broken rules, the share of requests that were
+// served, the worth and the two largest prices. The exit status is 1 if a rule was broken,
+// a process ended unexpectedly or a day could not be played.
 //
-// main.go reads the flags and finds the days, table.go prints what became of them; package
-// bench plays them.
+// main.go reads the flags and finds the days, and table.go formats the results; package
+// bench runs the plays.
 package main
 
 import (
@@ -31,11 +30,11 @@
 )
 
 const (
-	// daysDir holds the days, seen from the root of the repository, where the bench runs.
+	// daysDir is the folder of the days, relative to the root of the repository, where the bench runs.
 	daysDir = "test/days/days"
-	// dayEnding is what the name of a day's file ends with.
+	// dayEnding is the file name extension of a day.
 	dayEnding = ".toml"
-	// daysAtATime is how many days are played at a time unless said otherwise.
+	// daysAtATime is the default number of concurrent plays.
 	daysAtATime = 4
 )
 
@@ -44,7 +43,7 @@
 func command() *cli.Command {
 	return &cli.Command{
 		Name:   "days",
-		Usage:  "plays days of our own on the users' bench",
+		Usage:  "plays this project's days on the users' bench",
 		Flags:  bench.Flags(daysAtATime),
 		Action: run,
 	}
@@ -73,12 +72,12 @@
 		}
 	}
 	if bad > 0 {
-		return errors.Errorf("%d of %d days are not as they should be", bad, len(outcomes))
+		return errors.Errorf("%d of %d days failed or broke rules", bad, len(outcomes))
 	}
 	return nil
 }
 
-// dayFiles returns the files of the days named, or of all.
+// dayFiles returns the files of the named days, or of all days if there are no names.
 func dayFiles(names []string) ([]string, error) {
 	if len(names) == 0 {
 		files, err := filepath.Glob(filepath.Join(daysDir, "*"+dayEnding))
--- a/test/days/main_test.go
+++ b/test/days/main_test.go
@@ -17,12 +17,12 @@
 	}
 	o := bench.Outcome{Play: bench.Play{Day: "some-day"}, Report: r}
 	if o.Trouble() == "" {
-		t.Fatal("a day with broken rules is good")
+		t.Fatal("day with broken rules is reported as successful")
 	}
 	text := line(o)
 	for _, want := range []string{"some-day", "broken GONE LOST", "served 0.900", "worth 0.500", "bytes 0.030, probes 0.001"} {
 		if !strings.Contains(text, want) {
-			t.Errorf("no %q in %q", want, text)
+			t.Errorf("missing %q in line %q", want, text)
 		}
 	}
 }
@@ -33,11 +33,11 @@
 		t.Fatal(err)
 	}
 	if (bench.Outcome{Report: r}).Trouble() == "" {
-		t.Fatal("a day with a fault is good")
+		t.Fatal("day with a fault is reported as successful")
 	}
 }
 
-// TestEachDaySaysWhatItIsFor holds the files to their form.
+// TestEachDaySaysWhatItIsFor guards against day files without a description or with a name other than the file's.
 func TestEachDaySaysWhatItIsFor(t *testing.T) {
 	files, err := filepath.Glob("days/*.toml")
 	if err != nil || len(files) == 0 {
@@ -50,7 +50,7 @@
 		}
 		name := strings.TrimSuffix(filepath.Base(file), ".toml")
 		if !strings.HasPrefix(string(data), "# ") || !strings.Contains(string(data), `name = "`+name+`"`) {
-			t.Errorf("%s: want a first line with what it is for, and its own name", file)
+			t.Errorf("%s: want a comment with its purpose in the first line, and the file's name as name", file)
 		}
 	}
 }
--- a/test/days/table.go
+++ b/test/days/table.go
@@ -8,7 +8,7 @@
 	"github.com/tideliftd/tidelift/test/bench"
 )
 
-// line is the day's line of the table.
+// line formats a day for the table.
 func line(o bench.Outcome) string {
 	day := strings.TrimSuffix(filepath.Base(o.Play.Day), dayEnding)
 	if o.Err != nil {
@@ -18,7 +18,7 @@
 		day, o.Report.BrokenText(), o.Report.Served, o.Report.Worth, pricesText(o.Report))
 }
 
-// pricesText names the largest prices.
+// pricesText formats the largest prices.
 func pricesText(r bench.Report) string {
 	const shown = 2
 	prices := make([]string, 0, shown)
