--- a/test/ablate/main.go
+++ b/test/ablate/main.go
@@ -1,14 +1,14 @@
-// Command ablate plays days with each mechanism of the project switched off in turn, and says
-// how they differ from the same days with all of them on.
+// Command ablate plays days with each mechanism of the project disabled in turn, and compares
+// them with the same days with all mechanisms enabled.
 //
 // # Usage
 //
 //	go run ./test/ablate --bench PATH --site FILE [--seeds 1,2,3] [--jobs 8] [--off hedges,aims] DAY ...
 //
-// It plays the commit that is checked out, in copies of which only deploy/settings.yaml
-// differs, and puts the copies' journal entries into this repository's journal. For each
-// mechanism it prints a line of the table that test/compare prints for all days: with it, and
-// without it. A difference of less than twice its error shows nothing.
+// It plays the commit that is checked out, in clones that differ only in deploy/settings.yaml,
+// and copies the clones' journal entries into this repository's journal. For each mechanism it
+// prints a line as test/compare does for all days, with the plays with the mechanism before those
+// without it. A difference of less than twice its standard error is not significant.
 package main
 
 import (
@@ -27,11 +27,11 @@
 )
 
 const (
-	// daysAtATime is how many days are played at a time unless said otherwise.
+	// daysAtATime is the default number of concurrent plays.
 	daysAtATime = 8
 	// settingsFile is the template of the daemons' settings.
 	settingsFile = "deploy/settings.yaml"
-	// journal is the folder in which the bench writes an entry for each play.
+	// journal is the folder to which the bench writes an entry for each play.
 	journal = "journal"
 )
 
@@ -40,19 +40,19 @@
 func command() *cli.Command {
 	return &cli.Command{
 		Name:  "ablate",
-		Usage: "plays days with each mechanism switched off and prints the differences",
+		Usage: "plays days with each mechanism disabled and prints the differences",
 		Flags: append(bench.Flags(daysAtATime),
 			bench.SeedsFlag(),
-			&cli.StringSliceFlag{Name: "off", Usage: "the mechanisms; all if it is left out"},
+			&cli.StringSliceFlag{Name: "off", Usage: "the mechanisms to disable; all by default"},
 		),
 		Action: run,
 	}
 }
 
-// run plays the days with everything on, and once for each mechanism without it.
+// run plays the days with all mechanisms, and then once without each selected mechanism.
 func run(ctx context.Context, c *cli.Command) error {
 	if c.Args().Len() == 0 {
-		return errors.New("no day is named")
+		return errors.New("no day given: want at least one as an argument")
 	}
 	player, err := bench.PlayerOf(c)
 	if err != nil {
@@ -60,7 +60,7 @@
 	}
 	work, err := os.MkdirTemp("", "ablate-*")
 	if err != nil {
-		return errors.Wrap(err, "make room for the copies")
+		return errors.Wrap(err, "create folder for the clones")
 	}
 	defer func() { _ = os.RemoveAll(work) }()
 	with, err := playIn(ctx, c, player, filepath.Join(work, "with"), "")
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// mechanisms returns those that are switched off in turn.
+// mechanisms returns the mechanisms to disable in turn.
 func mechanisms(c *cli.Command) []experiment.Mechanism {
 	named := c.StringSlice("off")
 	if len(named) == 0 {
@@ -90,7 +90,7 @@
 	return all
 }
 
-// playIn plays all days in a copy without the mechanism; an empty one leaves all on.
+// playIn plays all days in a clone with the mechanism disabled. If off is empty, all are enabled.
 func playIn(ctx context.Context, c *cli.Command, player bench.Player, dir string, off experiment.Mechanism) ([]bench.Outcome, error) {
 	if err := copyTo(ctx, dir, off); err != nil {
 		return nil, err
@@ -104,10 +104,10 @@
 	return outcomes, keepJournal(dir)
 }
 
-// copyTo checks the present commit out into the folder, with the mechanism switched off.
+// copyTo clones the current commit into the folder and disables the mechanism in its settings.
 func copyTo(ctx context.Context, dir string, off experiment.Mechanism) error {
 	if out, err := exec.CommandContext(ctx, "git", "clone", "--quiet", ".", dir).CombinedOutput(); err != nil {
-		return errors.Wrapf(err, "copy the sources: %s", out)
+		return errors.Wrapf(err, "clone repository: %s", out)
 	}
 	if off == "" {
 		return nil
@@ -119,17 +119,17 @@
 	}
 	data = append(data, []byte("experiments:\n  off: ["+string(off)+"]\n")...)
 	if err := os.WriteFile(file, data, 0o600); err != nil {
-		return errors.Wrap(err, "switch the mechanism off")
+		return errors.Wrap(err, "write settings")
 	}
 	return nil
 }
 
-// keepJournal brings a copy's new journal entries here.
+// keepJournal copies the new journal entries of a clone into this repository.
 func keepJournal(dir string) error {
 	copied := os.DirFS(dir)
 	return fs.WalkDir(copied, journal, func(path string, e fs.DirEntry, err error) error {
 		if err != nil {
-			return errors.Wrap(err, "read the copy's journal")
+			return errors.Wrap(err, "read the clone's journal")
 		}
 		if _, err := os.Stat(path); err == nil || e.IsDir() {
 			return nil
@@ -139,13 +139,13 @@
 			return errors.Wrap(err, "read journal entry")
 		}
 		if err := os.WriteFile(path, data, 0o600); err != nil {
-			return errors.Wrap(err, "keep journal entry")
+			return errors.Wrap(err, "write journal entry")
 		}
 		return nil
 	})
 }
 
-// interleave puts the plays of both side by side, as bench.Pairs takes them.
+// interleave makes corresponding plays adjacent, as bench.Pairs expects them.
 func interleave(with, without []bench.Outcome) []bench.Outcome {
 	all := make([]bench.Outcome, 0, 2*len(with))
 	for i := range with {
--- a/test/ablate/main_test.go
+++ b/test/ablate/main_test.go
@@ -11,7 +11,7 @@
 	"github.com/tideliftd/tidelift/test/bench"
 )
 
-// TestACopyDiffersByTheMechanism switches one off in a copy of a small repository.
+// TestACopyDiffersByTheMechanism guards against a clone in which the mechanism stays enabled.
 func TestACopyDiffersByTheMechanism(t *testing.T) {
 	t.Chdir("../..")
 	dir := filepath.Join(t.TempDir(), "copy")
@@ -20,7 +20,7 @@
 	}
 	data, err := os.ReadFile(filepath.Join(dir, settingsFile))
 	if err != nil || !strings.HasSuffix(string(data), "off: [hedges]\n") {
-		t.Fatalf("%v, %q", err, data)
+		t.Fatalf("got error %v, settings %q; want the mechanism listed last", err, data)
 	}
 }
 
@@ -29,6 +29,6 @@
 	all := interleave([]bench.Outcome{day("a"), day("b")}, []bench.Outcome{day("a without"), day("b without")})
 	pairs := bench.Pairs(all)
 	if len(pairs) != 2 || pairs[1].Before.Play.Day != "b" || pairs[1].After.Play.Day != "b without" {
-		t.Fatalf("%+v", pairs)
+		t.Fatalf("got pairs %+v", pairs)
 	}
 }
