--- a/test/compare/main.go
+++ b/test/compare/main.go
@@ -1,4 +1,4 @@
-// Command compare plays the same days with two builds of the sources and says how the
+// Command compare plays the same days with two builds of the sources and prints how the
 // second differs from the first.
 //
 // # Usage
@@ -6,14 +6,14 @@
 //	go run ./test/compare --bench PATH --site FILE --before DIR --after DIR \
 //		--seeds 1,2,3 --why "what changed" [--jobs 8] DAY ...
 //
-// Each of the two folders is the root of a checkout. Every day is played with every seed
-// by both, so that the two plays of a pair differ by the sources and by what follows from
-// them. For each day and for all together it prints the mean of the second less that of
-// the first and the standard error of that mean: of the worth, the share that was served
-// and the price of bytes between data centres. A difference of less than twice its error
-// shows nothing. A rule that was broken is printed with its day and seed.
+// Each of the two folders is the root of a checkout. Every day is played with every seed in
+// both, so that the two plays of a pair differ only in the sources. For each day and for all
+// days together it prints the mean difference of the second play from the first and its
+// standard error, for the worth, the share of requests served and the price of bytes between
+// data centres. A difference of less than twice its standard error is not significant. Plays
+// that failed or broke rules are listed with their day and seed.
 //
-// The pairs and their figures are in test/bench.
+// Package bench computes the pairs and their differences.
 package main
 
 import (
@@ -26,7 +26,7 @@
 	"github.com/tideliftd/tidelift/test/bench"
 )
 
-// daysAtATime is how many days are played at a time unless said otherwise.
+// daysAtATime is the default number of concurrent plays.
 const daysAtATime = 8
 
 func main() { bench.Main(command()) }
@@ -39,17 +39,17 @@
 			&cli.StringFlag{Name: "before", Usage: "the first checkout", Required: true},
 			&cli.StringFlag{Name: "after", Usage: "the second checkout", Required: true},
 			bench.SeedsFlag(),
-			&cli.StringFlag{Name: "why", Usage: "a line for the journals"},
+			&cli.StringFlag{Name: "why", Usage: "the reason to write in the journals"},
 		),
 		Action: run,
 	}
 }
 
-// run plays the pairs and prints how they differ.
+// run plays the pairs and prints their differences.
 func run(ctx context.Context, c *cli.Command) error {
 	days := c.Args().Slice()
 	if len(days) == 0 {
-		return errors.New("no day is named")
+		return errors.New("no day given: want at least one as an argument")
 	}
 	player, err := bench.PlayerOf(c)
 	if err != nil {
