--- a/test/demo/main.go
+++ b/test/demo/main.go
@@ -1,6 +1,6 @@
-// Command demo shows tidelift at work: it starts real daemons on loopback
-// addresses, turns one backend server gray, and shows that its traffic goes
-// elsewhere, why, and how it comes back. It ends everything it started.
+// Command demo demonstrates tidelift. It starts real daemons on loopback
+// addresses, stalls one backend server, and shows how the daemons eject it, why,
+// and how they return it to service. It stops everything that it started.
 package main
 
 import (
@@ -52,7 +52,7 @@
 		return err
 	}
 	defer cleanUp()
-	say("%d daemons and %d backend servers run; librarians search %d times a second", len(f.Daemons), len(f.Backends), rate)
+	say("%d daemons and %d backend servers are running; callers send %d searches a second", len(f.Daemons), len(f.Backends), rate)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	callers := newCallers(f)
@@ -68,7 +68,7 @@
 		return err
 	}
 	callers.report()
-	say("%s turns gray: its health check stays green, its requests are never answered", sick.Name)
+	say("%s stalls: its health check still succeeds, but it answers no requests", sick.Name)
 	if err := sick.SetMode(backendserver.Mode{Stall: 1}); err != nil {
 		return err
 	}
@@ -80,7 +80,7 @@
 		return err
 	}
 	callers.report()
-	say("%s recovers; a few real requests have to show it", sick.Name)
+	say("%s recovers; a few real requests have to confirm it", sick.Name)
 	if err := sick.SetMode(backendserver.Mode{}); err != nil {
 		return err
 	}
@@ -89,13 +89,13 @@
 		return err
 	}
 	callers.report()
-	say("done; everything started is ended")
+	say("done; stopping everything")
 	return nil
 }
 
 func say(format string, args ...any) { fmt.Printf("\n# "+format+"\n", args...) }
 
-// tidelift runs the operators' command line against a daemon.
+// tidelift runs the operators' command-line tool against a daemon.
 func tidelift(programs harness.Programs, d *harness.Daemon, arguments ...string) error {
 	all := append([]string{"--daemon", "http://" + d.Operators()}, arguments...)
 	fmt.Printf("\n$ tidelift %v\n", arguments)
@@ -105,7 +105,7 @@
 	return command.Run()
 }
 
-// callers search at a steady rate, in turn at each daemon.
+// callers sends searches at a constant rate to each daemon in turn.
 type callers struct {
 	fleet    *harness.Fleet
 	client   *http.Client
@@ -148,7 +148,7 @@
 	c.failed.Add(1)
 }
 
-// report says how the searches went since the last report.
+// report prints the results of the searches since the previous report.
 func (c *callers) report() {
-	say("searches since the last look: %d answered, %d failed", c.answered.Swap(0), c.failed.Swap(0))
+	say("searches since the previous report: %d answered, %d failed", c.answered.Swap(0), c.failed.Swap(0))
 }
