--- a/test/docs/docs_test.go
+++ b/test/docs/docs_test.go
@@ -1,4 +1,4 @@
-// Package docs holds the tables in docs/ to the code they describe.
+// Package docs checks that the tables in docs/ match the code that they describe.
 package docs
 
 import (
@@ -15,8 +15,8 @@
 	"github.com/tideliftd/tidelift/internal/settings"
 )
 
-// hold compares the part of a page between its markers with what it should be.
-// With UPDATE_GOLDEN set it writes the page.
+// hold compares the part of a page between its markers with the wanted text.
+// If UPDATE_GOLDEN is set, it updates the page instead.
 func hold(t *testing.T, page, part, want string) {
 	t.Helper()
 	file := "../../docs/" + page
@@ -28,13 +28,13 @@
 	before, rest, ok := strings.Cut(string(data), begin)
 	got, after, ok2 := strings.Cut(rest, end)
 	if !ok || !ok2 {
-		t.Fatalf("%s has no part %q", page, part)
+		t.Fatalf("%s has no markers for part %q", page, part)
 	}
 	if got == want {
 		return
 	}
 	if os.Getenv("UPDATE_GOLDEN") == "" {
-		t.Fatalf("%s, part %q, is not what the code says; run make docs", page, part)
+		t.Fatalf("%s: part %q is out of date; run make docs", page, part)
 	}
 	if err := os.WriteFile(file, []byte(before+begin+want+end+after), 0o600); err != nil {
 		t.Fatal(err)
@@ -56,7 +56,7 @@
 	for _, c := range result.All() {
 		for _, key := range []string{fmt.Sprint(c.Number), c.Name} {
 			if seen[key] {
-				t.Errorf("%s stands twice", key)
+				t.Errorf("result code %s is not unique", key)
 			}
 			seen[key] = true
 		}
@@ -69,7 +69,7 @@
 	seen := make(map[int]bool)
 	for _, e := range event.All() {
 		if seen[e.Number] {
-			t.Errorf("%d stands twice", e.Number)
+			t.Errorf("event number %d is not unique", e.Number)
 		}
 		seen[e.Number] = true
 		fmt.Fprintf(&b, "| %d | %s | %s | %s |\n", e.Number, strings.ToLower(e.Level.String()), e.Message, e.Meaning)
--- a/test/docs/proofs_test.go
+++ b/test/docs/proofs_test.go
@@ -12,13 +12,13 @@
 const root = "../.."
 
 var (
-	// namedTest is how a page names a test.
+	// namedTest matches the name of a test on a page.
 	namedTest = regexp.MustCompile(`\b(?:Test|Fuzz|Benchmark)[A-Z]\w*`)
-	// declaredTest is how a test file declares one.
+	// declaredTest matches the declaration of a test in a test file.
 	declaredTest = regexp.MustCompile(`(?m)^func ((?:Test|Fuzz|Benchmark)\w+)\(`)
 )
 
-// TestPagesNameTestsThatExist holds what the pages say of tests to the code.
+// TestPagesNameTestsThatExist guards against pages that refer to renamed or removed tests.
 func TestPagesNameTestsThatExist(t *testing.T) {
 	declared := make(map[string]bool)
 	eachFile(t, root, "_test.go", func(_, text string) {
@@ -36,11 +36,11 @@
 		}
 	})
 	if named == 0 {
-		t.Fatal("no page names a test")
+		t.Fatal("no page names a test, so nothing was checked")
 	}
 }
 
-// TestEachPromiseNamesItsTest holds each line of the tables of PROOFS.md to name a test.
+// TestEachPromiseNamesItsTest guards against rows of the tables of PROOFS.md that name no test.
 func TestEachPromiseNamesItsTest(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join(root, "docs", "PROOFS.md"))
 	if err != nil {
@@ -49,12 +49,12 @@
 	for line := range strings.Lines(string(page)) {
 		isRow := strings.HasPrefix(line, "| ") && !strings.HasPrefix(line, "| promise ")
 		if isRow && !namedTest.MatchString(line) {
-			t.Errorf("nothing is named that holds: %s", line)
+			t.Errorf("PROOFS.md: row names no test: %s", line)
 		}
 	}
 }
 
-// eachFile hands over each file below the folder whose name ends so, with its text.
+// eachFile calls take with the name and the text of each file below the folder whose name has the ending.
 func eachFile(t *testing.T, dir, ending string, take func(name, text string)) {
 	t.Helper()
 	err := filepath.WalkDir(dir, func(path string, entry fs.DirEntry, err error) error {
