--- a/test/pinned/pinned_test.go
+++ b/test/pinned/pinned_test.go
@@ -1,7 +1,7 @@
-// Package pinned holds the forms that other programs and later versions rely on: messages
+// Package pinned tests the formats and names that other programs and later versions rely on: messages
 // between daemons, records in the store, calls to the platform, metrics, codes and fields of
 // the settings. Each test compares them with a golden file. A change in one of these files
-// breaks a running fleet, or what an operator has built on it: it needs a migration.
+// breaks a running fleet or an operator's tools, and needs a migration.
 package pinned
 
 import (
@@ -35,7 +35,7 @@
 	"github.com/tideliftd/tidelift/internal/sidecar"
 )
 
-// compare compares the lines with the golden file. With UPDATE_GOLDEN set it writes the file.
+// compare compares the lines with the golden file. If UPDATE_GOLDEN is set, it updates the file instead.
 func compare(t *testing.T, name string, lines []string) {
 	t.Helper()
 	file := filepath.Join("testdata", name+".golden")
@@ -55,10 +55,10 @@
 	}
 }
 
-// filler gives each field a value of its own.
+// filler sets fields to distinct values.
 type filler struct{ next int64 }
 
-// fill sets every exported field of the value, lists and maps to one entry.
+// fill sets the value, and every exported field of a struct. Slices and maps get one entry.
 func (f *filler) fill(v reflect.Value) {
 	f.next++
 	switch v.Kind() { //nolint:exhaustive // no message holds a value of another kind
@@ -103,8 +103,8 @@
 	}
 }
 
-// encoded returns the JSON of the value that the pointer points to, once with every field set
-// and once with none.
+// encoded returns the JSON of the value that the pointer points to, with every field set and with all
+// fields zero.
 func encoded(t *testing.T, name string, pointer any) []string {
 	t.Helper()
 	empty, err := json.Marshal(pointer)
@@ -119,13 +119,13 @@
 	return []string{name + " " + string(full), name + " empty " + string(empty)}
 }
 
-// named is a message or record with the name of its line in the golden file.
+// named is a message or record and its name in the golden file.
 type named struct {
 	name    string
 	pointer any
 }
 
-// TestMessagesBetweenDaemons pins the parameters and answers of the control calls.
+// TestMessagesBetweenDaemons pins the parameters and responses of the control calls.
 func TestMessagesBetweenDaemons(t *testing.T) {
 	messages := []named{
 		{string(control.MethodReport), new(control.Name)},
@@ -160,7 +160,7 @@
 	compare(t, "control", lines)
 }
 
-// TestRecordsInTheStore pins what is kept in the platform's store.
+// TestRecordsInTheStore pins the records in the platform's store.
 func TestRecordsInTheStore(t *testing.T) {
 	records := []named{
 		{"host", new(member.Host)},
@@ -182,7 +182,7 @@
 	f := &filler{}
 	for i := range fields.NumField() {
 		switch {
-		case fields.Type().Field(i).Name == "Body": // travels beside the call
+		case fields.Type().Field(i).Name == "Body": // sent as the request body
 		case fields.Field(i).Type() == reflect.TypeFor[time.Duration]():
 			f.next++
 			fields.Field(i).SetInt(f.next * int64(time.Millisecond))
@@ -203,7 +203,7 @@
 	})
 }
 
-// TestCodesAndEvents pins the numbers that callers, logs and alarms name.
+// TestCodesAndEvents pins the numbers that callers, logs and alerts refer to.
 func TestCodesAndEvents(t *testing.T) {
 	lines := make([]string, 0, len(result.All())+len(event.All()))
 	for _, c := range result.All() {
@@ -238,7 +238,7 @@
 	return lines
 }
 
-// TestOperatorAPI pins the API of the operators' tool by the digest of its description.
+// TestOperatorAPI pins the operator API by the digest of its specification.
 func TestOperatorAPI(t *testing.T) {
 	data, err := os.ReadFile("../../api/operator.yaml")
 	if err != nil {
@@ -247,8 +247,8 @@
 	compare(t, "operator", []string{fmt.Sprintf("%x", sha256.Sum256(data))})
 }
 
-// TestNamesInTheSource pins the names of metrics, their tags, and every name on a wire of
-// the platform's folder, as they stand in the source.
+// TestNamesInTheSource pins the names of metrics and their tags, and the names in the platform's protocols,
+// as they appear in the source.
 func TestNamesInTheSource(t *testing.T) {
 	found := make(map[string]bool)
 	for _, dir := range []string{"../../internal", "../../platform"} {
@@ -271,8 +271,8 @@
 	compare(t, "names", lines)
 }
 
-// namesOf adds the names that the file gives to metrics, and, of the platform's folder, the tags
-// of fields and the names of headers and paths.
+// namesOf adds the names of metrics in the file and, for files of the platform's folder, the struct tags
+// and the names of headers and paths.
 func namesOf(path string, platform bool, found map[string]bool) error {
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
 	if err != nil {
@@ -300,7 +300,7 @@
 	return nil
 }
 
-// addMetrics adds the texts given to a call that makes a metric.
+// addMetrics adds the string arguments of a call that creates a metric.
 func addMetrics(call *ast.CallExpr, found map[string]bool) {
 	name := ""
 	switch fun := call.Fun.(type) {
