--- a/test/session/session_test.go
+++ b/test/session/session_test.go
@@ -23,13 +23,12 @@
 	})
 }
 
-// TestWithoutDaemon runs the sessions that need none.
+// TestWithoutDaemon runs the sessions that need no daemon.
 func TestWithoutDaemon(t *testing.T) {
 	testscript.Run(t, testscript.Params{Dir: "testdata/alone", UpdateScripts: os.Getenv("UPDATE_GOLDEN") != ""})
 }
 
-// TestCatalogue runs the sessions of the library catalogue firm, each against a
-// fleet of its own.
+// TestCatalogue runs the sessions of the library catalogue customer, each with its own fleet.
 func TestCatalogue(t *testing.T) {
 	runWith(t, "testdata/catalogue", harness.Spec{
 		DataCentres: []string{"angyalfold", "csepel", "obuda"},
@@ -41,7 +40,7 @@
 	})
 }
 
-// TestPlanning runs the sessions of the planning co-operative.
+// TestPlanning runs the sessions of the planning co-operative, each with its own fleet.
 func TestPlanning(t *testing.T) {
 	runWith(t, "testdata/planning", harness.Spec{
 		DataCentres: []string{"muenchen-nord", "muenchen-sued", "rosenheim", "weilheim"},
