--- a/test/backendserver/backendserver.go
+++ b/test/backendserver/backendserver.go
@@ -1,5 +1,5 @@
-// Package backendserver is a small backend server for tests and the demo. It can stall, as
-// backend servers do whose health check stays green, and keeps a ledger of what it really ran.
+// Package backendserver implements a small backend server for tests and the demo. It can stall
+// requests, like a backend server whose health check still succeeds, and keeps a ledger of its runs.
 //
 // # Usage
 //
@@ -7,8 +7,8 @@
 //	go http.Serve(workListener, b.Work())
 //	go http.Serve(controlListener, b.Control())
 //
-// A request may carry X-Work-Ms, how long it takes, and X-Key, under which it
-// is recorded. The answer echoes X-Key, as a header and as its body.
+// A request may carry X-Work-Ms, its processing time, and X-Key, under which its
+// run is recorded. The response echoes X-Key in a header and in its body.
 package backendserver
 
 import (
@@ -24,25 +24,25 @@
 	"github.com/tideliftd/tidelift/internal/wait"
 )
 
-// The headers of a request and its answer.
+// The headers of requests and responses.
 const (
 	HeaderKey  = "X-Key"
 	HeaderWork = "X-Work-Ms"
 )
 
-// Mode says how the backend server behaves. The zero Mode is healthy.
+// Mode is the behaviour of the backend server. The zero Mode is healthy.
 type Mode struct {
-	// Stall is the share of requests that are never answered, 0 to 1.
+	// Stall is the share of requests that get no response, from 0 to 1.
 	Stall float64 `json:"stall"`
 }
 
-// Ledger is what was run.
+// Ledger records the runs of requests.
 type Ledger struct {
-	// Runs counts the runs under each key.
+	// Runs is the number of runs by key.
 	Runs map[string]int `json:"runs"`
 }
 
-// Server is a backend server.
+// Server is a backend server. It is safe for concurrent use.
 type Server struct {
 	mu     sync.Mutex
 	mode   Mode
@@ -54,10 +54,10 @@
 	return &Server{ledger: Ledger{Runs: make(map[string]int)}}
 }
 
-// Work serves requests.
+// Work returns a handler that serves requests.
 func (s *Server) Work() http.Handler { return http.HandlerFunc(s.work) }
 
-// Control serves GET /ledger and PUT /mode.
+// Control returns a handler that serves GET /ledger and PUT /mode.
 func (s *Server) Control() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /ledger", s.serveLedger)
@@ -67,7 +67,7 @@
 
 func (s *Server) work(w http.ResponseWriter, r *http.Request) {
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
-		return // the request was cut, so it is not run
+		return // the request was truncated, so it is not run
 	}
 	key := r.Header.Get(HeaderKey)
 	mode := s.begin(key)
@@ -90,7 +90,7 @@
 	return time.Duration(millis * float64(time.Millisecond))
 }
 
-// begin records a run and returns how it goes.
+// begin records a run and returns the mode that applies to it.
 func (s *Server) begin(key string) Mode {
 	s.mu.Lock()
 	defer s.mu.Unlock()
