--- a/test/cmd/testbackend/main.go
+++ b/test/cmd/testbackend/main.go
@@ -1,4 +1,4 @@
-// Command testbackend runs one small backend server for tests and the demo.
+// Command testbackend runs a small backend server for tests and the demo.
 package main
 
 import (
@@ -13,8 +13,8 @@
 const headerTimeout = 10 * time.Second
 
 func main() {
-	work := flag.String("work", "127.0.0.1:0", "where it takes requests")
-	control := flag.String("control", "127.0.0.1:0", "where it takes control calls")
+	work := flag.String("work", "127.0.0.1:0", "address to listen on for requests")
+	control := flag.String("control", "127.0.0.1:0", "address to listen on for control calls")
 	flag.Parse()
 	b := backendserver.New()
 	go serve(*control, b.Control())
