--- a/test/property/property.go
+++ b/test/property/property.go
@@ -1,4 +1,4 @@
-// Package property sets how tests of properties run.
+// Package property configures property-based tests.
 //
 // # Usage
 //
@@ -11,11 +11,11 @@
 	"testing"
 )
 
-// ciSeed makes the verdict in CI the same each time.
+// ciSeed makes results in CI reproducible.
 const ciSeed = "20261202"
 
-// Main runs a package's tests with so many checks of each property. In CI the
-// seed is fixed; elsewhere each run looks at other cases.
+// Main runs a package's tests with the given number of checks for each property. In CI the
+// seed is fixed; elsewhere it is random.
 func Main(m *testing.M, checks string) {
 	flag.Parse()
 	set("rapid.checks", checks)
@@ -27,6 +27,6 @@
 
 func set(name, value string) {
 	if err := flag.Set(name, value); err != nil {
-		panic(err) // the flag is rapid's own
+		panic(err) // unreachable: rapid defines the flag
 	}
 }
