--- a/test/wallclock/wallclock.go
+++ b/test/wallclock/wallclock.go
@@ -1,5 +1,5 @@
-// Package wallclock makes the moments that a program has read before its host's wall clock stepped. A test
-// cannot step the clock itself.
+// Package wallclock creates times as a program has read them before a step of its host's wall clock, since a
+// test cannot step the clock itself.
 //
 // # Usage
 //
@@ -13,17 +13,17 @@
 	"unsafe"
 )
 
-// secondsShift is where the seconds begin in the first word of a time.Time that has a monotonic reading.
+// secondsShift is the offset in bits of the seconds in the first word of a time.Time with a monotonic reading.
 const secondsShift = 30
 
-// ReadBeforeStepBack returns the moment t, which has a monotonic reading, as it was read before the wall clock
-// went back by whole seconds. It panics if the standard library keeps times in another form.
+// ReadBeforeStepBack returns the time t, which must have a monotonic reading, as read before the wall clock was
+// stepped back by whole seconds. It panics if the internal format of time.Time has changed.
 func ReadBeforeStepBack(t time.Time, back time.Duration) time.Time {
 	read := t
-	wall := (*uint64)(unsafe.Pointer(&read)) // there is no other way to such a time; checked below
+	wall := (*uint64)(unsafe.Pointer(&read)) // no exported API creates such a time; the format is verified below
 	*wall += uint64(back/time.Second) << secondsShift
 	if read.Sub(t) != 0 || read.UnixNano()-t.UnixNano() != int64(back) {
-		panic(fmt.Sprintf("%s is not %s with its wall clock %s on", read, t, back))
+		panic(fmt.Sprintf("time.Time has an unexpected format: got %s for %s with its wall clock %s ahead", read, t, back))
 	}
 	return read
 }
