--- a/test/integration/gray_test.go
+++ b/test/integration/gray_test.go
@@ -16,8 +16,7 @@
 	"github.com/tideliftd/tidelift/test/harness"
 )
 
-// search sends requests until the condition holds, a hundred
-// a second, and reports whether it did before patience ran out.
+// search sends 100 requests per second until done reports true, and reports whether it did in time.
 func search(f *harness.Fleet, done func() bool) bool {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -41,7 +40,7 @@
 	return false
 }
 
-// logged reports whether a daemon has logged the event for the backend server.
+// logged reports whether the log of any daemon contains the event for the backend server.
 func logged(t *testing.T, f *harness.Fleet, e event.Event, backendServer string) bool {
 	t.Helper()
 	events, err := f.Events()
@@ -64,13 +63,13 @@
 	}
 }
 
-// warm lasts until the observers know what is usual.
+// warm sends requests until the observers have a latency baseline.
 func warm(f *harness.Fleet) {
 	end := time.Now().Add(2 * time.Second)
 	search(f, func() bool { return time.Now().After(end) })
 }
 
-// stallFirst warms up and makes the first backend server stall.
+// stallFirst establishes a baseline and then stalls the first backend server.
 func stallFirst(t *testing.T, f *harness.Fleet) *harness.Backend {
 	t.Helper()
 	warm(f)
@@ -85,13 +84,13 @@
 	f := start(t, lookup(""))
 	sick := stallFirst(t, f)
 	if !search(f, func() bool { return logged(t, f, event.ServerEjected, sick.Name) }) {
-		t.Fatal("it was not ejected")
+		t.Fatal("stalled backend server was not ejected")
 	}
 	if err := sick.SetMode(backendserver.Mode{}); err != nil {
 		t.Fatal(err)
 	}
 	if !search(f, func() bool { return logged(t, f, event.ServerReturned, sick.Name) }) {
-		t.Fatal("it did not come back")
+		t.Fatal("recovered backend server was not returned to service")
 	}
 }
 
@@ -99,10 +98,10 @@
 	f := start(t, lookup("observe"))
 	sick := stallFirst(t, f)
 	if !search(f, func() bool { return logged(t, f, event.FloorHeld, sick.Name) }) {
-		t.Fatal("nothing was reported")
+		t.Fatal("observe mode did not report the stalled backend server")
 	}
 	if logged(t, f, event.ServerEjected, sick.Name) || logged(t, f, event.ServerAvoided, sick.Name) {
-		t.Fatal("it was ejected or avoided")
+		t.Fatal("observe mode ejected or avoided the backend server")
 	}
 }
 
@@ -125,28 +124,28 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	t.Fatal("the refusal was not counted")
+	t.Fatal("refused request was not counted in the metrics")
 }
 
-// TestNoLongerSteeredComesBack puts a service whose backend server is ejected under
-// observe alone.
+// TestNoLongerSteeredComesBack guards against an ejection that outlasts the change of its service to
+// observe mode.
 func TestNoLongerSteeredComesBack(t *testing.T) {
 	f := start(t, lookup(""))
 	sick := stallFirst(t, f)
 	if !search(f, func() bool { return logged(t, f, event.ServerEjected, sick.Name) }) {
-		t.Fatal("it was not ejected")
+		t.Fatal("stalled backend server was not ejected")
 	}
 	f.Spec.Services[0].Adoption = "observe"
 	if _, err := f.Apply(context.Background(), 0, f.Declaration(), 1, "observe"); err != nil {
 		t.Fatal(err)
 	}
 	if !search(f, func() bool { return logged(t, f, event.ServerReturned, sick.Name) }) {
-		t.Fatal("it stays ejected though nothing is steered")
+		t.Fatal("backend server stayed ejected in observe mode")
 	}
 }
 
-// TestOwnWordThatItIsLeaving has one backend server that says so on its first
-// answer. It gets no more work, the other gets all.
+// TestOwnWordThatItIsLeaving guards against requests to a backend server that has announced its draining
+// in a response header.
 func TestOwnWordThatItIsLeaving(t *testing.T) {
 	var draining, other atomic.Int64
 	first := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -164,22 +163,21 @@
 		}},
 	})
 	if !search(f, func() bool { return draining.Load() > 0 }) {
-		t.Fatal("it was never asked")
+		t.Fatal("draining backend server received no request")
 	}
-	time.Sleep(100 * time.Millisecond) // for what was on its way
+	time.Sleep(100 * time.Millisecond) // until requests in flight have arrived
 	before := draining.Load()
 	for range 50 {
 		if response, _ := get(t, f.URL(0, "lookup", "/x")); response.StatusCode != http.StatusOK {
-			t.Fatalf("%d", response.StatusCode)
+			t.Fatalf("got status %d, want 200", response.StatusCode)
 		}
 	}
 	if draining.Load() != before || other.Load() < 50 {
-		t.Fatalf("leaving one got %d more, the other %d", draining.Load()-before, other.Load())
+		t.Fatalf("draining backend server received %d more requests, the other one %d", draining.Load()-before, other.Load())
 	}
 }
 
-// TestPlatformsListOfLeavingHosts puts a host on the platform's list and takes it
-// off again.
+// TestPlatformsListOfLeavingHosts adds a host to the platform's list of draining hosts and removes it again.
 func TestPlatformsListOfLeavingHosts(t *testing.T) {
 	f := start(t, harness.Spec{
 		DataCentres: []string{"csepel", "obuda"},
@@ -192,10 +190,10 @@
 	}
 	list(`["` + draining.Host.Name + `"]`)
 	if !search(f, func() bool { return logged(t, f, event.ServerDraining, draining.Name) }) {
-		t.Fatal("it went on as if nothing were said")
+		t.Fatal("backend server of a listed host was not drained")
 	}
 	list("[]")
 	if !search(f, func() bool { return logged(t, f, event.ServerBack, draining.Name) }) {
-		t.Fatal("it did not come back")
+		t.Fatal("backend server was not returned to service after its host left the list")
 	}
 }
--- a/test/integration/hang_test.go
+++ b/test/integration/hang_test.go
@@ -9,10 +9,8 @@
 	"github.com/tideliftd/tidelift/test/harness"
 )
 
-// TestARequestIsCopiedWhenItsBackendServerHangs lets one of four backend servers swallow
-// what it gets. Requests that take 10 ms are answered by others long before anything counts
-// as overdue, which is at 380 ms. They come one at a time, so that none is sent elsewhere
-// because others are on their way to the one that hangs.
+// TestARequestIsCopiedWhenItsBackendServerHangs guards against requests of 10 ms that wait until they are overdue,
+// at 380 ms. They are sent one at a time, so that load balancing alone does not avoid the stalled backend server.
 func TestARequestIsCopiedWhenItsBackendServerHangs(t *testing.T) {
 	spec := lookup("")
 	spec.Services[0].Detection = "careful"
@@ -29,13 +27,13 @@
 			slow++
 		}
 	}
-	const busy = 1 // one may be slow for another reason, as a busy machine; without copies two are
+	const busy = 1 // one may be slow on a busy machine; without hedging two are
 	if slow > busy {
-		t.Fatalf("%d of %d requests were not answered within %v", slow, requests, within)
+		t.Fatalf("%d of %d requests received no response within %v", slow, requests, within)
 	}
 }
 
-// answeredWithin sends an idempotent request and reports whether its answer came in time.
+// answeredWithin sends an idempotent request and reports whether it succeeds in time.
 func answeredWithin(f *harness.Fleet, within time.Duration) bool {
 	request, err := http.NewRequest(http.MethodGet, f.URL(0, "lookup", "/x"), nil)
 	if err != nil {
--- a/test/integration/http_test.go
+++ b/test/integration/http_test.go
@@ -19,11 +19,11 @@
 	"github.com/tideliftd/tidelift/test/harness"
 )
 
-// patience bounds waits that end much sooner when all is well.
+// patience bounds waits for conditions that a passing test meets much sooner.
 const patience = 20 * time.Second
 
-// custom starts two daemons before a backend server of the test's own, kept by
-// the second; requests go to the first and so take both hops.
+// custom starts two daemons and a backend server with the handler at the second.
+// Requests to the first daemon take both hops.
 func custom(t *testing.T, handler http.HandlerFunc) *harness.Fleet {
 	t.Helper()
 	backend := httptest.NewServer(handler)
@@ -73,25 +73,25 @@
 	})
 	t.Run("statuses without a body", func(t *testing.T) {
 		if response, body := get(t, f.URL(0, "antraege", "/empty")); response.StatusCode != http.StatusNoContent || body != "" {
-			t.Fatalf("%d %q", response.StatusCode, body)
+			t.Fatalf("got status %d, body %q; want 204 without a body", response.StatusCode, body)
 		}
 		response, _ := get(t, f.URL(0, "antraege", "/same"))
 		if response.StatusCode != http.StatusNotModified || response.Header.Get("ETag") != `"v1"` {
-			t.Fatalf("%d %v", response.StatusCode, response.Header)
+			t.Fatalf("got status %d, headers %v; want 304 with ETag", response.StatusCode, response.Header)
 		}
 	})
 	t.Run("methods", func(t *testing.T) {
 		for _, method := range []string{"GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS", "PROPFIND"} {
 			response, _ := do(t, method, f.URL(0, "antraege", "/x"), "")
 			if response.Header.Get("X-Method") != method {
-				t.Fatalf("%s arrived as %q", method, response.Header.Get("X-Method"))
+				t.Fatalf("method %s reached the backend server as %q", method, response.Header.Get("X-Method"))
 			}
 		}
 	})
 	t.Run("gzip untouched", func(t *testing.T) {
 		response, body := get(t, f.URL(0, "antraege", "/gzip"), "Accept-Encoding", "gzip")
 		if response.Header.Get("Content-Encoding") != "gzip" || body != zipped.String() {
-			t.Fatalf("%v %q", response.Header, body)
+			t.Fatalf("gzip response was changed: headers %v, body %q", response.Header, body)
 		}
 	})
 	t.Run("trailers both ways", func(t *testing.T) {
@@ -107,29 +107,29 @@
 		defer func() { _ = response.Body.Close() }()
 		body, err := io.ReadAll(response.Body)
 		if err != nil || string(body) != "abc" || response.Trailer.Get("X-Sum") != "42" {
-			t.Fatalf("%q %v %v", body, response.Trailer, err)
+			t.Fatalf("got body %q, trailers %v, error %v", body, response.Trailer, err)
 		}
 	})
 	t.Run("headers of one connection and of a hop stay", func(t *testing.T) {
 		response, _ := get(t, f.URL(0, "antraege", "/headers"), "Connection", "X-Hop", "X-Hop", "secret",
 			"Tidelift-Reservation", "forged", "User-Agent", "")
 		if got := response.Header.Get("X-Private") + response.Header.Get("Tidelift-Result"); got != "" {
-			t.Fatalf("the caller saw %q", got)
+			t.Fatalf("caller received internal headers: %q", got)
 		}
 		if got := response.Header.Get("X-Seen"); got != "|127.0.0.1|"+f.Daemons[0].Callers()+"||" {
-			t.Fatalf("the backend server saw %q", got)
+			t.Fatalf("backend server received headers %q", got)
 		}
 	})
 	t.Run("path as it was written", func(t *testing.T) {
 		_, body := get(t, f.URL(0, "antraege", "/sp%20ace/%C3%BC?a=1&b=%2F"))
 		if body != "/antraege/sp%20ace/%C3%BC?a=1&b=%2F" {
-			t.Fatalf("arrived as %q", body)
+			t.Fatalf("backend server received path %q", body)
 		}
 	})
 	t.Run("a body of a megabyte", func(t *testing.T) {
 		sent := strings.Repeat("0123456789abcdef", 1<<16)
 		if _, body := do(t, http.MethodPost, f.URL(0, "antraege", "/big"), sent); body != sent {
-			t.Fatalf("%d bytes came back of %d", len(body), len(sent))
+			t.Fatalf("received %d bytes, want %d", len(body), len(sent))
 		}
 	})
 }
@@ -161,7 +161,7 @@
 			_, _ = io.WriteString(writer, line+"\n")
 		}
 		if answer, err := answers.ReadString('\n'); err != nil || answer != "echo "+line+"\n" {
-			t.Fatalf("%q %v", answer, err)
+			t.Fatalf("got line %q, error %v; want an echo of the line sent", answer, err)
 		}
 	}
 	_ = writer.Close()
@@ -197,7 +197,7 @@
 		}
 		_ = response.Body.Close()
 		if response.StatusCode != want || taken.Load() != (want == http.StatusOK) {
-			t.Fatalf("welcome %q: %d, body taken %t", welcome, response.StatusCode, taken.Load())
+			t.Fatalf("welcome %q: got status %d, body sent %t", welcome, response.StatusCode, taken.Load())
 		}
 	}
 }
@@ -224,12 +224,12 @@
 	}()
 	if response, err := http.DefaultClient.Do(request); err == nil {
 		_ = response.Body.Close()
-		t.Fatal("the request was answered")
+		t.Fatal("cancelled request received a response")
 	}
 	select {
 	case <-cancelled:
 	case <-time.After(patience):
-		t.Fatal("the backend server was not told")
+		t.Fatal("cancellation did not reach the backend server")
 	}
 }
 
@@ -241,15 +241,15 @@
 	})
 	response, body := get(t, f.URL(0, "antraege", "/x"), "X-Request-Timeout-Ms", "1500")
 	if response.StatusCode != http.StatusGatewayTimeout || !strings.Contains(body, `"code":3001`) {
-		t.Fatalf("%d %s", response.StatusCode, body)
+		t.Fatalf("got status %d, body %s; want 504 with code 3001", response.StatusCode, body)
 	}
 	told := <-left
 	if got, err := strconv.Atoi(told); err != nil || got < 1 || got > 1500 {
-		t.Fatalf("the backend server was told %q", told)
+		t.Fatalf("backend server received timeout %q, want 1 to 1500 ms", told)
 	}
 }
 
-// raw sends bytes and returns what comes back.
+// raw sends the text on a new connection and returns the response's status and body.
 func raw(t *testing.T, address, text string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
@@ -288,12 +288,12 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			if got := raw(t, f.Daemons[0].Callers(), test.send); !strings.HasPrefix(got, test.want) {
-				t.Fatalf("got %.200s", got)
+				t.Fatalf("got response %.200s", got)
 			}
 		})
 	}
 	if n := reached.Load(); n != 0 {
-		t.Fatalf("%d wrong requests reached the backend server", n)
+		t.Fatalf("%d invalid requests reached the backend server", n)
 	}
 }
 
@@ -302,11 +302,11 @@
 	began := time.Now()
 	answer := raw(t, f.Daemons[0].Callers(), "POST /antraege/x HTTP/1.1\r\nHost: a\r\nX-Request-Timeout-Ms: 300\r\nContent-Length: 10\r\n\r\nabc")
 	if !strings.HasPrefix(answer, "50") || time.Since(began) > patience {
-		t.Fatalf("after %s: %s", time.Since(began), answer)
+		t.Fatalf("after %s: got response %q, want a 50x status", time.Since(began), answer)
 	}
 }
 
-// TestCutAnswerNeverLooksWhole cuts answers of each framing in the middle.
+// TestCutAnswerNeverLooksWhole guards against truncated responses, of each framing, that reach the caller as complete.
 func TestCutAnswerNeverLooksWhole(t *testing.T) {
 	f := custom(t, func(w http.ResponseWriter, r *http.Request) {
 		socket, buffer, err := http.NewResponseController(w).Hijack()
@@ -331,24 +331,24 @@
 		}
 		response, err := http.DefaultClient.Do(request)
 		if err != nil {
-			continue // broken before the head: not whole
+			continue // failed before the response headers, so the caller sees the error
 		}
 		body, err := io.ReadAll(response.Body)
 		_ = response.Body.Close()
 		if err == nil && response.StatusCode == http.StatusOK {
-			t.Fatalf("%s: %q looks whole", path, body)
+			t.Fatalf("%s: truncated response %q was passed on as complete", path, body)
 		}
 	}
 }
 
-// TestNothingIsSentTwice closes the connection of every other request without
-// an answer. net/http would send some of these again by itself.
+// TestNothingIsSentTwice guards against the automatic retries of net/http, for requests whose reused
+// connection is closed without a response.
 func TestNothingIsSentTwice(t *testing.T) {
 	var runs atomic.Int64
 	f := custom(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		if runs.Add(1)%2 == 1 {
-			return // so that the next request finds a connection in use before
+			return // so that the next request uses a kept connection
 		}
 		socket, _, err := http.NewResponseController(w).Hijack()
 		if err != nil {
@@ -370,15 +370,15 @@
 				header = []string{"Idempotency-Key", test.key}
 			}
 			if response, _ := do(t, test.method, url, test.body, header...); response.StatusCode != http.StatusOK {
-				t.Fatalf("first: %d", response.StatusCode)
+				t.Fatalf("first request: got status %d, want 200", response.StatusCode)
 			}
 			before := runs.Load()
 			response, body := do(t, test.method, url, test.body, header...)
 			if !strings.Contains(body, `"ran":"unknown"`) {
-				t.Fatalf("second: %d %s", response.StatusCode, body)
+				t.Fatalf("second request: got status %d, body %s; want ran unknown", response.StatusCode, body)
 			}
 			if n := runs.Load() - before; n != 1 {
-				t.Fatalf("one request ran %d times", n)
+				t.Fatalf("request ran %d times, want 1", n)
 			}
 		})
 	}
--- a/test/integration/keys_test.go
+++ b/test/integration/keys_test.go
@@ -93,8 +93,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// TestKeys runs daemons that prove themselves to each other and operators with
-// tokens, and tries to get past both.
+// TestKeys guards against unauthenticated access to the peer, control and operator addresses of daemons
+// that use certificates and tokens.
 func TestKeys(t *testing.T) {
 	ours := newAuthority(t)
 	certificate, private := ours.sign(t)
@@ -112,7 +112,7 @@
 	t.Run("daemons serve each other", func(t *testing.T) {
 		for _, method := range []string{http.MethodGet, http.MethodPost} {
 			if response, body := do(t, method, f.URL(0, "lookup", "/x"), ""); response.StatusCode != http.StatusOK {
-				t.Fatalf("%s: %d %s", method, response.StatusCode, body)
+				t.Fatalf("%s: got status %d, body %s; want 200", method, response.StatusCode, body)
 			}
 		}
 	})
@@ -131,14 +131,14 @@
 			for _, address := range []string{f.Daemons[1].Peers(), f.Daemons[1].Control()} {
 				if response, err := client.Get("https://" + address + "/"); err == nil {
 					_ = response.Body.Close()
-					t.Errorf("%s, %s answered %d", name, address, response.StatusCode)
+					t.Errorf("client %s was accepted by %s with status %d", name, address, response.StatusCode)
 				}
 			}
 		}
 		if response, err := http.Get("http://" + f.Daemons[1].Peers() + "/"); err == nil {
 			_ = response.Body.Close()
 			if response.StatusCode < http.StatusBadRequest {
-				t.Errorf("without TLS answered %d", response.StatusCode)
+				t.Errorf("request without TLS got status %d", response.StatusCode)
 			}
 		}
 	})
@@ -154,22 +154,22 @@
 		{"", result.TokenRefused.Number, result.TokenRefused.Number},
 		{"guess", result.TokenRefused.Number, result.TokenRefused.Number},
 		{"look", 0, result.RoleRefused.Number},
-		{"all", 0, result.RevisionChanged.Number}, // let in, and told that the base is old
+		{"all", 0, result.RevisionChanged.Number}, // authorized; the base revision is outdated
 	}
 	for _, test := range tests {
 		f.Spec.Token = test.token
 		_, err := f.Daemons[0].Client().Status(context.Background())
 		if got := refusal(err); got != test.read {
-			t.Errorf("token %q reads: %d, want %d", test.token, got, test.read)
+			t.Errorf("read with token %q: got code %d, want %d", test.token, got, test.read)
 		}
 		_, err = f.Apply(context.Background(), 0, f.Declaration(), 99, "late")
 		if got := refusal(err); got != test.change {
-			t.Errorf("token %q changes: %d, want %d", test.token, got, test.change)
+			t.Errorf("change with token %q: got code %d, want %d", test.token, got, test.change)
 		}
 	}
 }
 
-// refusal returns the code of an operator's refused call; 0 if it was not.
+// refusal returns the result code of a refused operator call, 0 without an error and -1 for any other error.
 func refusal(err error) int {
 	var refused *operatorapi.RefusedStatusCode
 	if errors.As(err, &refused) {
@@ -181,8 +181,7 @@
 	return 0
 }
 
-// TestCertificatesAreReadAgain replaces the files of a running daemon's
-// certificates.
+// TestCertificatesAreReadAgain guards against replaced certificate files that are ignored until a restart.
 func TestCertificatesAreReadAgain(t *testing.T) {
 	dir := t.TempDir()
 	write := func(a authority) keys.CertificatesConfig {
@@ -211,5 +210,5 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	t.Fatal("the new certificate was not read")
+	t.Fatal("replaced certificate was not reloaded")
 }
--- a/test/integration/once_test.go
+++ b/test/integration/once_test.go
@@ -16,8 +16,8 @@
 	"github.com/tideliftd/tidelift/test/harness"
 )
 
-// payments is a service of non-idempotent requests with a backend server at
-// each of two daemons; a third daemon takes the requests.
+// payments returns a service with a backend server at each of the first two daemons. Its tests send
+// non-idempotent requests to the third daemon.
 func payments() harness.Spec {
 	return harness.Spec{
 		DataCentres: []string{"rosenheim", "weilheim", "muenchen-nord"},
@@ -26,14 +26,14 @@
 	}
 }
 
-// told is what the caller of each key was told.
+// told holds the response to the request of each key.
 type told struct {
 	mu     sync.Mutex
 	status map[string]int
 	body   map[string]string
 }
 
-// pay sends count payments at once through the daemon.
+// pay sends count payments concurrently through the daemon.
 func pay(f *harness.Fleet, daemon, count int, prefix string) *told {
 	result := &told{status: make(map[string]int), body: make(map[string]string)}
 	var wg sync.WaitGroup
@@ -66,7 +66,7 @@
 	return response.StatusCode, string(body)
 }
 
-// runsOf adds up the ledgers.
+// runsOf returns how often each key was run, by the ledgers of all backend servers.
 func runsOf(t *testing.T, f *harness.Fleet) map[string]int {
 	t.Helper()
 	runs := make(map[string]int)
@@ -82,7 +82,7 @@
 	return runs
 }
 
-// check compares what callers were told with what was run.
+// check compares the responses with the runs.
 func (r *told) check(t *testing.T, runs map[string]int) {
 	t.Helper()
 	for key, status := range r.status {
@@ -90,16 +90,15 @@
 		case n > 1:
 			t.Errorf("%s ran %d times", key, n)
 		case status == http.StatusOK && n != 1:
-			t.Errorf("%s was answered and ran %d times", key, n)
+			t.Errorf("%s succeeded and ran %d times, want 1", key, n)
 		case strings.Contains(r.body[key], `"ran":"no"`) && n != 0:
-			t.Errorf("%s was called not run and ran: %s", key, r.body[key])
+			t.Errorf("%s was reported as not run but ran: %s", key, r.body[key])
 		}
 	}
 }
 
-// TestFrozenDaemonRunsNothingLate stops a backend server's daemon for longer
-// than the deadline and the life of a reservation. Payments go elsewhere, and when
-// the daemon wakes, nothing that waited in its sockets is run.
+// TestFrozenDaemonRunsNothingLate guards against a daemon that is paused for longer than the deadline and the
+// lifetime of a reservation, and on resumption runs requests that waited in its sockets.
 func TestFrozenDaemonRunsNothingLate(t *testing.T) {
 	f := start(t, payments())
 	before := pay(f, 2, 20, "before")
@@ -111,7 +110,7 @@
 	if err := frozen.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(2 * time.Second) // so that anything late would run
+	time.Sleep(2 * time.Second) // long enough for an expired request to be run
 	runs := runsOf(t, f)
 	before.check(t, runs)
 	during.check(t, runs)
@@ -120,16 +119,16 @@
 		if status == http.StatusOK {
 			answered++
 		} else if runs[key] != 0 {
-			t.Errorf("%s ran although its caller was told %d %s", key, status, during.body[key])
+			t.Errorf("%s ran although its caller received status %d, body %s", key, status, during.body[key])
 		}
 	}
 	if answered < len(during.status)/2 {
-		t.Fatalf("%d of %d payments went elsewhere: %v", answered, len(during.status), during.body)
+		t.Fatalf("%d of %d payments succeeded at the other backend server, want at least half: %v", answered, len(during.status), during.body)
 	}
 }
 
-// TestKilledDaemonLeavesTheTruth kills a backend server's daemon while payments
-// run there.
+// TestKilledDaemonLeavesTheTruth guards against wrong responses for payments that run while their backend
+// server's daemon is killed.
 func TestKilledDaemonLeavesTheTruth(t *testing.T) {
 	f := start(t, payments())
 	done := make(chan *told, 1)
@@ -140,9 +139,8 @@
 	result.check(t, runsOf(t, f))
 }
 
-// TestNotRunIsTrueOfEveryAttempt has one backend server that runs a request and
-// breaks the connection, and one that refuses connections. Whichever is tried
-// first, the request ran, and its caller must not hear that it did not.
+// TestNotRunIsTrueOfEveryAttempt guards against reporting a request as not run because its last attempt was refused,
+// although an earlier attempt ran it and broke the connection.
 func TestNotRunIsTrueOfEveryAttempt(t *testing.T) {
 	var runs atomic.Int64
 	breaking := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -163,8 +161,8 @@
 		before := runs.Load()
 		response, body := get(t, f.URL(0, "akten", "/x"))
 		if ran := runs.Load() > before; ran && !strings.Contains(body, `"ran":"unknown"`) {
-			t.Fatalf("the request ran, and its caller heard %d %s", response.StatusCode, body)
+			t.Fatalf("request ran, and its caller received status %d, body %s; want ran unknown", response.StatusCode, body)
 		}
-		time.Sleep(600 * time.Millisecond) // the pause after a refused connection
+		time.Sleep(600 * time.Millisecond) // until a backend server that refused a connection is tried again
 	}
 }
--- a/test/integration/path_test.go
+++ b/test/integration/path_test.go
@@ -20,7 +20,7 @@
 	return harness.StartForTest(t, spec)
 }
 
-// catalogue is the fleet of the library catalogue firm.
+// catalogue returns the fleet of the library catalogue customer.
 func catalogue() harness.Spec {
 	return harness.Spec{
 		DataCentres: []string{"angyalfold", "csepel", "obuda"},
@@ -58,9 +58,8 @@
 	return response, string(text)
 }
 
-// TestAnyDaemonReachesEveryService sends requests through each daemon. One
-// service has a single backend server, so two of three daemons reach it over
-// the daemon that keeps it.
+// TestAnyDaemonReachesEveryService guards against daemons that do not forward requests to a service whose only
+// backend server is at another host.
 func TestAnyDaemonReachesEveryService(t *testing.T) {
 	spec := catalogue()
 	spec.Services = append(spec.Services, harness.Service{Name: "single", Floor: 1, Servers: 1})
@@ -69,13 +68,13 @@
 		for _, service := range spec.Services {
 			response, body := get(t, f.URL(daemon, service.Name, "/x"), backendserver.HeaderKey, "key-1")
 			if response.StatusCode != http.StatusOK || body != "key-1" {
-				t.Fatalf("daemon %d, %s: %d %q", daemon, service.Name, response.StatusCode, body)
+				t.Fatalf("daemon %d, service %s: got status %d, body %q", daemon, service.Name, response.StatusCode, body)
 			}
 		}
 	}
 	single := f.Backends[len(f.Backends)-1]
 	ledger, err := single.Ledger()
 	if err != nil || ledger.Runs["key-1"] != len(f.Daemons) {
-		t.Fatalf("ledger of %s: %+v, %v", single.Name, ledger, err)
+		t.Fatalf("ledger of %s: got %+v, error %v; want one run of key-1 for each daemon", single.Name, ledger, err)
 	}
 }
