--- a/test/registered/cost_test.go
+++ b/test/registered/cost_test.go
@@ -9,16 +9,15 @@
 	"time"
 )
 
-// BenchmarkFleet asks a fleet of daemons for what one of its days asks: 12 requests a second at
-// each host, which run for 60 ms at one of four slots. It reports the processor time of all
-// daemons, callers and backend servers together for each request, and what the daemons alone
-// take while nobody asks. Profile it with -cpuprofile.
+// BenchmarkFleet sends 12 requests per second to each host of a fleet, which run for 60 ms at one of four
+// slots. It reports the processor time per request of all daemons, callers and backend servers together,
+// and that of the idle daemons. Profile it with -cpuprofile.
 //
 //	go test ./test/registered -run '^$' -bench Fleet -benchtime 5s -cpuprofile cpu.prof
 func BenchmarkFleet(b *testing.B) {
 	const (
 		daemons   = 24
-		perSecond = 12 // at each
+		perSecond = 12 // requests at each daemon
 		work      = 60 * time.Millisecond
 	)
 	f := newFleet(b, daemons)
@@ -50,7 +49,7 @@
 	b.ReportMetric((processorTime()-before).Seconds()*1000/float64(b.N), "cpu-ms/op")
 }
 
-// processorTime is what this process has used.
+// processorTime returns the processor time that this process has used.
 func processorTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
--- a/test/registered/customers_test.go
+++ b/test/registered/customers_test.go
@@ -20,8 +20,8 @@
 	strangeKey  = "nobody-key-9c31"
 )
 
-// customersText is a desired state with a public route and customers, of whom the county has
-// the keys and the limit given.
+// customersText is the format of a desired state with a public route and two customers. The version and
+// the keys and limit of the county are filled in.
 const customersText = `{"version":%d,
 "routes":[
  {"name":"once","host":"a.example","path-prefix":"/once/","route-type":"non_idempotent","timeout-s":2,"target-latency-s":0.8,"priority":1,"service":"lookup","attempts":2},
@@ -34,8 +34,8 @@
 	f.store.Write(platform.DesiredKey, fmt.Appendf(nil, customersText, version, countyKeys, rate, burst))
 }
 
-// askAs sends a request with a key, or without one if it is empty, and a forged customer. It
-// returns the answer's status and when to come back.
+// askAs sends a request with the key, unless it is empty, and a forged customer header. It
+// returns the response's status and Retry-After header.
 func (h *host) askAs(client *http.Client, path, key string) (int, string) {
 	r := h.newRequest(context.Background(), http.MethodGet, path, newID(), "")
 	r.Header.Set("Tenant", "forged")
@@ -51,7 +51,8 @@
 	return response.StatusCode, response.Header.Get("Retry-After")
 }
 
-// customersSeen keeps which customers backend servers were told, and whether a key reached one.
+// customersSeen counts the requests that backend servers received, by customer header, and those that
+// carried a key.
 type customersSeen struct {
 	mu    sync.Mutex
 	names map[string]int
@@ -68,7 +69,7 @@
 	signed(w, http.StatusOK, "done")
 }
 
-// newCustomerFleet starts a fleet that knows customers, and says what its backend servers see.
+// newCustomerFleet starts a fleet with declared customers and returns what its backend servers receive.
 func newCustomerFleet(t *testing.T, count int, rate, burst float64) (*fleet, *customersSeen) {
 	t.Helper()
 	f := newFleet(t, count)
@@ -80,11 +81,11 @@
 	f.awaitStatus(strangeKey, http.StatusUnauthorized)
 	seen.mu.Lock()
 	defer seen.mu.Unlock()
-	seen.keys = 0 // of requests before customers were declared
+	seen.keys = 0 // drop requests sent before customers were declared
 	return f, seen
 }
 
-// awaitStatus waits until every host answers a request with the key with the status.
+// awaitStatus waits until every host responds with the status to a request with the key.
 func (f *fleet) awaitStatus(key string, status int) {
 	f.t.Helper()
 	for _, h := range f.hosts {
@@ -95,8 +96,7 @@
 	}
 }
 
-// hedged returns how many hedges the fleet's daemons have sent, each of which runs a request once
-// more.
+// hedged returns how many hedges the fleet's daemons have sent. Each hedge adds a run of its request.
 func (f *fleet) hedged() int {
 	count := 0
 	for _, h := range f.hosts {
@@ -105,8 +105,8 @@
 	return count
 }
 
-// TestOnlyAKeyMakesACustomer asks with each kind of key on each kind of route, at a host that
-// sends most requests to others.
+// TestOnlyAKeyMakesACustomer guards against customers that are derived from anything but a valid key, for each
+// kind of route, at a host that sends most requests to others.
 func TestOnlyAKeyMakesACustomer(t *testing.T) {
 	f, seen := newCustomerFleet(t, 3, 0, 0)
 	tests := []struct {
@@ -131,32 +131,32 @@
 			hedged := f.hedged()
 			for range asked {
 				if status, _ := f.hosts[0].askAs(http.DefaultClient, test.path, test.key); status != test.status {
-					t.Fatalf("status %d, want %d", status, test.status)
+					t.Fatalf("got status %d, want %d", status, test.status)
 				}
 			}
 			seen.mu.Lock()
 			defer seen.mu.Unlock()
 			hedged = f.hedged() - hedged
 			if ran := seen.names[test.customer]; test.status == http.StatusOK && (len(seen.names) != 1 || ran < asked || ran > asked+hedged) {
-				t.Fatalf("backend servers were told %v of %d requests, %d of them hedged", seen.names, asked, hedged)
+				t.Fatalf("backend servers received customers %v for %d requests, %d of them hedged", seen.names, asked, hedged)
 			}
 			if test.status != http.StatusOK && len(seen.names) != 0 {
-				t.Fatalf("it ran for %v", seen.names)
+				t.Fatalf("refused request ran for customers %v", seen.names)
 			}
 			if seen.keys > 0 {
-				t.Fatalf("%d keys reached a backend server", seen.keys)
+				t.Fatalf("%d keys were forwarded to backend servers", seen.keys)
 			}
 		})
 	}
 }
 
-// TestAKeyThatIsTakenAwayIsRefused takes a key away while the store turns nobody and then
-// everybody away, on a connection that is open already, and never lets it in again.
+// TestAKeyThatIsTakenAwayIsRefused guards against a revoked key that is accepted again, on an open connection or
+// by a restarted daemon, while the store is unavailable.
 func TestAKeyThatIsTakenAwayIsRefused(t *testing.T) {
 	f, _ := newCustomerFleet(t, 3, 0, 0)
 	kept := &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1}}
 	if status, _ := f.hosts[1].askAs(kept, "/twice/x", keyOfCounty); status != http.StatusOK {
-		t.Fatalf("status %d", status)
+		t.Fatalf("got status %d, want 200", status)
 	}
 	f.desireCustomers(3, `"another-key"`, 0, 0)
 	f.awaitStatus(keyOfCounty, http.StatusUnauthorized)
@@ -168,14 +168,14 @@
 	for end := time.Now().Add(2 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		for _, h := range f.hosts {
 			if status, _ := h.askAs(kept, "/twice/x", keyOfCounty); status == http.StatusOK {
-				t.Fatalf("%s let the key in again", h.daemonName())
+				t.Fatalf("%s accepted the revoked key", h.daemonName())
 			}
 		}
 	}
 	f.awaitStatus("another-key", http.StatusOK)
 }
 
-// TestKeysAreShownNowhere greps what daemons write and answer for keys.
+// TestKeysAreShownNowhere guards against keys in the logs and operator pages of daemons.
 func TestKeysAreShownNowhere(t *testing.T) {
 	f, _ := newCustomerFleet(t, 2, 1, 1)
 	for range 20 {
@@ -186,7 +186,7 @@
 	for _, h := range f.hosts {
 		for _, key := range []string{keyOfCounty, keyOfSchool, strangeKey} {
 			if h.log.contains(key) {
-				t.Errorf("the log of %s holds %s", h.daemonName(), key)
+				t.Errorf("log of %s contains key %s", h.daemonName(), key)
 			}
 		}
 		for _, page := range []string{"/v1/declaration", "/v1/customers", "/metrics"} {
@@ -196,14 +196,14 @@
 			}
 			for _, key := range []string{keyOfCounty, keyOfSchool, strangeKey} {
 				if strings.Contains(text, key) {
-					t.Errorf("%s of %s holds %s", page, h.daemonName(), key)
+					t.Errorf("%s of %s contains key %s", page, h.daemonName(), key)
 				}
 			}
 		}
 	}
 }
 
-// operatorPage returns what the daemon's operators read there.
+// operatorPage returns the page of the daemon's operator API, or an empty string if the request fails.
 func (h *host) operatorPage(path string) string {
 	response, err := http.Get("http://" + net.JoinHostPort(h.ip(), "1006") + path)
 	if err != nil {
@@ -217,8 +217,8 @@
 	return string(text)
 }
 
-// TestALimitHoldsForTheWholeFleet floods every host with one customer's requests, and another
-// customer's beside them: the first gets its limit, the other all.
+// TestALimitHoldsForTheWholeFleet guards against a customer that gets its limit at each host, or that takes
+// capacity from another customer.
 func TestALimitHoldsForTheWholeFleet(t *testing.T) {
 	const (
 		rate    = 40.0
@@ -226,7 +226,7 @@
 		seconds = 4
 	)
 	f, seen := newCustomerFleet(t, 3, rate, burst)
-	time.Sleep(time.Second) // until buckets are full
+	time.Sleep(time.Second) // until the limit's burst is available
 	seen.mu.Lock()
 	clear(seen.names)
 	seen.mu.Unlock()
@@ -249,12 +249,12 @@
 	took := time.Since(began).Seconds()
 	seen.mu.Lock()
 	defer seen.mu.Unlock()
-	// The rule allows a tenth more and twenty.
+	// The limit may be exceeded by a tenth and 20 requests.
 	if ran, most := seen.names["county"], 1.1*(rate*took+burst)+20; float64(ran) > most || float64(ran) < 0.8*rate*took {
 		t.Errorf("%d requests ran in %.1f s; want %.0f to %.0f (%d refused)", ran, took, 0.8*rate*took, most, refused)
 	}
 	if refused == 0 || comeBack != refused {
-		t.Errorf("%d refused, of whom %d were told when to come back", refused, comeBack)
+		t.Errorf("%d requests were refused, %d of them with Retry-After", refused, comeBack)
 	}
 	if others > 0 {
 		t.Errorf("%d requests of another customer were refused", others)
--- a/test/registered/ends_test.go
+++ b/test/registered/ends_test.go
@@ -19,44 +19,37 @@
 	"github.com/tideliftd/tidelift/internal/result"
 )
 
-// Users saw one request come again and again, at many hosts and under new ids, and end each backend
-// server that ran it: 24 of a service that has eight, within some ten seconds. Callers of the service
-// were refused for want of backend servers meanwhile. Order of events: a backend server begins the
-// request, all its connections are lost at once, its address refuses others; the request is sent to a
-// second one, which ends too; both are back some seconds later and get the request again. Cause: ids
-// bound what is done for one arrival, and nothing knew two arrivals for the same request. Evidence: of
-// 46 failures of the route in the daemons' logs, fourteen were of one path, at four hosts, and each of
-// its sendings that reached a backend server was lost there; no other path failed twice. Below, each
-// end of a backend server leaves a line with that request.
+// The tests of this file guard against a request that crashes each backend server that runs it and that callers
+// repeat at many hosts under new ids: limits that count by request id do not stop it.
 
 const (
-	// endsAllowed is how many backend servers a request may end before it is known, and how often it may
-	// be sent after that.
+	// endsAllowed is how many backend servers a request may crash before it is quarantined, and how often it
+	// may be sent to others after that.
 	endsAllowed = 3
-	// endsKnownWithin is how long after that the fleet may take to know it.
+	// endsKnownWithin is how long after the last allowed crash the whole fleet may take to refuse the request.
 	endsKnownWithin = 3 * time.Second
-	// backAfter is how long a backend server is away that has ended.
+	// backAfter is how long a crashed backend server is unavailable.
 	backAfter = 1500 * time.Millisecond
-	// endingBody is the body of the request that ends who runs it.
+	// endingBody is the body of the request that crashes the backend server.
 	endingBody = "ends"
 )
 
-// endsSeen counts arrivals and ends as users do, and how innocent requests did.
+// endsSeen counts the crashing request's arrivals and crashes, and the innocent requests that were served.
 type endsSeen struct {
 	mu       sync.Mutex
-	arrivals []time.Time // of the request that ends backend servers
-	ends     []time.Time // of backend servers that ran it
-	asked    int         // innocent requests since the fleet may be expected to know
+	arrivals []time.Time // of the crashing request at backend servers
+	ends     []time.Time // crashes
+	asked    int         // innocent requests since the crashing one should be quarantined
 	served   int
 }
 
-// check fails the test if the request was sent too often once it should have been known.
+// check fails the test if the request was sent too often after it should have been quarantined.
 func (s *endsSeen) check(t *testing.T) {
 	t.Helper()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.ends) < endsAllowed {
-		t.Fatalf("%d backend servers ended, so that nothing is shown", len(s.ends))
+		t.Fatalf("only %d backend servers crashed, too few for a quarantine", len(s.ends))
 	}
 	slices.SortFunc(s.ends, time.Time.Compare)
 	known := s.ends[endsAllowed-1].Add(endsKnownWithin)
@@ -66,14 +59,13 @@
 			late++
 		}
 	}
-	t.Logf("%d backend servers ended, %d sendings when it should have been known; %d of %d innocent requests served", len(s.ends), late, s.served, s.asked)
+	t.Logf("%d backend servers crashed, %d arrivals after the quarantine was due; %d of %d innocent requests served", len(s.ends), late, s.served, s.asked)
 	if late > endsAllowed {
-		t.Fatalf("a request that had ended %d backend servers was sent to others %d times later than %v after the third; allowed are %d", len(s.ends), late, endsKnownWithin, endsAllowed)
+		t.Fatalf("request that crashed %d backend servers was sent to others %d times later than %v after the third crash, want at most %d", len(s.ends), late, endsKnownWithin, endsAllowed)
 	}
 }
 
-// ending is the work of a backend server that ends if it runs the request with that body, and is back
-// some time later.
+// ending returns the handler of a backend server that crashes on the request with endingBody and restarts later.
 func (h *host) ending(seen *endsSeen) func(http.ResponseWriter, *http.Request) {
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
@@ -95,8 +87,8 @@
 	}
 }
 
-// crash ends the backend server as a process ends that is killed: its listener and all connections go
-// at once. It is back some time later, under another name; it says false if it is away already.
+// crash closes the backend server's listener and all its connections, as the kernel does for a killed
+// process, and restarts it under another name after backAfter. It reports false if the backend server is down already.
 func (h *host) crash() bool {
 	if h.away.Swap(true) {
 		return false
@@ -106,7 +98,7 @@
 	time.AfterFunc(backAfter, func() {
 		listener, err := net.Listen("tcp", address)
 		if err != nil {
-			return // the test has ended, or nobody can be back
+			return // the test has ended, or the address is taken
 		}
 		server := httptest.NewUnstartedServer(http.HandlerFunc(h.answer))
 		_ = server.Listener.Close()
@@ -122,7 +114,7 @@
 	return true
 }
 
-// register checks the backend server in, as often as its daemon takes to be there.
+// register checks the backend server in and retries while its daemon is unavailable.
 func (h *host) register() {
 	for range 100 {
 		if h.tellOnce(http.MethodPut, h.name, h.nextCheckIn("ready")) == http.StatusOK {
@@ -132,7 +124,7 @@
 	}
 }
 
-// post sends a request with that body to the host's daemon and returns the status; 0 without an answer.
+// post sends a request with that body to the host's daemon and returns the status, 0 without a response.
 func (h *host) post(path, body string) int {
 	response := h.exchange(path, body)
 	if response == nil {
@@ -141,7 +133,8 @@
 	return response.StatusCode
 }
 
-// exchange sends a request with that body to the host's daemon and returns the head of its answer, or nil.
+// exchange sends a request with that body to the host's daemon and returns the response without its body,
+// or nil if there is none.
 func (h *host) exchange(path, body string) *http.Response {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
@@ -153,7 +146,7 @@
 	return response
 }
 
-// every calls the function so often a second with a host drawn at random, until ctx ends.
+// every calls the function perSecond times a second, each time with a random host, until ctx ends.
 func (f *fleet) every(ctx context.Context, wg *sync.WaitGroup, perSecond int, ask func(*host)) {
 	wg.Go(func() {
 		for ctx.Err() == nil {
@@ -164,7 +157,7 @@
 	})
 }
 
-// newEnding starts a fleet whose backend servers end if they run the request that ends them.
+// newEnding starts a fleet whose backend servers crash on the request with endingBody.
 func newEnding(t *testing.T, hosts int) (*fleet, *endsSeen) {
 	t.Helper()
 	f := newFleet(t, hosts)
@@ -176,11 +169,11 @@
 	return f, seen
 }
 
-// TestARequestThatEndsBackendServersIsKeptFromThem sends it to all hosts, under new ids, with innocent
-// requests beside it, some of them to the same path.
+// TestARequestThatEndsBackendServersIsKeptFromThem guards against a crashing request that is not quarantined, or whose
+// quarantine affects innocent requests to the same path.
 func TestARequestThatEndsBackendServersIsKeptFromThem(t *testing.T) {
 	tests := map[string]func(*fleet, time.Duration){
-		"it comes everywhere": func(*fleet, time.Duration) {},
+		"it is sent to every host": func(*fleet, time.Duration) {},
 		"daemons restart": func(f *fleet, at time.Duration) {
 			h := f.hosts[int(at/time.Second)%len(f.hosts)]
 			h.end()
@@ -188,13 +181,13 @@
 			h.awaitReady()
 			h.register()
 		},
-		"the store is away for some seconds": func(f *fleet, at time.Duration) {
+		"the store is unavailable for some seconds": func(f *fleet, at time.Duration) {
 			f.store.SetOutage(at < 4*time.Second)
 		},
 	}
 	for _, name := range slices.Sorted(maps.Keys(tests)) {
 		t.Run(name, func(t *testing.T) {
-			t.Parallel() // each waits most of the time
+			t.Parallel() // the subtests mostly wait
 			const hosts, played, judged = 8, 10 * time.Second, 7 * time.Second
 			f, seen := newEnding(t, hosts)
 			began := time.Now()
@@ -224,17 +217,17 @@
 			for _, h := range f.hosts {
 				lines += h.log.count(`"msg":"backend server ended"`)
 			}
-			t.Logf("%d lines on runs that ended with their backend server", lines)
+			t.Logf("%d log lines about runs that ended with a crash of their backend server", lines)
 			seen.check(t)
 			if name != "daemons restart" && seen.served < seen.asked*99/100 {
-				t.Fatalf("%d of %d innocent requests were served once the other was known", seen.served, seen.asked)
+				t.Fatalf("%d of %d innocent requests were served after the quarantine was due", seen.served, seen.asked)
 			}
 		})
 	}
 }
 
-// TestEndsOfBackendServersAloneRefuseNobody ends backend servers every 0.9 s while the same three
-// requests run everywhere, so that some of them run at each end: all are served.
+// TestEndsOfBackendServersAloneRefuseNobody guards against the quarantine of requests that merely run at the time
+// of a crash: backend servers crash every 0.9 s while the same three requests run at all of them.
 func TestEndsOfBackendServersAloneRefuseNobody(t *testing.T) {
 	const hosts, played = 8, 8 * time.Second
 	f, _ := newEnding(t, hosts)
@@ -257,18 +250,18 @@
 	wg.Wait()
 	t.Logf("%d of %d served", served.Load(), asked.Load())
 	if served.Load() < asked.Load()-asked.Load()/200 {
-		t.Fatalf("%d of %d requests were served while backend servers ended by themselves", served.Load(), asked.Load())
+		t.Fatalf("%d of %d requests were served during crashes that they did not cause", served.Load(), asked.Load())
 	}
 }
 
-// TestWhatIsNoEndOfABackendServer breaks the connection of one request each time, at backend servers that go
-// on, and ends backend servers that said before that they leave: nothing is held against the request.
+// TestWhatIsNoEndOfABackendServer guards against counting a broken connection of a running backend server, or the
+// exit of a draining one, as a crash caused by the request.
 func TestWhatIsNoEndOfABackendServer(t *testing.T) {
 	tests := map[string]func(*host) func(http.ResponseWriter, *http.Request){
 		"a broken connection": func(*host) func(http.ResponseWriter, *http.Request) {
 			return func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 		},
-		"the end of one that leaves": func(h *host) func(http.ResponseWriter, *http.Request) {
+		"the exit of a draining one": func(h *host) func(http.ResponseWriter, *http.Request) {
 			return func(http.ResponseWriter, *http.Request) {
 				h.checkIn("draining")
 				h.crash()
@@ -286,27 +279,27 @@
 			for n := range 3 * len(f.hosts) {
 				f.hosts[n%len(f.hosts)].post("/once/guilty", "same")
 			}
-			time.Sleep(200 * time.Millisecond) // what shows a moment later
+			time.Sleep(200 * time.Millisecond) // until a crash would have been recorded
 			for _, h := range f.hosts {
 				if held, err := h.operators(t).ListQuarantine(t.Context()); err != nil || len(held) > 0 || h.log.contains(`"msg":"backend server ended"`) {
-					t.Fatalf("held against requests: %+v, %v", held, err)
+					t.Fatalf("crashes were attributed to requests: %+v, error %v", held, err)
 				}
 			}
 		})
 	}
 }
 
-// TestAQuarantineIsSeenAndLifted quarantines a request, looks at it from another host, has the backend
-// servers mended and lifts it there.
+// TestAQuarantineIsSeenAndLifted guards against quarantines that operators cannot list and lift at a host other than
+// the one that first detected them.
 func TestAQuarantineIsSeenAndLifted(t *testing.T) {
 	f, _ := newEnding(t, 5)
 	first, other := f.hosts[0], f.hosts[1]
-	f.await("it is refused for good", func() bool { // three ends, and the one time that it is tried once more
+	f.await("the request is quarantined and its trial has failed", func() bool { // three crashes and one trial
 		first.post("/twice/ending", endingBody)
 		held := other.quarantined(t)
 		return len(held) == 1 && held[0].Tried.Or("") != ""
 	})
-	f.await("all are back", func() bool {
+	f.await("all backend servers have restarted", func() bool {
 		return !slices.ContainsFunc(f.hosts, func(h *host) bool { return h.away.Load() })
 	})
 	for _, h := range f.hosts {
@@ -314,48 +307,48 @@
 	}
 	held := other.quarantined(t)[0]
 	if held.Standing != "quarantined" || held.Path != "/twice/ending" || held.Method != http.MethodPost || len(held.Ended) != endsAllowed {
-		t.Fatalf("an operator sees %+v", held)
+		t.Fatalf("operator API lists %+v", held)
 	}
 	code, retry := first.refusal("/twice/ending", endingBody)
 	if code != "2025 quarantined" || retry != "" {
-		t.Fatalf("it is answered with %q, Retry-After %q", code, retry)
+		t.Fatalf("got result %q, Retry-After %q; want 2025 without Retry-After", code, retry)
 	}
 	if _, err := other.operators(t).LiftQuarantine(t.Context(), &operatorapi.Lift{Fingerprint: held.Fingerprint}); err != nil {
 		t.Fatal(err)
 	}
-	f.await("it is served at every host", func() bool {
+	f.await("the request is served at every host", func() bool {
 		return !slices.ContainsFunc(f.hosts, func(h *host) bool { return h.post("/twice/ending", endingBody) != http.StatusOK })
 	})
 	if held := other.quarantined(t); len(held) > 0 {
-		t.Fatalf("an operator still sees %+v", held)
+		t.Fatalf("operator API lists lifted quarantines: %+v", held)
 	}
 }
 
-// TestARefusedRequestKeepsNoSlot quarantines a request that must not run twice, for which a slot is kept at another
-// host before it is sent there, and has it refused a few times: no slot is kept for it any longer.
+// TestARefusedRequestKeepsNoSlot guards against slots that stay reserved for a non-idempotent request after its
+// quarantine refuses it.
 func TestARefusedRequestKeepsNoSlot(t *testing.T) {
 	f, _ := newEnding(t, 5)
-	f.await("it is refused for good", func() bool {
+	f.await("the request is quarantined and its trial has failed", func() bool {
 		f.hosts[0].post("/once/ending", endingBody)
 		held := f.hosts[1].quarantined(t)
 		return len(held) == 1 && held[0].Tried.Or("") != ""
 	})
-	f.await("all are back", func() bool {
+	f.await("all backend servers have restarted", func() bool {
 		return !slices.ContainsFunc(f.hosts, func(h *host) bool { return h.away.Load() })
 	})
 	for n := range 4 * len(f.hosts) {
 		if code, _ := f.hosts[n%len(f.hosts)].refusal("/once/ending", endingBody); code != "2025 quarantined" {
-			t.Fatalf("it is answered with %q", code)
+			t.Fatalf("got result %q, want 2025 quarantined", code)
 		}
 	}
 	for _, h := range f.hosts {
 		if running := h.running(t); running != "0" {
-			t.Errorf("%s has %s slots taken", h.name, running)
+			t.Errorf("%s has %s slots in use, want 0", h.name, running)
 		}
 	}
 }
 
-// running returns how many slots the host's backend server has taken, as its sidecar says.
+// running returns how many slots of the host's backend server are in use, as reported by its sidecar.
 func (h *host) running(t *testing.T) string {
 	t.Helper()
 	why, err := h.operators(t).Why(t.Context(), operatorapi.WhyParams{BackendServer: h.name})
@@ -382,7 +375,7 @@
 	return client
 }
 
-// quarantined returns the requests that the host's daemon knows to be quarantined.
+// quarantined returns the requests that the host's daemon lists as quarantined.
 func (h *host) quarantined(t *testing.T) []operatorapi.HeldRequest {
 	t.Helper()
 	held, err := h.operators(t).ListQuarantine(t.Context())
@@ -392,7 +385,7 @@
 	return slices.DeleteFunc(held, func(r operatorapi.HeldRequest) bool { return r.Standing != "quarantined" })
 }
 
-// refusal returns the code and Retry-After that a request is answered with.
+// refusal returns the result code and Retry-After header of the response to a request.
 func (h *host) refusal(path, body string) (code, retryAfter string) {
 	response := h.exchange(path, body)
 	if response == nil {
--- a/test/registered/fleet_test.go
+++ b/test/registered/fleet_test.go
@@ -26,10 +26,10 @@
 )
 
 const (
-	// patience bounds waits that end much sooner when all is well.
+	// patience bounds waits for conditions that a passing test meets much sooner.
 	patience = 20 * time.Second
-	// dataCentres is how many the hosts are spread over. Within one each backend
-	// server gets a part of the requests, by which the tests see whom a host knows.
+	// dataCentres is the number of data centres that the hosts are spread over. Within a single one, every
+	// backend server gets some of the requests, which shows the backend servers that a host knows.
 	dataCentres = 1
 )
 
@@ -49,17 +49,17 @@
  {"name":"twice","host":"a.example","path-prefix":"%s","route-type":"idempotent","timeout-s":2,"target-latency-s":0.8,"priority":2,"service":"lookup","attempts":2}],
 "services":[{"name":"lookup"}],"limits":{"max-body-bytes":100000}}`
 
-// fleet is a few daemons, each with a backend server beside it.
+// fleet is a set of daemons, each with a backend server on the same host.
 type fleet struct {
 	t        testing.TB
 	store    *standin.Standin
 	storeURL string
-	source   string // more settings of the daemons' source
-	net      string // the first three numbers of the hosts' addresses
+	source   string // additional settings under source, in YAML
+	net      string // the first three octets of the hosts' addresses
 	hosts    []*host
 }
 
-// host is a daemon and the backend server beside it.
+// host is a daemon and its backend server.
 type host struct {
 	fleet    *fleet
 	number   int
@@ -69,14 +69,14 @@
 	backend  *httptest.Server
 	name     string // of the backend server's incarnation
 	sequence int64
-	unready  time.Duration // how long its daemon serves on when it is told to stop
+	unready  time.Duration // how long its daemon continues to serve during a planned stop
 	served   atomic.Int64
-	away     atomic.Bool // the backend server has ended and is not back yet
+	away     atomic.Bool // the backend server has crashed and not restarted yet
 	work     atomic.Pointer[func(http.ResponseWriter, *http.Request)]
 	log      syncBuffer
 }
 
-// syncBuffer is a log that several goroutines write.
+// syncBuffer is a log that is safe for concurrent use.
 type syncBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -97,7 +97,8 @@
 	return strings.Count(s.b.String(), text)
 }
 
-// newFleet starts daemons and their backend servers and waits until each serves.
+// newFleet starts daemons and their backend servers and waits until every daemon is ready and sends
+// requests to every backend server.
 func newFleet(t testing.TB, count int) *fleet {
 	t.Helper()
 	f := newStore(t)
@@ -110,12 +111,12 @@
 	}
 	for _, h := range f.hosts {
 		h.awaitReady()
-		f.await("every backend server known to "+h.daemonName(), func() bool { return h.known() == count })
+		f.await("every backend server to be reachable from "+h.daemonName(), func() bool { return h.known() == count })
 	}
 	return f
 }
 
-// stopTogether has the daemons told to stop at the end of the test before any of them is waited for.
+// stopTogether makes the daemons stop concurrently at the end of the test.
 func (f *fleet) stopTogether() {
 	f.t.Cleanup(func() {
 		for _, h := range f.hosts {
@@ -124,7 +125,7 @@
 	})
 }
 
-// newStore returns a fleet without hosts, whose store is there.
+// newStore returns a fleet with a store and without hosts.
 func newStore(t testing.TB) *fleet {
 	t.Helper()
 	f := &fleet{t: t, store: standin.New(), net: fmt.Sprintf("127.%d.%d", 100+rand.N(100), 1+rand.N(250))}
@@ -134,7 +135,7 @@
 	return f
 }
 
-// add adds a host with a backend server of the service, whose daemon is not started yet.
+// add adds a host with a backend server of the service. It does not start the daemon.
 func (f *fleet) add(service string) *host {
 	h := &host{fleet: f, number: len(f.hosts), service: service}
 	h.backend = httptest.NewServer(http.HandlerFunc(h.answer))
@@ -154,7 +155,7 @@
 			for _, h := range f.hosts {
 				f.t.Logf("log of %s:\n%s", h.daemonName(), h.log.b.String())
 			}
-			f.t.Fatalf("waited in vain: %s", what)
+			f.t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
@@ -186,26 +187,26 @@
 	h.fleet.t.Cleanup(h.end)
 }
 
-// end stops the daemon as planned.
+// end stops the daemon gracefully and waits until it has ended.
 func (h *host) end() {
 	h.stop()
 	<-h.ended
 }
 
-// begin starts an incarnation of the backend server.
+// begin starts a new incarnation of the backend server and checks it in.
 func (h *host) begin(incarnation string) {
 	h.name = fmt.Sprintf("i-%s-%d", incarnation, h.number)
 	h.sequence = 0
 	h.checkIn("ready")
 }
 
-// checkIn says what the backend server says of itself, until it is confirmed.
+// checkIn sends a check-in with the state until the daemon confirms it.
 func (h *host) checkIn(state string) {
 	h.fleet.t.Helper()
 	h.tell(http.MethodPut, h.nextCheckIn(state))
 }
 
-// nextCheckIn returns what the backend server says of itself next.
+// nextCheckIn returns the body of the backend server's next check-in.
 func (h *host) nextCheckIn(state string) string {
 	h.sequence++
 	return fmt.Sprintf(`{"service":"%s","address":"%s","capacity":4,"state":"%s","call-seq":%d}`,
@@ -217,8 +218,8 @@
 	h.fleet.await(method+" of "+h.name, func() bool { return h.tellOnce(method, h.name, body) == http.StatusOK })
 }
 
-// tellOnce tells the host's daemon something of the backend server of that name, and returns the status; 0
-// without an answer.
+// tellOnce sends the host's daemon one check-in or deregistration of the backend server of that name and returns
+// the status, 0 without a response.
 func (h *host) tellOnce(method, name, body string) int {
 	r, err := http.NewRequest(method, "http://"+h.ip()+":1004/v1/backend-servers/"+name, strings.NewReader(body))
 	if err != nil {
@@ -237,7 +238,7 @@
 	h.fleet.await(h.daemonName()+" is ready", h.ready)
 }
 
-// ready says whether the daemon says that it is ready.
+// ready reports whether the daemon's readiness check succeeds.
 func (h *host) ready() bool {
 	response, err := http.Get("http://" + h.ip() + ":1005/ready")
 	if err != nil {
@@ -247,7 +248,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// known returns how many backend servers take requests that come in here.
+// known returns how many backend servers receive requests that are sent to this host.
 func (h *host) known() int {
 	before := make([]int64, len(h.fleet.hosts))
 	for i, other := range h.fleet.hosts {
@@ -265,7 +266,7 @@
 	return known
 }
 
-// answer is the backend server's work.
+// answer handles a request as the backend server. It refuses those for another incarnation.
 func (h *host) answer(w http.ResponseWriter, r *http.Request) {
 	if r.Header.Get("Target-Instance") != h.name {
 		w.WriteHeader(http.StatusMisdirectedRequest)
@@ -277,7 +278,7 @@
 		(*work)(w, r)
 		return
 	}
-	time.Sleep(2 * time.Millisecond) // so that neighbours get a part of what comes at once
+	time.Sleep(2 * time.Millisecond) // so that concurrent requests are spread over the other hosts too
 	signed(w, http.StatusOK, "done")
 }
 
@@ -287,15 +288,15 @@
 	_, _ = io.WriteString(w, body)
 }
 
-// does makes the backend server answer otherwise.
+// does replaces the handler of the backend server.
 func (h *host) does(work func(http.ResponseWriter, *http.Request)) { h.work.Store(&work) }
 
 var nextID atomic.Int64
 
-// newID returns an id that no request has had.
+// newID returns a unique request id.
 func newID() string { return fmt.Sprintf("id-%d", nextID.Add(1)) }
 
-// newRequest returns a request of that id to the host's daemon.
+// newRequest returns a request with that id to the host's daemon.
 func (h *host) newRequest(ctx context.Context, method, path, id, body string) *http.Request {
 	r, err := http.NewRequestWithContext(ctx, method, "http://"+net.JoinHostPort(h.ip(), "1001")+path, strings.NewReader(body))
 	if err != nil {
@@ -307,8 +308,8 @@
 	return r
 }
 
-// get sends a request to the host's daemon and returns the status and body; the
-// status is 0 without an answer.
+// get sends a request to the host's daemon and returns the status and body. Without a
+// response, it returns status 0 and the error's text.
 func (h *host) get(path string) (int, string) {
 	r := h.newRequest(context.Background(), http.MethodGet, path, newID(), "")
 	r.Header.Set("Caller-Service", "forged")
--- a/test/registered/registered_test.go
+++ b/test/registered/registered_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// TestRequestsCarryWhatTheySay looks at a request as the backend server gets it.
+// TestRequestsCarryWhatTheySay guards against wrong or internal headers on requests that reach a backend server.
 func TestRequestsCarryWhatTheySay(t *testing.T) {
 	f := newFleet(t, 2)
 	var wrong atomic.Pointer[string]
@@ -34,36 +34,36 @@
 	for _, h := range f.hosts {
 		for range 10 {
 			if status, body := h.get("/once/x"); status != http.StatusCreated || body != "made" {
-				t.Fatalf("%d %q", status, body)
+				t.Fatalf("got status %d, body %q; want 201", status, body)
 			}
 		}
 	}
 	if text := wrong.Load(); text != nil {
-		t.Fatalf("a backend server got %s", *text)
+		t.Fatalf("backend server received %s", *text)
 	}
 	if status, _ := f.hosts[0].get("/other/x"); status != http.StatusNotFound {
-		t.Fatalf("a path without a route got %d", status)
+		t.Fatalf("path without a route: got status %d, want 404", status)
 	}
 }
 
-// TestAnOutageOfTheStoreStopsNothing changes backend servers while the store is
-// away, and the desired state once it is back.
+// TestAnOutageOfTheStoreStopsNothing guards against daemons that miss new backend servers during an outage of the
+// store, or changes of the desired state after it.
 func TestAnOutageOfTheStoreStopsNothing(t *testing.T) {
 	f := newFleet(t, 4)
 	f.store.SetOutage(true)
 	f.hosts[0].begin("second")
-	f.await("a new lifetime known to others", func() bool { return f.hosts[1].known() == 4 && f.hosts[3].known() == 4 })
+	f.await("other hosts to reach the new incarnation", func() bool { return f.hosts[1].known() == 4 && f.hosts[3].known() == 4 })
 	f.store.ExpireLeases()
 	f.store.CompactHistory()
 	f.desire(2, "/changed/")
 	f.store.SetOutage(false)
 	for _, h := range f.hosts {
-		f.await("the change in force at "+h.daemonName(), func() bool {
+		f.await("the changed routes to be in force at "+h.daemonName(), func() bool {
 			status, _ := h.get("/changed/x")
 			return status == http.StatusOK
 		})
 	}
-	f.await("the hosts' records back in the store", func() bool {
+	f.await("the hosts to write their records again", func() bool {
 		for _, h := range f.hosts {
 			if _, ok := f.store.Value("tidelift/hosts/" + h.daemonName()); !ok {
 				return false
@@ -73,8 +73,8 @@
 	})
 }
 
-// TestADaemonWithoutTheStoreIsFoundByTheOthers starts one anew while the store is
-// away: it knows nobody and has no desired state.
+// TestADaemonWithoutTheStoreIsFoundByTheOthers guards against a daemon that stays isolated after a restart during an
+// outage of the store, when it has neither the hosts nor the desired state.
 func TestADaemonWithoutTheStoreIsFoundByTheOthers(t *testing.T) {
 	f := newFleet(t, 3)
 	f.store.SetOutage(true)
@@ -83,18 +83,17 @@
 	restarted.start()
 	restarted.checkIn("ready")
 	restarted.awaitReady()
-	f.await("it reaches all", func() bool { return restarted.known() == 3 })
-	f.await("all reach it", func() bool { return f.hosts[0].known() == 3 })
+	f.await("the restarted daemon to reach every backend server", func() bool { return restarted.known() == 3 })
+	f.await("another daemon to reach every backend server", func() bool { return f.hosts[0].known() == 3 })
 }
 
-// TestLeavingBinds tells that a backend server leaves, in both ways, and starts its
-// daemon anew: nothing reaches it from the confirmation on, whatever late check-in
-// comes.
+// TestLeavingBinds guards against requests to a backend server after its draining or deregistration is confirmed,
+// in spite of late check-ins and a restart of its daemon.
 func TestLeavingBinds(t *testing.T) {
 	f := newFleet(t, 3)
 	leave := map[string]func(*host){
-		"first says so": func(h *host) { h.checkIn("draining") },
-		"only ends":     func(h *host) { h.tell(http.MethodDelete, "") },
+		"drains first": func(h *host) { h.checkIn("draining") },
+		"deregisters":  func(h *host) { h.tell(http.MethodDelete, "") },
 	}
 	number := 0
 	for name, how := range leave {
@@ -105,7 +104,7 @@
 			served := h.served.Load()
 			for range 30 {
 				if status, _ := f.hosts[2].get("/once/x"); status != http.StatusOK {
-					t.Fatalf("a request got %d", status)
+					t.Fatalf("got status %d, want 200", status)
 				}
 				h.get("/twice/x")
 			}
@@ -113,51 +112,50 @@
 			h.end()
 			h.start()
 			h.awaitReady()
-			f.await("it hears that the backend server left", func() bool { return h.log.contains(`"why":"left in an earlier life"`) })
+			f.await("the restarted daemon to learn that the backend server has left", func() bool { return h.log.contains(`"why":"left in an earlier life"`) })
 			h.checkIn("ready")
 			for range 30 {
 				h.get("/twice/x")
 			}
 			if got := h.served.Load(); got != served {
-				t.Fatalf("%d requests reached a backend server that left", got-served)
+				t.Fatalf("%d requests reached a backend server that has left", got-served)
 			}
 		})
 	}
 }
 
-// TestAnswers gives one backend server answers that are not to be passed on as
-// they are: idempotent requests are answered by the other, one that must not run
-// twice fails clearly or is tried elsewhere if it has not run.
+// TestAnswers guards against invalid responses that reach callers unchanged, idempotent requests that are not retried
+// after one, and non-idempotent requests that are retried although they may have run.
 func TestAnswers(t *testing.T) {
 	f := newFleet(t, 2)
 	bad, good := f.hosts[0], f.hosts[1]
 	for range 400 {
-		good.get("/once/x") // each earns a part of a retry
+		good.get("/once/x") // each adds to the retry budget
 	}
 	var name atomic.Pointer[string]
 	good.does(func(w http.ResponseWriter, _ *http.Request) { signed(w, http.StatusOK, "good") })
 	tests := []struct {
 		name   string
 		answer func(http.ResponseWriter)
-		once   int // the status of one that must not run twice and got this answer
+		once   int // the status of a non-idempotent request that met this response
 	}{
 		{"no digest", func(w http.ResponseWriter) { _, _ = w.Write([]byte("bad")) }, http.StatusBadGateway},
-		{"a coding that nobody asked for", func(w http.ResponseWriter) {
+		{"a coding that was not requested", func(w http.ResponseWriter) {
 			w.Header().Set("Content-Encoding", "gzip")
 			signed(w, http.StatusOK, "bad")
 		}, http.StatusBadGateway},
-		{"a refusal that promises nothing", func(w http.ResponseWriter) { w.WriteHeader(http.StatusServiceUnavailable) }, http.StatusBadGateway},
-		{"a refusal that promises", func(w http.ResponseWriter) {
+		{"a refusal without Not-Executed", func(w http.ResponseWriter) { w.WriteHeader(http.StatusServiceUnavailable) }, http.StatusBadGateway},
+		{"a refusal with Not-Executed", func(w http.ResponseWriter) {
 			w.Header().Set("Not-Executed", "1")
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}, http.StatusOK},
-		{"another lifetime at the address", func(w http.ResponseWriter) { w.WriteHeader(http.StatusMisdirectedRequest) }, http.StatusOK},
+		{"another incarnation at the address", func(w http.ResponseWriter) { w.WriteHeader(http.StatusMisdirectedRequest) }, http.StatusOK},
 		{"an answer to another request", func(w http.ResponseWriter) {
 			w.Header().Set("Request-Id", "other")
 			signed(w, http.StatusOK, "bad")
-		}, http.StatusGatewayTimeout}, // its own may still come, so it is waited for
+		}, http.StatusGatewayTimeout}, // the right response may still follow, so the daemon waits for it
 		{"a failure of its own", func(w http.ResponseWriter) { signed(w, http.StatusInternalServerError, "bad") }, http.StatusInternalServerError},
-		{"an answer that breaks off", func(w http.ResponseWriter) {
+		{"a truncated response", func(w http.ResponseWriter) {
 			w.Header().Set("Content-Length", "99")
 			signed(w, http.StatusOK, "bad")
 			panic(http.ErrAbortHandler)
@@ -174,21 +172,21 @@
 			for end := time.Now().Add(patience); ; {
 				status, body := good.get("/twice/x")
 				if status != http.StatusOK || body != "good" {
-					t.Fatalf("a repeatable request got %d %q", status, body)
+					t.Fatalf("idempotent request: got status %d, body %q; want 200", status, body)
 				}
 				once, body := good.get("/once/x")
 				if once != http.StatusOK && (once != test.once || strings.Contains(body, "bad") && once < http.StatusInternalServerError) {
-					t.Fatalf("one that must not run twice got %d %q, want %d", once, body, test.once)
+					t.Fatalf("non-idempotent request: got status %d, body %q; want 200 or %d", once, body, test.once)
 				}
 				if len(met) > 0 || time.Now().After(end) {
 					break
 				}
 			}
 			if len(met) == 0 {
-				t.Fatal("no request met the answer")
+				t.Fatal("no request reached the backend server with the invalid response")
 			}
 			bad.does(func(w http.ResponseWriter, _ *http.Request) { signed(w, http.StatusOK, "good") })
-			f.await("it is trusted again", func() bool {
+			f.await("the backend server to receive requests again", func() bool {
 				before := bad.served.Load()
 				for range 4 {
 					good.get("/once/x")
@@ -199,8 +197,7 @@
 	}
 }
 
-// TestHostsOutOfReachAreNotWaitedFor takes a host away without a word: requests go
-// elsewhere, each in good time.
+// TestHostsOutOfReachAreNotWaitedFor guards against requests that fail or wait because a host has become unreachable.
 func TestHostsOutOfReachAreNotWaitedFor(t *testing.T) {
 	f := newFleet(t, 3)
 	f.hosts[2].end()
@@ -208,19 +205,19 @@
 	for range 60 {
 		began := time.Now()
 		if status, body := f.hosts[0].get("/once/x"); status != http.StatusOK {
-			t.Fatalf("got %d %q", status, body)
+			t.Fatalf("got status %d, body %q; want 200", status, body)
 		}
 		if time.Since(began) > 300*time.Millisecond {
 			slow++
 		}
 	}
 	if slow > 3 {
-		t.Fatalf("%d of 60 requests waited for a host that is away", slow)
+		t.Fatalf("%d of 60 requests were delayed by an unreachable host", slow)
 	}
 }
 
-// TestASlowOneIsAskedLast makes one backend server a hundred times slower than the
-// others: soon few requests meet it.
+// TestASlowOneIsAskedLast guards against a backend server that is a hundred times slower than the others and keeps
+// its share of the requests.
 func TestASlowOneIsAskedLast(t *testing.T) {
 	f := newFleet(t, 3)
 	slow := f.hosts[0]
@@ -228,10 +225,10 @@
 		time.Sleep(300 * time.Millisecond)
 		signed(w, http.StatusOK, "slow")
 	})
-	// A suspected backend server is probed by one request at a time, however many there are: callers
-	// beside each other make the share of those requests independent of how long the others take.
+	// A suspected backend server is probed by one request at a time, whatever the load. Concurrent
+	// callers make the share of probes independent of the latency of the others.
 	const callers, each = 6, 10
-	f.await("it is suspected and few meet it", func() bool {
+	f.await("the slow backend server to be suspected and receive few requests", func() bool {
 		before := slow.served.Load()
 		var all sync.WaitGroup
 		for range callers {
@@ -248,8 +245,8 @@
 	})
 }
 
-// TestADaemonThatIsBackKnowsWhoServes starts a daemon again, with nothing left of what
-// it knew: the first requests are served by the backend servers of other hosts.
+// TestADaemonThatIsBackKnowsWhoServes guards against a restarted daemon that reports ready before it can send requests
+// to the backend servers of other hosts.
 func TestADaemonThatIsBackKnowsWhoServes(t *testing.T) {
 	f := newFleet(t, 3)
 	for range 3 {
@@ -258,14 +255,14 @@
 		f.hosts[0].awaitReady()
 		for range 5 {
 			if status, body := f.hosts[0].get("/once/x"); status != http.StatusOK {
-				t.Fatalf("got %d %q", status, body)
+				t.Fatalf("got status %d, body %q; want 200", status, body)
 			}
 		}
 	}
 }
 
-// TestAStoppingDaemonServesUntilCallersAreSentElsewhere stops a daemon while callers,
-// each on a connection of its own, come until they see that it is not ready.
+// TestAStoppingDaemonServesUntilCallersAreSentElsewhere guards against a stopping daemon that refuses new connections
+// before its callers have had time to notice that it is not ready.
 func TestAStoppingDaemonServesUntilCallersAreSentElsewhere(t *testing.T) {
 	f := newFleet(t, 2)
 	stopped := f.hosts[0]
@@ -275,17 +272,17 @@
 	stopped.awaitReady()
 	stopped.begin("second")
 	go stopped.end()
-	f.await("it says that it is not ready", func() bool { return !stopped.ready() })
+	f.await("the stopping daemon to report that it is not ready", func() bool { return !stopped.ready() })
 	for end := time.Now().Add(stopped.unready / 2); time.Now().Before(end); {
 		http.DefaultClient.CloseIdleConnections()
 		if status, body := stopped.get("/once/x"); status != http.StatusOK {
-			t.Fatalf("got %d %q", status, body)
+			t.Fatalf("got status %d, body %q; want 200", status, body)
 		}
 	}
 }
 
-// TestConnectionsWithoutARequestDoNotHoldAStop opens connections as callers and other
-// daemons do in advance, sends nothing on them, and stops the daemon.
+// TestConnectionsWithoutARequestDoNotHoldAStop guards against a stop that waits for connections that callers and other
+// daemons have opened in advance and not used.
 func TestConnectionsWithoutARequestDoNotHoldAStop(t *testing.T) {
 	f := newFleet(t, 2)
 	stopped := f.hosts[0]
@@ -296,15 +293,15 @@
 		}
 		defer func() { _ = c.Close() }()
 	}
-	stopped.get("/once/x") // the connections were accepted before it
+	stopped.get("/once/x") // its response implies that the idle connections have been accepted
 	stopped.end()
 	if stopped.log.contains(`"msg":"stop cut requests"`) || !stopped.log.contains(`"msg":"daemon stopped"`) {
-		t.Fatalf("the stop ran into its limit:\n%s", stopped.log.b.String())
+		t.Fatalf("the stop timed out:\n%s", stopped.log.b.String())
 	}
 }
 
-// TestWhatOthersWriteNamesNobody sends check-ins that no backend server sent: of a state or service that
-// is not known, under the name of one that serves or for its address. They change nothing.
+// TestWhatOthersWriteNamesNobody guards against forged check-ins, with an unknown state or service, that affect a
+// backend server of the same name or address.
 func TestWhatOthersWriteNamesNobody(t *testing.T) {
 	f := newFleet(t, 2)
 	h := f.hosts[1]
@@ -316,13 +313,13 @@
 	}
 	for name, body := range foreign {
 		if status := h.tellOnce(http.MethodPut, name, body); status != http.StatusBadRequest {
-			t.Errorf("%s got %d", body, status)
+			t.Errorf("check-in %s: got status %d, want 400", body, status)
 		}
 	}
 	if status := h.tellOnce(http.MethodPut, h.name, fmt.Sprintf(`{"service":"elsewhere","address":"%s","capacity":4,"state":"ready","call-seq":99}`, address)); status != http.StatusBadRequest {
-		t.Errorf("a backend server that serves is said to be of another service: %d", status)
+		t.Errorf("check-in of a running backend server with another service: got status %d, want 400", status)
 	}
 	if known := f.hosts[0].known(); known != 2 {
-		t.Fatalf("%d backend servers serve", known)
+		t.Fatalf("%d backend servers receive requests, want 2", known)
 	}
 }
--- a/test/registered/repeats_test.go
+++ b/test/registered/repeats_test.go
@@ -16,18 +16,16 @@
 	"github.com/tideliftd/tidelift/platform"
 )
 
-// On a day with two services that broke most connections, users counted more retries at the smaller
-// one than its limit allows. Each daemon had kept to its part; the rest were calls by runs of the
-// larger service that were retries themselves: 54 to 71 of some 200 in ten seconds, with a line
-// for each sending. Backend servers that came and went added parts of their own.
+// The tests of this file guard against retries of a whole fleet that exceed a service's limit although each daemon
+// keeps to its share: subrequests of retried runs count as retries, and restarts must not add budget.
 
 const (
 	repeatsShare  = 0.2
 	repeatsSlack  = 10.0
 	repeatsWindow = 2 * time.Second
-	// callsPart is the share of the runs of search that call names.
+	// callsPart is the share of the runs of search that send a subrequest to names.
 	callsPart = 0.9
-	// brokenPart is the share of the requests whose connection a backend server breaks.
+	// brokenPart is the share of requests whose connection the backend server breaks.
 	brokenPart = 0.5
 )
 
@@ -37,13 +35,13 @@
  {"name":"names","host":"a.example","path-prefix":"/names/","route-type":"idempotent","timeout-s":2,"target-latency-s":0.8,"priority":0,"service":"names","attempts":2}],
 "services":[{"name":"search"},{"name":"names"}],"limits":{"max-body-bytes":100000}}`
 
-// repeatsSeen counts requests and arrivals as users do.
+// repeatsSeen records requests and their arrivals at backend servers.
 type repeatsSeen struct {
 	mu       sync.Mutex
-	requests map[string][]time.Time // by service, but for calls of retried runs
-	retries  map[string][]time.Time // arrivals beyond the first, and all of calls of retried runs
-	arrivals map[string]int         // by request
-	ofRetry  map[string]bool        // requests that a retried run called
+	requests map[string][]time.Time // by service, without subrequests of retried runs
+	retries  map[string][]time.Time // by service: arrivals beyond the first, and every arrival of a retried run's subrequest
+	arrivals map[string]int         // by request id
+	ofRetry  map[string]bool        // ids of subrequests of retried runs
 }
 
 func newRepeatsSeen() *repeatsSeen {
@@ -53,7 +51,7 @@
 	}
 }
 
-// sent takes a request to the service, or a call of a run.
+// sent records a request or subrequest to the service.
 func (s *repeatsSeen) sent(service, id string, ofRetry bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -64,7 +62,7 @@
 	s.requests[service] = append(s.requests[service], time.Now())
 }
 
-// arrived takes an arrival and says whether its run is a retry.
+// arrived records an arrival and reports whether its run is a retry.
 func (s *repeatsSeen) arrived(service, id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -76,7 +74,7 @@
 	return repeat
 }
 
-// check fails the test if a window of the service has more retries than its limit allows.
+// check fails the test if the service has more retries in any window than its limit allows.
 func (s *repeatsSeen) check(t *testing.T, service string) {
 	t.Helper()
 	s.mu.Lock()
@@ -87,16 +85,16 @@
 		most = max(most, retries)
 		requests := max(inWindow(s.requests[service], at), inWindow(s.requests[service], at.Add(-repeatsWindow/2)), inWindow(s.requests[service], at.Add(-repeatsWindow)))
 		if allowed := repeatsShare*float64(requests) + repeatsSlack; float64(retries) > allowed {
-			t.Fatalf("%s: %d repeats in %v, for %d requests; allowed are %.0f", service, retries, repeatsWindow, requests, allowed)
+			t.Fatalf("%s: %d retries in %v for %d requests, want at most %.0f", service, retries, repeatsWindow, requests, allowed)
 		}
 	}
 	if most == 0 {
-		t.Fatalf("%s: no repeats, so that nothing is shown", service)
+		t.Fatalf("%s: no retries were sent, so the limit was not exercised", service)
 	}
-	t.Logf("%s: at most %d repeats in %v", service, most, repeatsWindow)
+	t.Logf("%s: at most %d retries in %v", service, most, repeatsWindow)
 }
 
-// inWindow counts the times in the window that begins then.
+// inWindow counts the times in the window that starts at begin.
 func inWindow(times []time.Time, begin time.Time) int {
 	n := 0
 	for _, at := range times {
@@ -107,7 +105,7 @@
 	return n
 }
 
-// newTwoServices starts a fleet of two services, in which search calls names.
+// newTwoServices starts a fleet of two services. Runs of search send subrequests to names.
 func newTwoServices(t *testing.T, searching, naming int, seen *repeatsSeen) *fleet {
 	t.Helper()
 	f := newStore(t)
@@ -138,8 +136,8 @@
 	return f
 }
 
-// breaking is the work of a backend server that breaks connections, half of them before it calls
-// anything, if the request comes from the test.
+// breaking returns the handler of a backend server that breaks the connections of some of the test's requests,
+// half of them before it sends a subrequest.
 func (h *host) breaking(seen *repeatsSeen) func(http.ResponseWriter, *http.Request) {
 	return func(w http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get("Request-Id")
@@ -164,7 +162,7 @@
 	}
 }
 
-// ask sends a request of that id to the host's daemon and says whether the answer is a good one.
+// ask sends a request with that id to the host's daemon and reports whether it succeeds.
 func (h *host) ask(ctx context.Context, path, id string) bool {
 	response, err := http.DefaultClient.Do(h.newRequest(ctx, http.MethodGet, path, id, ""))
 	if err != nil {
@@ -174,7 +172,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// callers ask for so many requests a second of each path, from all hosts, until ctx ends.
+// callers sends each service perSecond requests a second, from random hosts, until ctx ends.
 func (f *fleet) callers(ctx context.Context, seen *repeatsSeen, perSecond map[string]int) *sync.WaitGroup {
 	var wg sync.WaitGroup
 	for service, rate := range perSecond {
@@ -191,13 +189,12 @@
 	return &wg
 }
 
-// TestRepeatsOfAFleetStayWithinTheLimit breaks connections of two services, of which one calls the
-// other, and counts retries as users do; then backend servers start again all the time too, under
-// new names, and daemons with them.
+// TestRepeatsOfAFleetStayWithinTheLimit guards against retries beyond the limit in a fleet that breaks connections,
+// with subrequests of retried runs and with frequent restarts of backend servers and daemons.
 func TestRepeatsOfAFleetStayWithinTheLimit(t *testing.T) {
 	tests := map[string]func(*host){
-		"calls of repeated runs": func(*host) {},
-		"backend servers that start again": func(h *host) {
+		"subrequests of retried runs": func(*host) {},
+		"backend servers that restart": func(h *host) {
 			h.begin(fmt.Sprintf("again%d", nextID.Add(1)))
 		},
 		"daemons that restart": func(h *host) {
@@ -226,8 +223,8 @@
 	}
 }
 
-// TestARepeatIsBorrowed lets requests earn retries at one host, and a request fail at another where
-// none has begun: it is sent again.
+// TestARepeatIsBorrowed guards against a failed request that is not retried because its host has no budget, although
+// another host has a surplus.
 func TestARepeatIsBorrowed(t *testing.T) {
 	f := newStore(t)
 	f.source = fmt.Sprintf(", retry-share: %g, retry-slack: 0.01, retry-window: 10s", repeatsShare)
@@ -252,7 +249,7 @@
 		lender.get("/names/x")
 		return lender.served.Load() > 0 && borrower.served.Load() > 0 && f.hosts[2].served.Load() > 0
 	})
-	f.await("the borrower knows them", func() bool { // by a request or two, which earn less than a retry
+	f.await("the borrower to reach the others", func() bool { // the few requests add less than one retry to its budget
 		time.Sleep(500 * time.Millisecond)
 		before := lender.served.Load() + f.hosts[2].served.Load()
 		borrower.get("/names/x")
@@ -262,9 +259,9 @@
 		lender.get("/names/x")
 	}
 	if !borrower.ask(context.Background(), "/names/x", "breaks") {
-		t.Fatalf("a request failed though another host has repeats to spare; log of its daemon:\n%s", borrower.log.b.String())
+		t.Fatalf("request failed although another host has surplus retries; log of its daemon:\n%s", borrower.log.b.String())
 	}
 	if broken.Load() != 2 {
-		t.Fatalf("%d arrivals, want the broken one and a repeat", broken.Load())
+		t.Fatalf("got %d arrivals, want the broken one and a retry", broken.Load())
 	}
 }
--- a/test/registered/shared_test.go
+++ b/test/registered/shared_test.go
@@ -9,9 +9,8 @@
 	"time"
 )
 
-// TestFailuresThatManyShareSuspectFew guards against a service that is held at probes as a whole: a service that
-// it calls fails, and no daemon sends any one of the many backend servers enough requests to see that all fail
-// alike.
+// TestFailuresThatManyShareSuspectFew guards against the suspicion of most backend servers of a service when a
+// dependency fails and no daemon alone sends enough requests to see that all of them fail alike.
 func TestFailuresThatManyShareSuspectFew(t *testing.T) {
 	const (
 		hosts     = 16
@@ -42,11 +41,11 @@
 	callers.Wait()
 	t.Logf("%d of %d backend servers are suspected", suspected, hosts)
 	if suspected > hosts/4 {
-		t.Errorf("%d of %d backend servers that fail alike are suspected", suspected, hosts)
+		t.Errorf("%d of %d backend servers are suspected because of a shared failure, want at most a quarter", suspected, hosts)
 	}
 }
 
-// failsAtRandom returns work of which that share fails.
+// failsAtRandom returns a handler that fails the given share of requests.
 func failsAtRandom(share float64) func(http.ResponseWriter, *http.Request) {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		time.Sleep(10 * time.Millisecond)
@@ -58,7 +57,7 @@
 	}
 }
 
-// suspected returns how many backend servers are suspected.
+// suspected returns how many backend servers are currently suspected, by the daemons' logs.
 func (f *fleet) suspected() int {
 	count := 0
 	for _, h := range f.hosts {
