--- a/test/soak/caller_test.go
+++ b/test/soak/caller_test.go
@@ -17,22 +17,22 @@
 	"github.com/tideliftd/tidelift/test/backendserver"
 )
 
-// caller sends one request after another, on a connection that it keeps until it is asked to close it or on one for
-// each, and rests in between. It is no http.Client, since that sends some requests again by itself and drops what
-// comes before its request.
+// caller sends one request after another, either on a connection that it keeps until the server closes it or on a new
+// one for each request, with random pauses between. It does not use http.Client, which retries some requests
+// automatically and discards data that arrives before its request.
 type caller struct {
-	address  string // of a daemon's callers
+	address  string // of a daemon, for callers
 	path     string
 	prefix   string // starts each key
 	random   *rand.Rand
 	restMost time.Duration
-	alone    bool // it opens a connection for each request
+	alone    bool // opens a connection for each request
 
 	conn   net.Conn
 	reader *bufio.Reader
 }
 
-// run sends requests until ctx ends and returns what became of each.
+// run sends requests until ctx ends and returns their outcomes.
 func (c *caller) run(ctx context.Context) []sample {
 	defer c.close()
 	var samples []sample
@@ -59,7 +59,7 @@
 	}
 }
 
-// send sends one request, on a new connection if there is none.
+// send sends one request, on a new connection if none is open.
 func (c *caller) send(key, method string) sample {
 	one := sample{key: key, method: method}
 	if c.conn == nil {
@@ -83,8 +83,8 @@
 	return one
 }
 
-// exchange writes a request and reads what comes back. What was written to a connection that the other side has
-// closed may still be answered: the answer came before.
+// exchange writes a request and reads the response. It also reads after a failed write, since the response may
+// have arrived before the server closed the connection.
 func (c *caller) exchange(key, method string) (*http.Response, string, error) {
 	body := ""
 	if method == http.MethodPost {
--- a/test/soak/evidence_test.go
+++ b/test/soak/evidence_test.go
@@ -10,8 +10,7 @@
 	"github.com/tideliftd/tidelift/test/harness"
 )
 
-// runsOf adds up how often the backend servers ran each key, with the ledgers of those that
-// were killed meanwhile.
+// runsOf returns how often each key was run, by the ledgers of all backend servers and of the killed ones.
 func runsOf(t *testing.T, f *harness.Fleet, lost []backendserver.Ledger) map[string]int {
 	t.Helper()
 	ledgers := slices.Clone(lost)
@@ -31,9 +30,8 @@
 	return runs
 }
 
-// checkAnswers compares what callers were told with what was run: an answer is the request's
-// own and whole, what is called not run was not run, and a request that is not idempotent
-// runs once at most.
+// checkAnswers compares the callers' responses with the runs: a response belongs to its request and is complete, a
+// request reported as not run was not run, and a non-idempotent request runs at most once.
 func checkAnswers(t *testing.T, samples []sample, runs map[string]int) {
 	t.Helper()
 	counts := make(map[outcome]int)
@@ -44,9 +42,9 @@
 		case s.outcome == outcomeMismatch || s.outcome == outcomeTruncated:
 			t.Errorf("%s: %s", s.key, s.outcome)
 		case s.outcome == outcomeNotRun && n > 0:
-			t.Errorf("%s was called not run and ran %d times", s.key, n)
+			t.Errorf("%s was reported as not run but ran %d times", s.key, n)
 		case s.outcome == outcomeOK && n == 0:
-			t.Errorf("%s was answered and never ran", s.key)
+			t.Errorf("%s succeeded but never ran", s.key)
 		case s.method != idempotent && n > 1:
 			t.Errorf("%s ran %d times", s.key, n)
 		}
@@ -58,8 +56,8 @@
 	}
 }
 
-// checkFloor fails if fewer backend servers of the service than its floor were in service,
-// over the whole fleet, at any moment; it returns how often one was ejected.
+// checkFloor fails the test if, at any moment, the whole fleet had fewer backend servers of the service in service
+// than its floor. It returns the number of ejections.
 func checkFloor(t *testing.T, f *harness.Fleet, s harness.Service) int {
 	t.Helper()
 	events, err := f.Events()
@@ -74,18 +72,18 @@
 	return ejections
 }
 
-// leastServing returns the fewest backend servers of a service that were not ejected at any
-// moment, from the sidecars' own logs, and how many ejections there were.
+// leastServing returns the smallest number of backend servers of a service that were not ejected at the same time,
+// and the number of ejections, by the sidecars' logs.
 func leastServing(events []harness.Logged, s harness.Service) (least, ejections int) {
 	slices.SortStableFunc(events, func(a, b harness.Logged) int { return a.Time.Compare(b.Time) })
-	ejected := make(map[string]string) // by backend server: the daemon
+	ejected := make(map[string]string) // daemon by backend server
 	least = s.Servers
 	for _, e := range events {
 		if e.Event == event.DaemonStarted.Number {
 			maps.DeleteFunc(ejected, func(_, daemon string) bool { return daemon == e.Daemon })
 		}
 		if e.Observer != "" || e.Service != s.Name {
-			continue // an ingress avoids, which ejects nobody
+			continue // an ingress only avoids a backend server, which is no ejection
 		}
 		switch e.Event {
 		case event.ServerEjected.Number:
--- a/test/soak/injector_test.go
+++ b/test/soak/injector_test.go
@@ -14,36 +14,34 @@
 )
 
 const (
-	// freezeFor is longer than the services' deadline of a second and than a reservation
-	// lives.
+	// freezeFor is longer than the services' deadline of 1 s and the lifetime of a reservation.
 	freezeFor = 1500 * time.Millisecond
-	// delayMillis is longer than the deadline, so that a delayed answer comes too late.
+	// delayMillis is longer than the deadline, so that a delayed response exceeds it.
 	delayMillis = 1200
-	// answerBytes lets some dozens of answers through before the connection closes.
+	// answerBytes is enough for a few dozen responses before the connection is closed.
 	answerBytes = 5000
 )
 
-// injector injects one kind of fault after another, with several workers several at
-// once. Each worker keeps to targets of its own.
+// injector injects faults with several concurrent workers. Each worker has its own targets.
 type injector struct {
 	fleet   *harness.Fleet
 	workers int
 	ended   sync.WaitGroup
 
 	mu     sync.Mutex
-	counts map[string]int         // of faults, by kind
-	failed []error                // faults that could not be injected
-	lost   []backendserver.Ledger // of backend servers that were killed
+	counts map[string]int         // injected faults by kind
+	failed []error                // errors of faults that could not be injected
+	lost   []backendserver.Ledger // ledgers of killed backend servers
 }
 
-// worker is one of those that inject faults.
+// worker injects one fault after another.
 type worker struct {
 	*injector
 	number int
 	random *rand.Rand
 }
 
-// startInjector injects faults from two seconds on until ctx ends.
+// startInjector starts the workers, which inject faults after a delay of 2 s until ctx ends.
 func startInjector(ctx context.Context, f *harness.Fleet, seed uint64, workers int) *injector {
 	h := &injector{fleet: f, workers: workers, counts: make(map[string]int)}
 	for number := range workers {
@@ -78,7 +76,7 @@
 	}
 }
 
-// record counts a fault, or keeps why it could not be injected.
+// record counts a fault, or keeps the error if it could not be injected.
 func (w worker) record(kind string, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -89,7 +87,7 @@
 	w.counts[kind]++
 }
 
-// own returns a place below count that only this worker uses.
+// own returns a random index below count that only this worker uses.
 func (w worker) own(count int) int {
 	return w.number + w.workers*w.random.IntN((count-w.number+w.workers-1)/w.workers)
 }
@@ -125,8 +123,8 @@
 	return d.Restart(ctx)
 }
 
-// killBackend reads the ledger of a backend server that stands still, so that
-// nothing is run between the reading and the kill.
+// killBackend kills and restarts a backend server. It closes the backend server's link before it reads the
+// ledger, so that nothing is run between the reading and the kill.
 func (w worker) killBackend() error {
 	b := w.backend()
 	w.fleet.Faults.Close(harness.BackendLink(b.Name))
@@ -159,8 +157,8 @@
 	return w.onLink(func(link string) error { return w.fleet.Faults.Delay(link, harness.Answers, delayMillis) }, 1500*time.Millisecond)
 }
 
-// onLink injects faults to a backend server's link, or to that between two data
-// centres, for a while.
+// onLink injects a fault into the link of a backend server, or into one between two data centres, and
+// removes it after length.
 func (w worker) onLink(do func(link string) error, length time.Duration) error {
 	link := harness.BackendLink(w.backend().Name)
 	if w.random.IntN(2) == 0 {
--- a/test/soak/load_test.go
+++ b/test/soak/load_test.go
@@ -17,23 +17,23 @@
 	"github.com/tideliftd/tidelift/test/backendserver"
 )
 
-// answerLimit bounds the wait for an answer. It is far above every deadline here, so that
-// only an answer that is never sent meets it.
+// answerLimit bounds the wait for a response. It is far above every deadline here, so that only a response
+// that is never sent exceeds it.
 const answerLimit = 40 * time.Second
 
-// outcome is what a caller was told.
+// outcome classifies the response to a request.
 type outcome string
 
 // The outcomes.
 const (
 	outcomeOK            outcome = "ok"
-	outcomeFailed        outcome = "failed"        // the backend server's own failure, passed on
-	outcomeNotRun        outcome = "not run"       // refused, with the promise that it was not run
-	outcomeIndeterminate outcome = "indeterminate" // may have run
-	outcomeBroken        outcome = "broken"        // the connection broke, so the caller knows the answer is not whole
-	outcomeMismatch      outcome = "mismatch"      // another request's answer
-	outcomeTruncated     outcome = "truncated"     // a cut answer that looks whole
-	outcomeRefused       outcome = "no connection" // no connection could be made
+	outcomeFailed        outcome = "failed"        // an error response of the backend server itself
+	outcomeNotRun        outcome = "not run"       // refused, and reported as not run
+	outcomeIndeterminate outcome = "indeterminate" // failed, and may have run
+	outcomeBroken        outcome = "broken"        // the connection broke before the response was complete
+	outcomeMismatch      outcome = "mismatch"      // the response to another request
+	outcomeTruncated     outcome = "truncated"     // an incomplete response that ended without an error
+	outcomeRefused       outcome = "no connection" // no connection could be established
 )
 
 // sample is one request and its outcome.
@@ -41,18 +41,18 @@
 	key     string
 	method  string
 	outcome outcome
-	err     string // how the connection broke, or the result code of a failure
+	err     string // connection error, or the result code of a failure
 }
 
-// stream sends requests whose arrivals do not wait for answers.
+// stream sends requests at a fixed interval, without waiting for earlier responses.
 type stream struct {
 	// urls are used in turn.
 	urls []string
 	// interval is the time between arrivals.
 	interval time.Duration
 	method   string
-	// workMillis is how long the backend server takes, in the middle; spread is how far
-	// single requests are from that, as the standard deviation of the logarithm.
+	// workMillis is the median of the time that the backend server takes, and spread the standard
+	// deviation of its logarithm.
 	workMillis, spread float64
 	// prefix starts each key.
 	prefix string
@@ -60,7 +60,7 @@
 	alone bool
 }
 
-// run sends the stream until ctx ends and returns every sample, in no order.
+// run sends the stream until ctx ends and returns all samples, in no particular order.
 func (s stream) run(ctx context.Context) []sample {
 	transport := &http.Transport{MaxIdleConnsPerHost: 4096, DisableCompression: true, DisableKeepAlives: s.alone}
 	defer transport.CloseIdleConnections()
@@ -118,7 +118,7 @@
 	return outcomeBroken
 }
 
-// judge compares an answer that ended in order with what was asked.
+// judge classifies a response that was received without an error.
 func judge(key string, response *http.Response, text string) outcome {
 	if number, _, ok := strings.Cut(response.Header.Get(result.Header), " "); ok {
 		code, err := strconv.Atoi(number)
@@ -140,7 +140,7 @@
 	return outcomeOK
 }
 
-// runAll runs the streams side by side and returns all their samples.
+// runAll runs the streams concurrently and returns all their samples.
 func runAll(ctx context.Context, streams []stream) []sample {
 	var (
 		all []sample
--- a/test/soak/planned_test.go
+++ b/test/soak/planned_test.go
@@ -21,9 +21,8 @@
 
 var hostsEach = flag.Int("hosts", 2, "hosts of each data centre in the soak of planned work")
 
-// TestPlannedWorkCutsNothing stops and starts daemons, has their settings read again and changes the declaration,
-// in series that a seed draws and that overlap, while callers keep connections or open one for each request.
-// Nothing that a caller sent is cut, and what was accepted is in force everywhere and stays.
+// TestPlannedWorkCutsNothing guards against requests that are cut off, and accepted declarations that are lost or
+// reverted, by overlapping stops, reloads and changes that the seed draws.
 func TestPlannedWorkCutsNothing(t *testing.T) {
 	for text := range strings.SplitSeq(*seeds, ",") {
 		seed, err := strconv.ParseUint(text, 10, 64)
@@ -44,7 +43,7 @@
 	f := start(t, harness.Spec{
 		DataCentres: dataCentres,
 		HostsEach:   *hostsEach,
-		// No request runs into this deadline because the machine is busy.
+		// The deadline is long, so that no request exceeds it on a busy machine.
 		Services: []harness.Service{{Name: "akten", Floor: 2, Servers: hosts, Slots: 20, Queue: 40, Deadline: stopWithin}},
 	})
 	ctx, cancel := context.WithTimeout(t.Context(), length)
@@ -60,20 +59,20 @@
 	work.changes.Wait()
 	t.Logf("%d stops, %d signals, %d changes accepted", work.stops, work.signals, work.revision-1)
 	if work.stops == 0 || work.revision == 1 {
-		t.Error("no stop or no change, so that nothing is shown")
+		t.Error("no daemon was stopped or no change was accepted, so the test shows nothing")
 	}
 	runs := runsOf(t, f, nil)
 	checkAnswers(t, samples, runs)
 	for _, s := range samples {
 		if s.outcome == outcomeBroken || s.outcome == outcomeIndeterminate {
-			t.Errorf("%s was cut, having run %d times: %s %s", s.key, runs[s.key], s.outcome, s.err)
+			t.Errorf("%s was cut off after %d runs: %s %s", s.key, runs[s.key], s.outcome, s.err)
 		}
 	}
 	checkRevisions(t, f, work.revision)
 }
 
-// TestHangUpInAPlannedStopEndsNothing guards against a daemon that SIGHUP ends while it stops as planned: whoever
-// replaces settings and stops daemons in series sends both.
+// TestHangUpInAPlannedStopEndsNothing guards against a daemon that is killed by SIGHUP during a planned stop, when
+// an operator's tool reloads settings and stops daemons in turn.
 func TestHangUpInAPlannedStopEndsNothing(t *testing.T) {
 	f := start(t, harness.Spec{
 		DataCentres: []string{"rosenheim"},
@@ -92,13 +91,13 @@
 	}
 	for !d.Wait(50 * time.Millisecond) {
 		if err := d.Signal(syscall.SIGHUP); err != nil {
-			t.Log(err) // it has just ended
+			t.Log(err) // the daemon has just ended
 		}
 	}
 	cancel()
 	for _, s := range <-done {
 		if s.outcome != outcomeOK && s.outcome != outcomeNotRun && s.outcome != outcomeRefused {
-			t.Errorf("%s was cut: %s %s", s.key, s.outcome, s.err)
+			t.Errorf("%s was cut off: %s %s", s.key, s.outcome, s.err)
 		}
 	}
 	events, err := f.Events()
@@ -106,16 +105,16 @@
 		t.Fatal(err)
 	}
 	if !slices.ContainsFunc(events, func(e harness.Logged) bool { return e.Event == event.DaemonStopped.Number }) {
-		t.Error("the daemon did not end by itself")
+		t.Error("the daemon did not log the end of its planned stop")
 	}
 }
 
-// callWhile returns what became of the requests of all callers until ctx ends.
+// callWhile runs callers at every daemon until ctx ends and returns their samples.
 func callWhile(ctx context.Context, f *harness.Fleet, seed uint64) []sample {
 	const (
 		keptEach   = 4
 		aloneEach  = 2
-		aloneRests = 40 * time.Millisecond // at most, in a fleet of fewDaemons
+		aloneRests = 40 * time.Millisecond // maximum pause in a fleet of fewDaemons
 		fewDaemons = 6
 	)
 	var (
@@ -137,7 +136,7 @@
 			c.alone = n >= keptEach
 			c.restMost = 10 * time.Millisecond << (2 * n) // 10 to 640 ms
 			if c.alone {
-				c.restMost = aloneRests * time.Duration(max(1, len(f.Daemons)/fewDaemons)) // so that the whole load stays the same
+				c.restMost = aloneRests * time.Duration(max(1, len(f.Daemons)/fewDaemons)) // keeps the total load constant
 			}
 			call(c)
 		}
@@ -146,18 +145,18 @@
 	return all
 }
 
-// planned is what was done to a fleet.
+// planned counts the operations on a fleet.
 type planned struct {
 	fleet   *harness.Fleet
-	changes sync.WaitGroup // that are made beside stops
+	changes sync.WaitGroup // changes that are made concurrently with stops
 
 	mu       sync.Mutex
-	revision int64 // the highest that was accepted
+	revision int64 // highest accepted revision
 	stops    int
 	signals  int
 }
 
-// plannedWorker does one thing after another to daemons of its own.
+// plannedWorker performs one planned operation after another. It stops and signals only its own daemons.
 type plannedWorker struct {
 	*planned
 	t       *testing.T
@@ -187,7 +186,7 @@
 	}
 }
 
-// stop stops the daemon as planned and starts it again.
+// stop stops the daemon gracefully and restarts it.
 func (w plannedWorker) stop(d *harness.Daemon) {
 	if err := d.Signal(syscall.SIGTERM); err != nil {
 		w.t.Error(err)
@@ -207,7 +206,7 @@
 	w.stops++
 }
 
-// signal has the daemon read its settings again.
+// signal makes the daemon reload its settings.
 func (w plannedWorker) signal(d *harness.Daemon) {
 	if err := d.Signal(syscall.SIGHUP); err != nil {
 		w.t.Error(err)
@@ -218,8 +217,8 @@
 	w.signals++
 }
 
-// change applies a change through the daemon of that number. One that is refused, since that daemon stops or another
-// change came first, is not made again.
+// change applies a change through the daemon of that number. A change that is refused because the daemon is stopping
+// or another change was first is not retried.
 func (w plannedWorker) change(n, daemon int) {
 	w.mu.Lock()
 	base := w.revision
@@ -236,8 +235,8 @@
 	w.revision = max(w.revision, accepted.Revision)
 }
 
-// checkRevisions waits until the revision is in force everywhere, and fails if a daemon ever took an older one for
-// a newer.
+// checkRevisions fails the test if the revision is not in force at every daemon in time, or if a daemon ever replaced
+// a revision by an older one.
 func checkRevisions(t *testing.T, f *harness.Fleet, revision int64) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), stopWithin)
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -1,9 +1,8 @@
-// Package soak runs real daemons under faults that are drawn from kept seeds, and compares
-// what callers were told with what the backend servers really ran.
+// Package soak runs real daemons under faults drawn from fixed seeds, and compares the callers' responses
+// with the runs that the backend servers recorded.
 //
-// It owns the fleet that it starts on loopback addresses and relies on test/harness for it.
-// A seed draws the order and the targets of the faults; the machine's timing is not drawn, so
-// that a seed makes a failure likely again and not certain.
+// Its fleets run on loopback addresses and are started by test/harness. A seed determines the order and the
+// targets of the faults but not the machine's timing, so that it makes a failure likely to recur, not certain.
 //
 // # Usage
 //
@@ -32,11 +31,11 @@
 	idempotent = http.MethodGet
 	// stopWithin bounds one stop or start of a daemon.
 	stopWithin = 20 * time.Second
-	// warmUp lasts until the observers know what is usual.
+	// warmUp is the time in which the observers establish a latency baseline.
 	warmUp = 5 * time.Second
 )
 
-// keptSeeds are the seeds of the storm that CI plays.
+// keptSeeds are the seeds that CI runs.
 const keptSeeds = "1"
 
 var (
@@ -57,9 +56,8 @@
 	return harness.StartForTest(t, spec)
 }
 
-// TestStorm injects three kinds of fault at once while callers read and pay: daemons and
-// backend servers are killed and frozen, links cut in one direction, answers delayed and
-// broken off.
+// TestStorm guards against wrong responses, repeated payments and broken floors while processes are killed and
+// frozen, links fail in one direction, and responses are delayed and truncated.
 func TestStorm(t *testing.T) {
 	for text := range strings.SplitSeq(*seeds, ",") {
 		seed, err := strconv.ParseUint(text, 10, 64)
@@ -72,7 +70,7 @@
 
 func storm(t *testing.T, seed uint64) {
 	const (
-		length   = 28 * time.Second // each worker injects each kind of fault at least once
+		length   = 28 * time.Second // long enough for each worker to inject each kind of fault
 		interval = 10 * time.Millisecond
 		workers  = 3
 	)
@@ -99,7 +97,7 @@
 	samples := runAll(ctx, streams)
 	faults.wait()
 	for _, err := range faults.failed {
-		t.Errorf("a fault was not injected: %v", err)
+		t.Errorf("inject fault: %v", err)
 	}
 	t.Logf("faults: %v", faults.counts)
 	checkAnswers(t, samples, runsOf(t, f, faults.lost))
@@ -107,9 +105,8 @@
 	checkFloor(t, f, payments)
 }
 
-// TestFloorHoldsWhereDataCentresDisagree makes four of six backend servers stall where the
-// floor is four, loses answers of control calls between the data centres, so that each has a
-// view of its own, and kills a daemon.
+// TestFloorHoldsWhereDataCentresDisagree guards against ejections below the floor when four of six backend servers
+// stall, a daemon is killed and lost control responses give each data centre a different view.
 func TestFloorHoldsWhereDataCentresDisagree(t *testing.T) {
 	const (
 		length = 18 * time.Second
@@ -138,12 +135,12 @@
 	}
 	checkAnswers(t, samples, runsOf(t, f, nil))
 	if checkFloor(t, f, lookup) == 0 {
-		t.Error("nothing was ejected, so that nothing is shown")
+		t.Error("no backend server was ejected, so the test shows nothing")
 	}
 }
 
-// disagree turns one backend server after another sick, half a second apart, and then loses
-// the answers of control calls for a while.
+// disagree stalls one backend server after another, half a second apart, drops the responses of control calls
+// for a few seconds, and restarts a daemon.
 func disagree(ctx context.Context, f *harness.Fleet, sick int) error {
 	wait.For(ctx, warmUp)
 	for _, b := range f.Backends[:sick] {
@@ -173,9 +170,8 @@
 	return f.Daemons[0].Restart(starting)
 }
 
-// TestDaemonsAreReplacedWithoutThePlatform stops each daemon in turn under load and starts it
-// with an empty memory, first with the platform and then without it. Callers are spread over
-// the daemons.
+// TestDaemonsAreReplacedWithoutThePlatform guards against wrong responses while each daemon is restarted in turn
+// under load, with the platform available and then unavailable.
 func TestDaemonsAreReplacedWithoutThePlatform(t *testing.T) {
 	f := start(t, harness.Spec{
 		DataCentres: []string{"muenchen-nord", "muenchen-sued", "rosenheim", "weilheim"},
@@ -199,7 +195,7 @@
 	}
 }
 
-// replaceAll stops and starts every daemon under load.
+// replaceAll restarts every daemon in turn under load.
 func replaceAll(t *testing.T, f *harness.Fleet, prefix string) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -219,7 +215,7 @@
 	checkAnswers(t, <-done, runsOf(t, f, nil))
 }
 
-// stopAsPlanned stops a daemon and waits until it has ended.
+// stopAsPlanned stops a daemon gracefully and waits until it has ended.
 func stopAsPlanned(t *testing.T, d *harness.Daemon) {
 	t.Helper()
 	if err := d.Signal(syscall.SIGTERM); err != nil {
@@ -230,7 +226,7 @@
 	}
 }
 
-// startAgain starts a daemon that has ended, with an empty memory.
+// startAgain starts a stopped daemon, which has lost all state in memory.
 func startAgain(t *testing.T, d *harness.Daemon) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), stopWithin)
@@ -240,9 +236,8 @@
 	}
 }
 
-// TestPlannedStopsCutNothing stops a daemon several times while callers open connections to
-// it, one for each request. A connection that is refused has lost nothing; one that was made
-// must bring an answer.
+// TestPlannedStopsCutNothing guards against a planned stop that closes an accepted connection without a response.
+// Connections that are refused are harmless.
 func TestPlannedStopsCutNothing(t *testing.T) {
 	const stops = 8
 	f := start(t, harness.Spec{
@@ -256,19 +251,19 @@
 		checkAnswers(t, samples, runs)
 		for _, s := range samples {
 			if s.outcome == outcomeBroken || s.outcome == outcomeIndeterminate {
-				t.Errorf("%s was cut, having run %d times: %s %s", s.key, runs[s.key], s.outcome, s.err)
+				t.Errorf("%s was cut off after %d runs: %s %s", s.key, runs[s.key], s.outcome, s.err)
 			}
 		}
 	}
 }
 
-// stopAmongCallers stops the first daemon while callers open connections to it, starts it again
-// and returns their samples.
+// stopAmongCallers stops the first daemon while callers open connections to it, restarts it and returns the
+// callers' samples.
 func stopAmongCallers(t *testing.T, f *harness.Fleet, prefix string) []sample {
 	t.Helper()
 	const (
 		callers = 50
-		before  = 200 * time.Millisecond // how long they have come when the stop begins
+		before  = 200 * time.Millisecond // how long the callers run before the stop begins
 	)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
