--- a/test/integration/gray_test.go
+++ b/test/integration/gray_test.go
@@ -16,11 +16,11 @@
 	"github.com/tideliftd/tidelift/test/harness"
 )
 
-// search sends 100 requests per second until done reports true, and reports whether it did in time.
-func search(f *harness.Fleet, done func() bool) bool {
+// sendUntil sends 100 requests per second until done reports true, and reports whether it did in time.
+func sendUntil(f *harness.Fleet, done func() bool) bool {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	end := time.Now().Add(patience)
+	end := time.Now().Add(waitTimeout)
 	for time.Now().Before(end) {
 		if done() {
 			return true
@@ -40,8 +40,8 @@
 	return false
 }
 
-// logged reports whether the log of any daemon contains the event for the backend server.
-func logged(t *testing.T, f *harness.Fleet, e event.Event, backendServer string) bool {
+// hasLogged reports whether the log of any daemon contains the event for the backend server.
+func hasLogged(t *testing.T, f *harness.Fleet, e event.Event, backendServer string) bool {
 	t.Helper()
 	events, err := f.Events()
 	if err != nil {
@@ -63,44 +63,44 @@
 	}
 }
 
-// warm sends requests until the observers have a latency baseline.
-func warm(f *harness.Fleet) {
+// warmUp sends requests until the observers have a latency baseline.
+func warmUp(f *harness.Fleet) {
 	end := time.Now().Add(2 * time.Second)
-	search(f, func() bool { return time.Now().After(end) })
+	sendUntil(f, func() bool { return time.Now().After(end) })
 }
 
-// stallFirst establishes a baseline and then stalls the first backend server.
-func stallFirst(t *testing.T, f *harness.Fleet) *harness.Backend {
+// stallFirstBackend establishes a baseline and then stalls the first backend server.
+func stallFirstBackend(t *testing.T, f *harness.Fleet) *harness.Backend {
 	t.Helper()
-	warm(f)
-	sick := f.Backends[0]
-	if err := sick.SetMode(backendserver.Mode{Stall: 1}); err != nil {
+	warmUp(f)
+	unhealthy := f.Backends[0]
+	if err := unhealthy.SetMode(backendserver.Mode{Stall: 1}); err != nil {
 		t.Fatal(err)
 	}
-	return sick
+	return unhealthy
 }
 
 func TestStalledBackendServerIsEjectedAndComesBack(t *testing.T) {
 	f := start(t, lookup(""))
-	sick := stallFirst(t, f)
-	if !search(f, func() bool { return logged(t, f, event.ServerEjected, sick.Name) }) {
+	unhealthy := stallFirstBackend(t, f)
+	if !sendUntil(f, func() bool { return hasLogged(t, f, event.ServerEjected, unhealthy.Name) }) {
 		t.Fatal("stalled backend server was not ejected")
 	}
-	if err := sick.SetMode(backendserver.Mode{}); err != nil {
+	if err := unhealthy.SetMode(backendserver.Mode{}); err != nil {
 		t.Fatal(err)
 	}
-	if !search(f, func() bool { return logged(t, f, event.ServerReturned, sick.Name) }) {
+	if !sendUntil(f, func() bool { return hasLogged(t, f, event.ServerReturned, unhealthy.Name) }) {
 		t.Fatal("recovered backend server was not returned to service")
 	}
 }
 
-func TestObserveDecidesAndChangesNothing(t *testing.T) {
+func TestObserveModeChangesNothing(t *testing.T) {
 	f := start(t, lookup("observe"))
-	sick := stallFirst(t, f)
-	if !search(f, func() bool { return logged(t, f, event.FloorHeld, sick.Name) }) {
+	unhealthy := stallFirstBackend(t, f)
+	if !sendUntil(f, func() bool { return hasLogged(t, f, event.FloorHeld, unhealthy.Name) }) {
 		t.Fatal("observe mode did not report the stalled backend server")
 	}
-	if logged(t, f, event.ServerEjected, sick.Name) || logged(t, f, event.ServerAvoided, sick.Name) {
+	if hasLogged(t, f, event.ServerEjected, unhealthy.Name) || hasLogged(t, f, event.ServerAvoided, unhealthy.Name) {
 		t.Fatal("observe mode ejected or avoided the backend server")
 	}
 }
@@ -108,7 +108,7 @@
 func TestMetricsCountEachReason(t *testing.T) {
 	f := start(t, lookup(""))
 	get(t, "http://"+f.Daemons[0].Callers()+"/unknown")
-	end := time.Now().Add(patience)
+	end := time.Now().Add(waitTimeout)
 	for time.Now().Before(end) {
 		response, err := http.Get("http://" + f.Daemons[0].Operators() + "/metrics")
 		if err != nil {
@@ -127,26 +127,26 @@
 	t.Fatal("refused request was not counted in the metrics")
 }
 
-// TestNoLongerSteeredComesBack guards against an ejection that outlasts the change of its service to
+// TestObserveModeEndsEjection guards against an ejection that outlasts the change of its service to
 // observe mode.
-func TestNoLongerSteeredComesBack(t *testing.T) {
+func TestObserveModeEndsEjection(t *testing.T) {
 	f := start(t, lookup(""))
-	sick := stallFirst(t, f)
-	if !search(f, func() bool { return logged(t, f, event.ServerEjected, sick.Name) }) {
+	unhealthy := stallFirstBackend(t, f)
+	if !sendUntil(f, func() bool { return hasLogged(t, f, event.ServerEjected, unhealthy.Name) }) {
 		t.Fatal("stalled backend server was not ejected")
 	}
 	f.Spec.Services[0].Adoption = "observe"
 	if _, err := f.Apply(context.Background(), 0, f.Declaration(), 1, "observe"); err != nil {
 		t.Fatal(err)
 	}
-	if !search(f, func() bool { return logged(t, f, event.ServerReturned, sick.Name) }) {
+	if !sendUntil(f, func() bool { return hasLogged(t, f, event.ServerReturned, unhealthy.Name) }) {
 		t.Fatal("backend server stayed ejected in observe mode")
 	}
 }
 
-// TestOwnWordThatItIsLeaving guards against requests to a backend server that has announced its draining
+// TestDrainingHeaderStopsTraffic guards against requests to a backend server that has announced its draining
 // in a response header.
-func TestOwnWordThatItIsLeaving(t *testing.T) {
+func TestDrainingHeaderStopsTraffic(t *testing.T) {
 	var draining, other atomic.Int64
 	first := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		draining.Add(1)
@@ -162,7 +162,7 @@
 			Name: "lookup", Floor: 1, Servers: 2, Addresses: []string{first.Listener.Addr().String(), second.Listener.Addr().String()},
 		}},
 	})
-	if !search(f, func() bool { return draining.Load() > 0 }) {
+	if !sendUntil(f, func() bool { return draining.Load() > 0 }) {
 		t.Fatal("draining backend server received no request")
 	}
 	time.Sleep(100 * time.Millisecond) // until requests in flight have arrived
@@ -177,8 +177,8 @@
 	}
 }
 
-// TestPlatformsListOfLeavingHosts adds a host to the platform's list of draining hosts and removes it again.
-func TestPlatformsListOfLeavingHosts(t *testing.T) {
+// TestPlatformListOfDrainingHosts adds a host to the platform's list of draining hosts and removes it again.
+func TestPlatformListOfDrainingHosts(t *testing.T) {
 	f := start(t, harness.Spec{
 		DataCentres: []string{"csepel", "obuda"},
 		HostsEach:   1,
@@ -189,11 +189,11 @@
 		f.Platform.Write("tidelift/leaving-hosts", []byte(text))
 	}
 	list(`["` + draining.Host.Name + `"]`)
-	if !search(f, func() bool { return logged(t, f, event.ServerDraining, draining.Name) }) {
+	if !sendUntil(f, func() bool { return hasLogged(t, f, event.ServerDraining, draining.Name) }) {
 		t.Fatal("backend server of a listed host was not drained")
 	}
 	list("[]")
-	if !search(f, func() bool { return logged(t, f, event.ServerBack, draining.Name) }) {
+	if !sendUntil(f, func() bool { return hasLogged(t, f, event.ServerBack, draining.Name) }) {
 		t.Fatal("backend server was not returned to service after its host left the list")
 	}
 }
--- a/test/integration/hang_test.go
+++ b/test/integration/hang_test.go
@@ -9,14 +9,14 @@
 	"github.com/tideliftd/tidelift/test/harness"
 )
 
-// TestARequestIsCopiedWhenItsBackendServerHangs guards against requests of 10 ms that wait until they are overdue,
+// TestRequestIsHedgedWhenBackendServerHangs guards against requests of 10 ms that wait until they are overdue,
 // at 380 ms. They are sent one at a time, so that load balancing alone does not avoid the stalled backend server.
-func TestARequestIsCopiedWhenItsBackendServerHangs(t *testing.T) {
+func TestRequestIsHedgedWhenBackendServerHangs(t *testing.T) {
 	spec := lookup("")
 	spec.Services[0].Detection = "careful"
 	spec.Services[0].Deadline = 3 * time.Second
 	f := start(t, spec)
-	stallFirst(t, f)
+	stallFirstBackend(t, f)
 	const (
 		requests = 40
 		within   = 300 * time.Millisecond
@@ -27,8 +27,8 @@
 			slow++
 		}
 	}
-	const busy = 1 // one may be slow on a busy machine; without hedging two are
-	if slow > busy {
+	const tolerated = 1 // one may be slow on a busy machine; without hedging two are
+	if slow > tolerated {
 		t.Fatalf("%d of %d requests received no response within %v", slow, requests, within)
 	}
 }
--- a/test/integration/http_test.go
+++ b/test/integration/http_test.go
@@ -19,12 +19,12 @@
 	"github.com/tideliftd/tidelift/test/harness"
 )
 
-// patience bounds waits for conditions that a passing test meets much sooner.
-const patience = 20 * time.Second
+// waitTimeout bounds waits for conditions that a passing test meets much sooner.
+const waitTimeout = 20 * time.Second
 
-// custom starts two daemons and a backend server with the handler at the second.
+// startWithHandler starts two daemons and a backend server with the handler at the second.
 // Requests to the first daemon take both hops.
-func custom(t *testing.T, handler http.HandlerFunc) *harness.Fleet {
+func startWithHandler(t *testing.T, handler http.HandlerFunc) *harness.Fleet {
 	t.Helper()
 	backend := httptest.NewServer(handler)
 	t.Cleanup(backend.Close)
@@ -43,7 +43,7 @@
 	writer := gzip.NewWriter(&zipped)
 	_, _ = writer.Write([]byte("squeezed"))
 	_ = writer.Close()
-	f := custom(t, func(w http.ResponseWriter, r *http.Request) {
+	f := startWithHandler(t, func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
 		case "/antraege/empty":
 			w.WriteHeader(http.StatusNoContent)
@@ -135,7 +135,7 @@
 }
 
 func TestStreamsBothWays(t *testing.T) {
-	f := custom(t, func(w http.ResponseWriter, r *http.Request) {
+	f := startWithHandler(t, func(w http.ResponseWriter, r *http.Request) {
 		controller := http.NewResponseController(w)
 		_ = controller.EnableFullDuplex()
 		lines := bufio.NewScanner(r.Body)
@@ -167,8 +167,8 @@
 	_ = writer.Close()
 }
 
-func TestContinueIsAskedOfTheBackendServer(t *testing.T) {
-	f := custom(t, func(w http.ResponseWriter, r *http.Request) {
+func TestExpectContinueReachesBackendServer(t *testing.T) {
+	f := startWithHandler(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("X-Welcome") == "" {
 			w.WriteHeader(http.StatusExpectationFailed)
 			return
@@ -176,7 +176,7 @@
 		body, _ := io.ReadAll(r.Body)
 		_, _ = w.Write(body)
 	})
-	client := &http.Client{Transport: &http.Transport{ExpectContinueTimeout: patience}}
+	client := &http.Client{Transport: &http.Transport{ExpectContinueTimeout: waitTimeout}}
 	for welcome, want := range map[string]int{"": http.StatusExpectationFailed, "yes": http.StatusOK} {
 		var taken atomic.Bool
 		body := io.MultiReader(readerFunc(func([]byte) (int, error) {
@@ -208,7 +208,7 @@
 
 func TestCancelReachesTheBackendServer(t *testing.T) {
 	arrived, cancelled := make(chan struct{}), make(chan struct{})
-	f := custom(t, func(_ http.ResponseWriter, r *http.Request) {
+	f := startWithHandler(t, func(_ http.ResponseWriter, r *http.Request) {
 		close(arrived)
 		<-r.Context().Done()
 		close(cancelled)
@@ -228,29 +228,29 @@
 	}
 	select {
 	case <-cancelled:
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatal("cancellation did not reach the backend server")
 	}
 }
 
-func TestDeadlineTravels(t *testing.T) {
-	left := make(chan string, 1)
-	f := custom(t, func(_ http.ResponseWriter, r *http.Request) {
-		left <- r.Header.Get("X-Request-Timeout-Ms")
+func TestDeadlineReachesBackendServer(t *testing.T) {
+	received := make(chan string, 1)
+	f := startWithHandler(t, func(_ http.ResponseWriter, r *http.Request) {
+		received <- r.Header.Get("X-Request-Timeout-Ms")
 		<-r.Context().Done()
 	})
 	response, body := get(t, f.URL(0, "antraege", "/x"), "X-Request-Timeout-Ms", "1500")
 	if response.StatusCode != http.StatusGatewayTimeout || !strings.Contains(body, `"code":3001`) {
 		t.Fatalf("got status %d, body %s; want 504 with code 3001", response.StatusCode, body)
 	}
-	told := <-left
-	if got, err := strconv.Atoi(told); err != nil || got < 1 || got > 1500 {
-		t.Fatalf("backend server received timeout %q, want 1 to 1500 ms", told)
+	forwarded := <-received
+	if got, err := strconv.Atoi(forwarded); err != nil || got < 1 || got > 1500 {
+		t.Fatalf("backend server received timeout %q, want 1 to 1500 ms", forwarded)
 	}
 }
 
-// raw sends the text on a new connection and returns the response's status and body.
-func raw(t *testing.T, address, text string) string {
+// sendRaw sends the text on a new connection and returns the response's status and body.
+func sendRaw(t *testing.T, address, text string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -260,7 +260,7 @@
 	if _, err := io.WriteString(c, text); err != nil {
 		t.Fatal(err)
 	}
-	_ = c.SetReadDeadline(time.Now().Add(patience))
+	_ = c.SetReadDeadline(time.Now().Add(waitTimeout))
 	answer, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		t.Fatal(err)
@@ -270,9 +270,9 @@
 	return fmt.Sprintf("%d %s", answer.StatusCode, body)
 }
 
-func TestWrongRequestsReachNoBackendServer(t *testing.T) {
+func TestInvalidRequestsReachNoBackendServer(t *testing.T) {
 	var reached atomic.Int64
-	f := custom(t, func(http.ResponseWriter, *http.Request) { reached.Add(1) })
+	f := startWithHandler(t, func(http.ResponseWriter, *http.Request) { reached.Add(1) })
 	head := " /antraege/x HTTP/1.1\r\nHost: a\r\n"
 	tests := []struct{ name, send, want string }{
 		{"both framings", "POST" + head + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", `400 {"code":1003`},
@@ -287,7 +287,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			if got := raw(t, f.Daemons[0].Callers(), test.send); !strings.HasPrefix(got, test.want) {
+			if got := sendRaw(t, f.Daemons[0].Callers(), test.send); !strings.HasPrefix(got, test.want) {
 				t.Fatalf("got response %.200s", got)
 			}
 		})
@@ -297,18 +297,18 @@
 	}
 }
 
-func TestSlowSenderIsEnded(t *testing.T) {
-	f := custom(t, func(_ http.ResponseWriter, r *http.Request) { _, _ = io.Copy(io.Discard, r.Body) })
+func TestSlowRequestBodyTimesOut(t *testing.T) {
+	f := startWithHandler(t, func(_ http.ResponseWriter, r *http.Request) { _, _ = io.Copy(io.Discard, r.Body) })
 	began := time.Now()
-	answer := raw(t, f.Daemons[0].Callers(), "POST /antraege/x HTTP/1.1\r\nHost: a\r\nX-Request-Timeout-Ms: 300\r\nContent-Length: 10\r\n\r\nabc")
-	if !strings.HasPrefix(answer, "50") || time.Since(began) > patience {
+	answer := sendRaw(t, f.Daemons[0].Callers(), "POST /antraege/x HTTP/1.1\r\nHost: a\r\nX-Request-Timeout-Ms: 300\r\nContent-Length: 10\r\n\r\nabc")
+	if !strings.HasPrefix(answer, "50") || time.Since(began) > waitTimeout {
 		t.Fatalf("after %s: got response %q, want a 50x status", time.Since(began), answer)
 	}
 }
 
-// TestCutAnswerNeverLooksWhole guards against truncated responses, of each framing, that reach the caller as complete.
-func TestCutAnswerNeverLooksWhole(t *testing.T) {
-	f := custom(t, func(w http.ResponseWriter, r *http.Request) {
+// TestTruncatedResponseIsNotPassedOnAsComplete guards against truncated responses, of each framing, that reach the caller as complete.
+func TestTruncatedResponseIsNotPassedOnAsComplete(t *testing.T) {
+	f := startWithHandler(t, func(w http.ResponseWriter, r *http.Request) {
 		socket, buffer, err := http.NewResponseController(w).Hijack()
 		if err != nil {
 			panic(err)
@@ -345,7 +345,7 @@
 // connection is closed without a response.
 func TestNothingIsSentTwice(t *testing.T) {
 	var runs atomic.Int64
-	f := custom(t, func(w http.ResponseWriter, r *http.Request) {
+	f := startWithHandler(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		if runs.Add(1)%2 == 1 {
 			return // so that the next request uses a kept connection
--- a/test/integration/keys_test.go
+++ b/test/integration/keys_test.go
@@ -93,9 +93,9 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// TestKeys guards against unauthenticated access to the peer, control and operator addresses of daemons
+// TestAuthentication guards against unauthenticated access to the peer, control and operator addresses of daemons
 // that use certificates and tokens.
-func TestKeys(t *testing.T) {
+func TestAuthentication(t *testing.T) {
 	ours := newAuthority(t)
 	certificate, private := ours.sign(t)
 	dir := t.TempDir()
@@ -181,8 +181,8 @@
 	return 0
 }
 
-// TestCertificatesAreReadAgain guards against replaced certificate files that are ignored until a restart.
-func TestCertificatesAreReadAgain(t *testing.T) {
+// TestCertificatesAreReloaded guards against replaced certificate files that are ignored until a restart.
+func TestCertificatesAreReloaded(t *testing.T) {
 	dir := t.TempDir()
 	write := func(a authority) keys.CertificatesConfig {
 		certificate, private := a.sign(t)
@@ -199,7 +199,7 @@
 	next := newAuthority(t)
 	time.Sleep(keys.ReloadEvery)
 	write(next)
-	end := time.Now().Add(patience)
+	end := time.Now().Add(waitTimeout)
 	for time.Now().Before(end) {
 		own, err := certificates.Client().GetClientCertificate(nil)
 		if err != nil {
--- a/test/integration/once_test.go
+++ b/test/integration/once_test.go
@@ -26,21 +26,21 @@
 	}
 }
 
-// told holds the response to the request of each key.
-type told struct {
+// responses holds the response to the request of each key.
+type responses struct {
 	mu     sync.Mutex
 	status map[string]int
 	body   map[string]string
 }
 
-// pay sends count payments concurrently through the daemon.
-func pay(f *harness.Fleet, daemon, count int, prefix string) *told {
-	result := &told{status: make(map[string]int), body: make(map[string]string)}
+// sendPayments sends count payments concurrently through the daemon.
+func sendPayments(f *harness.Fleet, daemon, count int, prefix string) *responses {
+	result := &responses{status: make(map[string]int), body: make(map[string]string)}
 	var wg sync.WaitGroup
 	for n := range count {
 		wg.Go(func() {
 			key := fmt.Sprintf("%s-%d", prefix, n)
-			status, body := payOne(f.URL(daemon, "antraege", "/fee"), key)
+			status, body := sendPayment(f.URL(daemon, "antraege", "/fee"), key)
 			result.mu.Lock()
 			defer result.mu.Unlock()
 			result.status[key], result.body[key] = status, body
@@ -50,7 +50,7 @@
 	return result
 }
 
-func payOne(url, key string) (int, string) {
+func sendPayment(url, key string) (int, string) {
 	request, err := http.NewRequest(http.MethodPost, url, strings.NewReader(key))
 	if err != nil {
 		return 0, err.Error()
@@ -83,7 +83,7 @@
 }
 
 // check compares the responses with the runs.
-func (r *told) check(t *testing.T, runs map[string]int) {
+func (r *responses) check(t *testing.T, runs map[string]int) {
 	t.Helper()
 	for key, status := range r.status {
 		switch n := runs[key]; {
@@ -97,16 +97,16 @@
 	}
 }
 
-// TestFrozenDaemonRunsNothingLate guards against a daemon that is paused for longer than the deadline and the
+// TestFrozenDaemonRunsNoExpiredRequest guards against a daemon that is paused for longer than the deadline and the
 // lifetime of a reservation, and on resumption runs requests that waited in its sockets.
-func TestFrozenDaemonRunsNothingLate(t *testing.T) {
+func TestFrozenDaemonRunsNoExpiredRequest(t *testing.T) {
 	f := start(t, payments())
-	before := pay(f, 2, 20, "before")
+	before := sendPayments(f, 2, 20, "before")
 	frozen := f.Backends[0].Host
 	if err := frozen.Stop(); err != nil {
 		t.Fatal(err)
 	}
-	during := pay(f, 2, 20, "during")
+	during := sendPayments(f, 2, 20, "during")
 	if err := frozen.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
@@ -127,21 +127,21 @@
 	}
 }
 
-// TestKilledDaemonLeavesTheTruth guards against wrong responses for payments that run while their backend
+// TestResponsesAreCorrectWhenDaemonIsKilled guards against wrong responses for payments that run while their backend
 // server's daemon is killed.
-func TestKilledDaemonLeavesTheTruth(t *testing.T) {
+func TestResponsesAreCorrectWhenDaemonIsKilled(t *testing.T) {
 	f := start(t, payments())
-	done := make(chan *told, 1)
-	go func() { done <- pay(f, 2, 200, "killed") }()
+	done := make(chan *responses, 1)
+	go func() { done <- sendPayments(f, 2, 200, "killed") }()
 	time.Sleep(20 * time.Millisecond)
 	f.Backends[0].Host.Kill()
 	result := <-done
 	result.check(t, runsOf(t, f))
 }
 
-// TestNotRunIsTrueOfEveryAttempt guards against reporting a request as not run because its last attempt was refused,
+// TestNotRunCoversEveryAttempt guards against reporting a request as not run because its last attempt was refused,
 // although an earlier attempt ran it and broke the connection.
-func TestNotRunIsTrueOfEveryAttempt(t *testing.T) {
+func TestNotRunCoversEveryAttempt(t *testing.T) {
 	var runs atomic.Int64
 	breaking := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		runs.Add(1)
