--- a/test/registered/cost_test.go
+++ b/test/registered/cost_test.go
@@ -22,13 +22,13 @@
 	)
 	f := newFleet(b, daemons)
 	for _, h := range f.hosts {
-		h.does(func(w http.ResponseWriter, _ *http.Request) {
+		h.setHandler(func(w http.ResponseWriter, _ *http.Request) {
 			time.Sleep(work)
-			signed(w, http.StatusOK, "done")
+			writeSigned(w, http.StatusOK, "done")
 		})
 	}
-	f.desireCustomers(2, `"`+keyOfCounty+`"`, 1000, 1000)
-	f.awaitStatus(strangeKey, http.StatusUnauthorized)
+	f.writeDesiredWithCustomers(2, `"`+keyOfCounty+`"`, 1000, 1000)
+	f.waitForStatus(unknownKey, http.StatusUnauthorized)
 	time.Sleep(2 * time.Second)
 	idle := processorTime()
 	time.Sleep(2 * time.Second)
@@ -39,13 +39,13 @@
 	}
 	b.ResetTimer()
 	before := processorTime()
-	var asking sync.WaitGroup
+	var requests sync.WaitGroup
 	for n := range b.N {
 		at := n % daemons
-		asking.Go(func() { f.hosts[at].askAs(clients[at], "/twice/x", keyOfCounty) })
+		requests.Go(func() { f.hosts[at].getWithKey(clients[at], "/twice/x", keyOfCounty) })
 		time.Sleep(time.Duration(rand.Float64() * 2 * float64(time.Second) / (perSecond * daemons)))
 	}
-	asking.Wait()
+	requests.Wait()
 	b.ReportMetric((processorTime()-before).Seconds()*1000/float64(b.N), "cpu-ms/op")
 }
 
--- a/test/registered/ends_test.go
+++ b/test/registered/ends_test.go
@@ -23,55 +23,55 @@
 // repeat at many hosts under new ids: limits that count by request id do not stop it.
 
 const (
-	// endsAllowed is how many backend servers a request may crash before it is quarantined, and how often it
+	// crashesAllowed is how many backend servers a request may crash before it is quarantined, and how often it
 	// may be sent to others after that.
-	endsAllowed = 3
-	// endsKnownWithin is how long after the last allowed crash the whole fleet may take to refuse the request.
-	endsKnownWithin = 3 * time.Second
-	// backAfter is how long a crashed backend server is unavailable.
-	backAfter = 1500 * time.Millisecond
-	// endingBody is the body of the request that crashes the backend server.
-	endingBody = "ends"
+	crashesAllowed = 3
+	// quarantinedWithin is how long after the last allowed crash the whole fleet may take to refuse the request.
+	quarantinedWithin = 3 * time.Second
+	// restartAfter is how long a crashed backend server is unavailable.
+	restartAfter = 1500 * time.Millisecond
+	// crashingBody is the body of the request that crashes the backend server.
+	crashingBody = "ends"
 )
 
-// endsSeen counts the crashing request's arrivals and crashes, and the innocent requests that were served.
-type endsSeen struct {
+// crashRecorder counts the crashing request's arrivals and crashes, and the innocent requests that were served.
+type crashRecorder struct {
 	mu       sync.Mutex
 	arrivals []time.Time // of the crashing request at backend servers
-	ends     []time.Time // crashes
-	asked    int         // innocent requests since the crashing one should be quarantined
+	crashes  []time.Time // times of the crashes
+	sent     int         // innocent requests since the crashing one should be quarantined
 	served   int
 }
 
 // check fails the test if the request was sent too often after it should have been quarantined.
-func (s *endsSeen) check(t *testing.T) {
+func (s *crashRecorder) check(t *testing.T) {
 	t.Helper()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.ends) < endsAllowed {
-		t.Fatalf("only %d backend servers crashed, too few for a quarantine", len(s.ends))
+	if len(s.crashes) < crashesAllowed {
+		t.Fatalf("only %d backend servers crashed, too few for a quarantine", len(s.crashes))
 	}
-	slices.SortFunc(s.ends, time.Time.Compare)
-	known := s.ends[endsAllowed-1].Add(endsKnownWithin)
+	slices.SortFunc(s.crashes, time.Time.Compare)
+	known := s.crashes[crashesAllowed-1].Add(quarantinedWithin)
 	late := 0
 	for _, at := range s.arrivals {
 		if at.After(known) {
 			late++
 		}
 	}
-	t.Logf("%d backend servers crashed, %d arrivals after the quarantine was due; %d of %d innocent requests served", len(s.ends), late, s.served, s.asked)
-	if late > endsAllowed {
-		t.Fatalf("request that crashed %d backend servers was sent to others %d times later than %v after the third crash, want at most %d", len(s.ends), late, endsKnownWithin, endsAllowed)
+	t.Logf("%d backend servers crashed, %d arrivals after the quarantine was due; %d of %d innocent requests served", len(s.crashes), late, s.served, s.sent)
+	if late > crashesAllowed {
+		t.Fatalf("request that crashed %d backend servers was sent to others %d times later than %v after the third crash, want at most %d", len(s.crashes), late, quarantinedWithin, crashesAllowed)
 	}
 }
 
-// ending returns the handler of a backend server that crashes on the request with endingBody and restarts later.
-func (h *host) ending(seen *endsSeen) func(http.ResponseWriter, *http.Request) {
+// crashingHandler returns the handler of a backend server that crashes on the request with crashingBody and restarts later.
+func (h *host) crashingHandler(seen *crashRecorder) func(http.ResponseWriter, *http.Request) {
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
-		if string(body) != endingBody {
+		if string(body) != crashingBody {
 			time.Sleep(5 * time.Millisecond)
-			signed(w, http.StatusOK, "done")
+			writeSigned(w, http.StatusOK, "done")
 			return
 		}
 		seen.mu.Lock()
@@ -80,7 +80,7 @@
 		time.Sleep(20 * time.Millisecond)
 		if h.crash() {
 			seen.mu.Lock()
-			seen.ends = append(seen.ends, time.Now())
+			seen.crashes = append(seen.crashes, time.Now())
 			seen.mu.Unlock()
 		}
 		panic(http.ErrAbortHandler)
@@ -90,17 +90,17 @@
 // crash closes the backend server's listener and all its connections, as the kernel does for a killed
 // process, and restarts it under another name after backAfter. It reports false if the backend server is down already.
 func (h *host) crash() bool {
-	if h.away.Swap(true) {
+	if h.crashed.Swap(true) {
 		return false
 	}
 	address := h.backend.Listener.Addr().String()
 	_ = h.backend.Config.Close()
-	time.AfterFunc(backAfter, func() {
+	time.AfterFunc(restartAfter, func() {
 		listener, err := net.Listen("tcp", address)
 		if err != nil {
 			return // the test has ended, or the address is taken
 		}
-		server := httptest.NewUnstartedServer(http.HandlerFunc(h.answer))
+		server := httptest.NewUnstartedServer(http.HandlerFunc(h.serve))
 		_ = server.Listener.Close()
 		server.Listener = listener
 		server.Start()
@@ -109,7 +109,7 @@
 		h.name = fmt.Sprintf("i-back%d-%d", nextID.Add(1), h.number)
 		h.sequence = 0
 		h.register()
-		h.away.Store(false)
+		h.crashed.Store(false)
 	})
 	return true
 }
@@ -117,7 +117,7 @@
 // register checks the backend server in and retries while its daemon is unavailable.
 func (h *host) register() {
 	for range 100 {
-		if h.tellOnce(http.MethodPut, h.name, h.nextCheckIn("ready")) == http.StatusOK {
+		if h.sendCheckInOnce(http.MethodPut, h.name, h.nextCheckIn("ready")) == http.StatusOK {
 			return
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -146,39 +146,39 @@
 	return response
 }
 
-// every calls the function perSecond times a second, each time with a random host, until ctx ends.
-func (f *fleet) every(ctx context.Context, wg *sync.WaitGroup, perSecond int, ask func(*host)) {
+// callAtRate calls the function perSecond times a second, each time with a random host, until ctx ends.
+func (f *fleet) callAtRate(ctx context.Context, wg *sync.WaitGroup, perSecond int, call func(*host)) {
 	wg.Go(func() {
 		for ctx.Err() == nil {
 			h := f.hosts[rand.IntN(len(f.hosts))]
-			wg.Go(func() { ask(h) })
+			wg.Go(func() { call(h) })
 			time.Sleep(time.Second / time.Duration(perSecond))
 		}
 	})
 }
 
-// newEnding starts a fleet whose backend servers crash on the request with endingBody.
-func newEnding(t *testing.T, hosts int) (*fleet, *endsSeen) {
+// newCrashingFleet starts a fleet whose backend servers crash on the request with crashingBody.
+func newCrashingFleet(t *testing.T, hosts int) (*fleet, *crashRecorder) {
 	t.Helper()
 	f := newFleet(t, hosts)
-	f.stopTogether()
-	seen := &endsSeen{}
+	f.stopConcurrently()
+	seen := &crashRecorder{}
 	for _, h := range f.hosts {
-		h.does(h.ending(seen))
+		h.setHandler(h.crashingHandler(seen))
 	}
 	return f, seen
 }
 
-// TestARequestThatEndsBackendServersIsKeptFromThem guards against a crashing request that is not quarantined, or whose
+// TestCrashingRequestIsQuarantined guards against a crashing request that is not quarantined, or whose
 // quarantine affects innocent requests to the same path.
-func TestARequestThatEndsBackendServersIsKeptFromThem(t *testing.T) {
+func TestCrashingRequestIsQuarantined(t *testing.T) {
 	tests := map[string]func(*fleet, time.Duration){
 		"it is sent to every host": func(*fleet, time.Duration) {},
 		"daemons restart": func(f *fleet, at time.Duration) {
 			h := f.hosts[int(at/time.Second)%len(f.hosts)]
 			h.end()
 			h.start()
-			h.awaitReady()
+			h.waitReady()
 			h.register()
 		},
 		"the store is unavailable for some seconds": func(f *fleet, at time.Duration) {
@@ -189,13 +189,13 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel() // the subtests mostly wait
 			const hosts, played, judged = 8, 10 * time.Second, 7 * time.Second
-			f, seen := newEnding(t, hosts)
+			f, seen := newCrashingFleet(t, hosts)
 			began := time.Now()
 			ctx, cancel := context.WithTimeout(t.Context(), played)
 			defer cancel()
 			var wg sync.WaitGroup
-			f.every(ctx, &wg, 5, func(h *host) { h.post("/twice/ending", endingBody) })
-			f.every(ctx, &wg, 40, func(h *host) {
+			f.callAtRate(ctx, &wg, 5, func(h *host) { h.post("/twice/ending", crashingBody) })
+			f.callAtRate(ctx, &wg, 40, func(h *host) {
 				judging := time.Since(began) > judged
 				status := h.post("/twice/ending", "innocent")
 				if !judging {
@@ -203,7 +203,7 @@
 				}
 				seen.mu.Lock()
 				defer seen.mu.Unlock()
-				seen.asked++
+				seen.sent++
 				if status == http.StatusOK {
 					seen.served++
 				}
@@ -219,24 +219,24 @@
 			}
 			t.Logf("%d log lines about runs that ended with a crash of their backend server", lines)
 			seen.check(t)
-			if name != "daemons restart" && seen.served < seen.asked*99/100 {
-				t.Fatalf("%d of %d innocent requests were served after the quarantine was due", seen.served, seen.asked)
+			if name != "daemons restart" && seen.served < seen.sent*99/100 {
+				t.Fatalf("%d of %d innocent requests were served after the quarantine was due", seen.served, seen.sent)
 			}
 		})
 	}
 }
 
-// TestEndsOfBackendServersAloneRefuseNobody guards against the quarantine of requests that merely run at the time
+// TestUnrelatedCrashesQuarantineNoRequest guards against the quarantine of requests that merely run at the time
 // of a crash: backend servers crash every 0.9 s while the same three requests run at all of them.
-func TestEndsOfBackendServersAloneRefuseNobody(t *testing.T) {
+func TestUnrelatedCrashesQuarantineNoRequest(t *testing.T) {
 	const hosts, played = 8, 8 * time.Second
-	f, _ := newEnding(t, hosts)
+	f, _ := newCrashingFleet(t, hosts)
 	ctx, cancel := context.WithTimeout(t.Context(), played)
 	defer cancel()
 	var wg sync.WaitGroup
 	var asked, served atomic.Int64
 	for n := range 3 {
-		f.every(ctx, &wg, 40, func(h *host) {
+		f.callAtRate(ctx, &wg, 40, func(h *host) {
 			asked.Add(1)
 			if h.post(fmt.Sprintf("/twice/innocent%d", n), "same") == http.StatusOK {
 				served.Add(1)
@@ -254,9 +254,9 @@
 	}
 }
 
-// TestWhatIsNoEndOfABackendServer guards against counting a broken connection of a running backend server, or the
+// TestOtherFailuresAreNotCountedAsCrashes guards against counting a broken connection of a running backend server, or the
 // exit of a draining one, as a crash caused by the request.
-func TestWhatIsNoEndOfABackendServer(t *testing.T) {
+func TestOtherFailuresAreNotCountedAsCrashes(t *testing.T) {
 	tests := map[string]func(*host) func(http.ResponseWriter, *http.Request){
 		"a broken connection": func(*host) func(http.ResponseWriter, *http.Request) {
 			return func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
@@ -272,9 +272,9 @@
 	for _, name := range slices.Sorted(maps.Keys(tests)) {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f, _ := newEnding(t, 4)
+			f, _ := newCrashingFleet(t, 4)
 			for _, h := range f.hosts {
-				h.does(tests[name](h))
+				h.setHandler(tests[name](h))
 			}
 			for n := range 3 * len(f.hosts) {
 				f.hosts[n%len(f.hosts)].post("/once/guilty", "same")
@@ -289,67 +289,67 @@
 	}
 }
 
-// TestAQuarantineIsSeenAndLifted guards against quarantines that operators cannot list and lift at a host other than
+// TestQuarantineIsListedAndLifted guards against quarantines that operators cannot list and lift at a host other than
 // the one that first detected them.
-func TestAQuarantineIsSeenAndLifted(t *testing.T) {
-	f, _ := newEnding(t, 5)
+func TestQuarantineIsListedAndLifted(t *testing.T) {
+	f, _ := newCrashingFleet(t, 5)
 	first, other := f.hosts[0], f.hosts[1]
-	f.await("the request is quarantined and its trial has failed", func() bool { // three crashes and one trial
-		first.post("/twice/ending", endingBody)
+	f.waitUntil("the request is quarantined and its trial has failed", func() bool { // three crashes and one trial
+		first.post("/twice/ending", crashingBody)
 		held := other.quarantined(t)
 		return len(held) == 1 && held[0].Tried.Or("") != ""
 	})
-	f.await("all backend servers have restarted", func() bool {
-		return !slices.ContainsFunc(f.hosts, func(h *host) bool { return h.away.Load() })
+	f.waitUntil("all backend servers have restarted", func() bool {
+		return !slices.ContainsFunc(f.hosts, func(h *host) bool { return h.crashed.Load() })
 	})
 	for _, h := range f.hosts {
-		h.does(func(w http.ResponseWriter, _ *http.Request) { signed(w, http.StatusOK, "mended") })
+		h.setHandler(func(w http.ResponseWriter, _ *http.Request) { writeSigned(w, http.StatusOK, "mended") })
 	}
 	held := other.quarantined(t)[0]
-	if held.Standing != "quarantined" || held.Path != "/twice/ending" || held.Method != http.MethodPost || len(held.Ended) != endsAllowed {
+	if held.Standing != "quarantined" || held.Path != "/twice/ending" || held.Method != http.MethodPost || len(held.Ended) != crashesAllowed {
 		t.Fatalf("operator API lists %+v", held)
 	}
-	code, retry := first.refusal("/twice/ending", endingBody)
+	code, retry := first.refusal("/twice/ending", crashingBody)
 	if code != "2025 quarantined" || retry != "" {
 		t.Fatalf("got result %q, Retry-After %q; want 2025 without Retry-After", code, retry)
 	}
 	if _, err := other.operators(t).LiftQuarantine(t.Context(), &operatorapi.Lift{Fingerprint: held.Fingerprint}); err != nil {
 		t.Fatal(err)
 	}
-	f.await("the request is served at every host", func() bool {
-		return !slices.ContainsFunc(f.hosts, func(h *host) bool { return h.post("/twice/ending", endingBody) != http.StatusOK })
+	f.waitUntil("the request is served at every host", func() bool {
+		return !slices.ContainsFunc(f.hosts, func(h *host) bool { return h.post("/twice/ending", crashingBody) != http.StatusOK })
 	})
 	if held := other.quarantined(t); len(held) > 0 {
 		t.Fatalf("operator API lists lifted quarantines: %+v", held)
 	}
 }
 
-// TestARefusedRequestKeepsNoSlot guards against slots that stay reserved for a non-idempotent request after its
+// TestQuarantinedRequestKeepsNoSlot guards against slots that stay reserved for a non-idempotent request after its
 // quarantine refuses it.
-func TestARefusedRequestKeepsNoSlot(t *testing.T) {
-	f, _ := newEnding(t, 5)
-	f.await("the request is quarantined and its trial has failed", func() bool {
-		f.hosts[0].post("/once/ending", endingBody)
+func TestQuarantinedRequestKeepsNoSlot(t *testing.T) {
+	f, _ := newCrashingFleet(t, 5)
+	f.waitUntil("the request is quarantined and its trial has failed", func() bool {
+		f.hosts[0].post("/once/ending", crashingBody)
 		held := f.hosts[1].quarantined(t)
 		return len(held) == 1 && held[0].Tried.Or("") != ""
 	})
-	f.await("all backend servers have restarted", func() bool {
-		return !slices.ContainsFunc(f.hosts, func(h *host) bool { return h.away.Load() })
+	f.waitUntil("all backend servers have restarted", func() bool {
+		return !slices.ContainsFunc(f.hosts, func(h *host) bool { return h.crashed.Load() })
 	})
 	for n := range 4 * len(f.hosts) {
-		if code, _ := f.hosts[n%len(f.hosts)].refusal("/once/ending", endingBody); code != "2025 quarantined" {
+		if code, _ := f.hosts[n%len(f.hosts)].refusal("/once/ending", crashingBody); code != "2025 quarantined" {
 			t.Fatalf("got result %q, want 2025 quarantined", code)
 		}
 	}
 	for _, h := range f.hosts {
-		if running := h.running(t); running != "0" {
-			t.Errorf("%s has %s slots in use, want 0", h.name, running)
+		if slotsInUse := h.slotsInUse(t); slotsInUse != "0" {
+			t.Errorf("%s has %s slots in use, want 0", h.name, slotsInUse)
 		}
 	}
 }
 
-// running returns how many slots of the host's backend server are in use, as reported by its sidecar.
-func (h *host) running(t *testing.T) string {
+// slotsInUse returns how many slots of the host's backend server are in use, as reported by its sidecar.
+func (h *host) slotsInUse(t *testing.T) string {
 	t.Helper()
 	why, err := h.operators(t).Why(t.Context(), operatorapi.WhyParams{BackendServer: h.name})
 	if err != nil {
--- a/test/registered/fleet_test.go
+++ b/test/registered/fleet_test.go
@@ -26,8 +26,8 @@
 )
 
 const (
-	// patience bounds waits for conditions that a passing test meets much sooner.
-	patience = 20 * time.Second
+	// waitTimeout bounds waits for conditions that a passing test meets much sooner.
+	waitTimeout = 20 * time.Second
 	// dataCentres is the number of data centres that the hosts are spread over. Within a single one, every
 	// backend server gets some of the requests, which shows the backend servers that a host knows.
 	dataCentres = 1
@@ -71,8 +71,8 @@
 	sequence int64
 	unready  time.Duration // how long its daemon continues to serve during a planned stop
 	served   atomic.Int64
-	away     atomic.Bool // the backend server has crashed and not restarted yet
-	work     atomic.Pointer[func(http.ResponseWriter, *http.Request)]
+	crashed  atomic.Bool // the backend server has crashed and not restarted yet
+	handler  atomic.Pointer[func(http.ResponseWriter, *http.Request)]
 	log      syncBuffer
 }
 
@@ -102,22 +102,22 @@
 func newFleet(t testing.TB, count int) *fleet {
 	t.Helper()
 	f := newStore(t)
-	f.desire(1, "/twice/")
+	f.writeDesired(1, "/twice/")
 	for range count {
 		f.add("lookup").start()
 	}
 	for _, h := range f.hosts {
-		h.begin("first")
+		h.startIncarnation("first")
 	}
 	for _, h := range f.hosts {
-		h.awaitReady()
-		f.await("every backend server to be reachable from "+h.daemonName(), func() bool { return h.known() == count })
+		h.waitReady()
+		f.waitUntil("every backend server to be reachable from "+h.daemonName(), func() bool { return h.reachable() == count })
 	}
 	return f
 }
 
-// stopTogether makes the daemons stop concurrently at the end of the test.
-func (f *fleet) stopTogether() {
+// stopConcurrently makes the daemons stop concurrently at the end of the test.
+func (f *fleet) stopConcurrently() {
 	f.t.Cleanup(func() {
 		for _, h := range f.hosts {
 			h.stop()
@@ -138,19 +138,19 @@
 // add adds a host with a backend server of the service. It does not start the daemon.
 func (f *fleet) add(service string) *host {
 	h := &host{fleet: f, number: len(f.hosts), service: service}
-	h.backend = httptest.NewServer(http.HandlerFunc(h.answer))
+	h.backend = httptest.NewServer(http.HandlerFunc(h.serve))
 	f.t.Cleanup(h.backend.Close)
 	f.hosts = append(f.hosts, h)
 	return h
 }
 
-func (f *fleet) desire(version int, path string) {
+func (f *fleet) writeDesired(version int, path string) {
 	f.store.Write(platform.DesiredKey, fmt.Appendf(nil, desiredText, version, path))
 }
 
-func (f *fleet) await(what string, done func() bool) {
+func (f *fleet) waitUntil(what string, done func() bool) {
 	f.t.Helper()
-	for end := time.Now().Add(patience); !done(); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !done(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
 			for _, h := range f.hosts {
 				f.t.Logf("log of %s:\n%s", h.daemonName(), h.log.b.String())
@@ -193,8 +193,8 @@
 	<-h.ended
 }
 
-// begin starts a new incarnation of the backend server and checks it in.
-func (h *host) begin(incarnation string) {
+// startIncarnation starts a new incarnation of the backend server and checks it in.
+func (h *host) startIncarnation(incarnation string) {
 	h.name = fmt.Sprintf("i-%s-%d", incarnation, h.number)
 	h.sequence = 0
 	h.checkIn("ready")
@@ -203,7 +203,7 @@
 // checkIn sends a check-in with the state until the daemon confirms it.
 func (h *host) checkIn(state string) {
 	h.fleet.t.Helper()
-	h.tell(http.MethodPut, h.nextCheckIn(state))
+	h.sendCheckIn(http.MethodPut, h.nextCheckIn(state))
 }
 
 // nextCheckIn returns the body of the backend server's next check-in.
@@ -213,14 +213,14 @@
 		h.service, h.backend.Listener.Addr(), state, h.sequence)
 }
 
-func (h *host) tell(method, body string) {
+func (h *host) sendCheckIn(method, body string) {
 	h.fleet.t.Helper()
-	h.fleet.await(method+" of "+h.name, func() bool { return h.tellOnce(method, h.name, body) == http.StatusOK })
+	h.fleet.waitUntil(method+" of "+h.name, func() bool { return h.sendCheckInOnce(method, h.name, body) == http.StatusOK })
 }
 
-// tellOnce sends the host's daemon one check-in or deregistration of the backend server of that name and returns
+// sendCheckInOnce sends the host's daemon one check-in or deregistration of the backend server of that name and returns
 // the status, 0 without a response.
-func (h *host) tellOnce(method, name, body string) int {
+func (h *host) sendCheckInOnce(method, name, body string) int {
 	r, err := http.NewRequest(method, "http://"+h.ip()+":1004/v1/backend-servers/"+name, strings.NewReader(body))
 	if err != nil {
 		return 0
@@ -233,13 +233,13 @@
 	return response.StatusCode
 }
 
-func (h *host) awaitReady() {
+func (h *host) waitReady() {
 	h.fleet.t.Helper()
-	h.fleet.await(h.daemonName()+" is ready", h.ready)
+	h.fleet.waitUntil(h.daemonName()+" is ready", h.isReady)
 }
 
-// ready reports whether the daemon's readiness check succeeds.
-func (h *host) ready() bool {
+// isReady reports whether the daemon's readiness check succeeds.
+func (h *host) isReady() bool {
 	response, err := http.Get("http://" + h.ip() + ":1005/ready")
 	if err != nil {
 		return false
@@ -248,8 +248,8 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// known returns how many backend servers receive requests that are sent to this host.
-func (h *host) known() int {
+// reachable returns how many backend servers receive requests that are sent to this host.
+func (h *host) reachable() int {
 	before := make([]int64, len(h.fleet.hosts))
 	for i, other := range h.fleet.hosts {
 		before[i] = other.served.Load()
@@ -257,39 +257,41 @@
 	for range 8 * len(h.fleet.hosts) {
 		h.get("/twice/x")
 	}
-	known := 0
+	reachable := 0
 	for i, other := range h.fleet.hosts {
 		if other.served.Load() > before[i] {
-			known++
+			reachable++
 		}
 	}
-	return known
+	return reachable
 }
 
-// answer handles a request as the backend server. It refuses those for another incarnation.
-func (h *host) answer(w http.ResponseWriter, r *http.Request) {
+// serve handles a request as the backend server. It refuses those for another incarnation.
+func (h *host) serve(w http.ResponseWriter, r *http.Request) {
 	if r.Header.Get("Target-Instance") != h.name {
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
 	h.served.Add(1)
 	w.Header().Set("Request-Id", r.Header.Get("Request-Id"))
-	if work := h.work.Load(); work != nil {
-		(*work)(w, r)
+	if handler := h.handler.Load(); handler != nil {
+		(*handler)(w, r)
 		return
 	}
 	time.Sleep(2 * time.Millisecond) // so that concurrent requests are spread over the other hosts too
-	signed(w, http.StatusOK, "done")
+	writeSigned(w, http.StatusOK, "done")
 }
 
-func signed(w http.ResponseWriter, status int, body string) {
+func writeSigned(w http.ResponseWriter, status int, body string) {
 	w.Header().Set("Response-Signature", "sum")
 	w.WriteHeader(status)
 	_, _ = io.WriteString(w, body)
 }
 
-// does replaces the handler of the backend server.
-func (h *host) does(work func(http.ResponseWriter, *http.Request)) { h.work.Store(&work) }
+// setHandler replaces the handler of the backend server.
+func (h *host) setHandler(handler func(http.ResponseWriter, *http.Request)) {
+	h.handler.Store(&handler)
+}
 
 var nextID atomic.Int64
 
--- a/test/registered/registered_test.go
+++ b/test/registered/registered_test.go
@@ -12,12 +12,12 @@
 	"time"
 )
 
-// TestRequestsCarryWhatTheySay guards against wrong or internal headers on requests that reach a backend server.
-func TestRequestsCarryWhatTheySay(t *testing.T) {
+// TestRequestsReachBackendServersWithTheirHeaders guards against wrong or internal headers on requests that reach a backend server.
+func TestRequestsReachBackendServersWithTheirHeaders(t *testing.T) {
 	f := newFleet(t, 2)
 	var wrong atomic.Pointer[string]
 	for _, h := range f.hosts {
-		h.does(func(w http.ResponseWriter, r *http.Request) {
+		h.setHandler(func(w http.ResponseWriter, r *http.Request) {
 			left, err := strconv.Atoi(r.Header.Get("Request-Deadline-Ms"))
 			if err != nil || left <= 0 || left > 1500 || r.Header.Get("Caller-Service") != "lookup" || r.Host != "a.example" || r.URL.Path != "/once/x" {
 				text := r.Host + r.URL.Path + " " + r.Header.Get("Request-Deadline-Ms") + " " + r.Header.Get("Caller-Service")
@@ -28,7 +28,7 @@
 					wrong.Store(&name)
 				}
 			}
-			signed(w, http.StatusCreated, "made")
+			writeSigned(w, http.StatusCreated, "made")
 		})
 	}
 	for _, h := range f.hosts {
@@ -46,24 +46,24 @@
 	}
 }
 
-// TestAnOutageOfTheStoreStopsNothing guards against daemons that miss new backend servers during an outage of the
+// TestFleetFollowsChangesThroughStoreOutage guards against daemons that miss new backend servers during an outage of the
 // store, or changes of the desired state after it.
-func TestAnOutageOfTheStoreStopsNothing(t *testing.T) {
+func TestFleetFollowsChangesThroughStoreOutage(t *testing.T) {
 	f := newFleet(t, 4)
 	f.store.SetOutage(true)
-	f.hosts[0].begin("second")
-	f.await("other hosts to reach the new incarnation", func() bool { return f.hosts[1].known() == 4 && f.hosts[3].known() == 4 })
+	f.hosts[0].startIncarnation("second")
+	f.waitUntil("other hosts to reach the new incarnation", func() bool { return f.hosts[1].reachable() == 4 && f.hosts[3].reachable() == 4 })
 	f.store.ExpireLeases()
 	f.store.CompactHistory()
-	f.desire(2, "/changed/")
+	f.writeDesired(2, "/changed/")
 	f.store.SetOutage(false)
 	for _, h := range f.hosts {
-		f.await("the changed routes to be in force at "+h.daemonName(), func() bool {
+		f.waitUntil("the changed routes to be in force at "+h.daemonName(), func() bool {
 			status, _ := h.get("/changed/x")
 			return status == http.StatusOK
 		})
 	}
-	f.await("the hosts to write their records again", func() bool {
+	f.waitUntil("the hosts to write their records again", func() bool {
 		for _, h := range f.hosts {
 			if _, ok := f.store.Value("tidelift/hosts/" + h.daemonName()); !ok {
 				return false
@@ -73,27 +73,27 @@
 	})
 }
 
-// TestADaemonWithoutTheStoreIsFoundByTheOthers guards against a daemon that stays isolated after a restart during an
+// TestDaemonRejoinsDuringStoreOutage guards against a daemon that stays isolated after a restart during an
 // outage of the store, when it has neither the hosts nor the desired state.
-func TestADaemonWithoutTheStoreIsFoundByTheOthers(t *testing.T) {
+func TestDaemonRejoinsDuringStoreOutage(t *testing.T) {
 	f := newFleet(t, 3)
 	f.store.SetOutage(true)
 	restarted := f.hosts[1]
 	restarted.end()
 	restarted.start()
 	restarted.checkIn("ready")
-	restarted.awaitReady()
-	f.await("the restarted daemon to reach every backend server", func() bool { return restarted.known() == 3 })
-	f.await("another daemon to reach every backend server", func() bool { return f.hosts[0].known() == 3 })
+	restarted.waitReady()
+	f.waitUntil("the restarted daemon to reach every backend server", func() bool { return restarted.reachable() == 3 })
+	f.waitUntil("another daemon to reach every backend server", func() bool { return f.hosts[0].reachable() == 3 })
 }
 
-// TestLeavingBinds guards against requests to a backend server after its draining or deregistration is confirmed,
+// TestDrainedBackendServerGetsNoRequests guards against requests to a backend server after its draining or deregistration is confirmed,
 // in spite of late check-ins and a restart of its daemon.
-func TestLeavingBinds(t *testing.T) {
+func TestDrainedBackendServerGetsNoRequests(t *testing.T) {
 	f := newFleet(t, 3)
 	leave := map[string]func(*host){
 		"drains first": func(h *host) { h.checkIn("draining") },
-		"deregisters":  func(h *host) { h.tell(http.MethodDelete, "") },
+		"deregisters":  func(h *host) { h.sendCheckIn(http.MethodDelete, "") },
 	}
 	number := 0
 	for name, how := range leave {
@@ -111,8 +111,8 @@
 			h.checkIn("ready")
 			h.end()
 			h.start()
-			h.awaitReady()
-			f.await("the restarted daemon to learn that the backend server has left", func() bool { return h.log.contains(`"why":"left in an earlier life"`) })
+			h.waitReady()
+			f.waitUntil("the restarted daemon to learn that the backend server has left", func() bool { return h.log.contains(`"why":"left in an earlier life"`) })
 			h.checkIn("ready")
 			for range 30 {
 				h.get("/twice/x")
@@ -124,16 +124,16 @@
 	}
 }
 
-// TestAnswers guards against invalid responses that reach callers unchanged, idempotent requests that are not retried
+// TestInvalidResponses guards against invalid responses that reach callers unchanged, idempotent requests that are not retried
 // after one, and non-idempotent requests that are retried although they may have run.
-func TestAnswers(t *testing.T) {
+func TestInvalidResponses(t *testing.T) {
 	f := newFleet(t, 2)
 	bad, good := f.hosts[0], f.hosts[1]
 	for range 400 {
 		good.get("/once/x") // each adds to the retry budget
 	}
 	var name atomic.Pointer[string]
-	good.does(func(w http.ResponseWriter, _ *http.Request) { signed(w, http.StatusOK, "good") })
+	good.setHandler(func(w http.ResponseWriter, _ *http.Request) { writeSigned(w, http.StatusOK, "good") })
 	tests := []struct {
 		name   string
 		answer func(http.ResponseWriter)
@@ -142,7 +142,7 @@
 		{"no digest", func(w http.ResponseWriter) { _, _ = w.Write([]byte("bad")) }, http.StatusBadGateway},
 		{"a coding that was not requested", func(w http.ResponseWriter) {
 			w.Header().Set("Content-Encoding", "gzip")
-			signed(w, http.StatusOK, "bad")
+			writeSigned(w, http.StatusOK, "bad")
 		}, http.StatusBadGateway},
 		{"a refusal without Not-Executed", func(w http.ResponseWriter) { w.WriteHeader(http.StatusServiceUnavailable) }, http.StatusBadGateway},
 		{"a refusal with Not-Executed", func(w http.ResponseWriter) {
@@ -152,12 +152,12 @@
 		{"another incarnation at the address", func(w http.ResponseWriter) { w.WriteHeader(http.StatusMisdirectedRequest) }, http.StatusOK},
 		{"an answer to another request", func(w http.ResponseWriter) {
 			w.Header().Set("Request-Id", "other")
-			signed(w, http.StatusOK, "bad")
+			writeSigned(w, http.StatusOK, "bad")
 		}, http.StatusGatewayTimeout}, // the right response may still follow, so the daemon waits for it
-		{"a failure of its own", func(w http.ResponseWriter) { signed(w, http.StatusInternalServerError, "bad") }, http.StatusInternalServerError},
+		{"a failure of its own", func(w http.ResponseWriter) { writeSigned(w, http.StatusInternalServerError, "bad") }, http.StatusInternalServerError},
 		{"a truncated response", func(w http.ResponseWriter) {
 			w.Header().Set("Content-Length", "99")
-			signed(w, http.StatusOK, "bad")
+			writeSigned(w, http.StatusOK, "bad")
 			panic(http.ErrAbortHandler)
 		}, http.StatusBadGateway},
 	}
@@ -165,11 +165,11 @@
 		t.Run(test.name, func(t *testing.T) {
 			name.Store(&test.name)
 			met := make(chan struct{}, 100)
-			bad.does(func(w http.ResponseWriter, _ *http.Request) {
+			bad.setHandler(func(w http.ResponseWriter, _ *http.Request) {
 				met <- struct{}{}
 				test.answer(w)
 			})
-			for end := time.Now().Add(patience); ; {
+			for end := time.Now().Add(waitTimeout); ; {
 				status, body := good.get("/twice/x")
 				if status != http.StatusOK || body != "good" {
 					t.Fatalf("idempotent request: got status %d, body %q; want 200", status, body)
@@ -185,8 +185,8 @@
 			if len(met) == 0 {
 				t.Fatal("no request reached the backend server with the invalid response")
 			}
-			bad.does(func(w http.ResponseWriter, _ *http.Request) { signed(w, http.StatusOK, "good") })
-			f.await("the backend server to receive requests again", func() bool {
+			bad.setHandler(func(w http.ResponseWriter, _ *http.Request) { writeSigned(w, http.StatusOK, "good") })
+			f.waitUntil("the backend server to receive requests again", func() bool {
 				before := bad.served.Load()
 				for range 4 {
 					good.get("/once/x")
@@ -197,8 +197,8 @@
 	}
 }
 
-// TestHostsOutOfReachAreNotWaitedFor guards against requests that fail or wait because a host has become unreachable.
-func TestHostsOutOfReachAreNotWaitedFor(t *testing.T) {
+// TestUnreachableHostDelaysNoRequests guards against requests that fail or wait because a host has become unreachable.
+func TestUnreachableHostDelaysNoRequests(t *testing.T) {
 	f := newFleet(t, 3)
 	f.hosts[2].end()
 	slow := 0
@@ -216,19 +216,19 @@
 	}
 }
 
-// TestASlowOneIsAskedLast guards against a backend server that is a hundred times slower than the others and keeps
+// TestSlowBackendServerGetsFewRequests guards against a backend server that is a hundred times slower than the others and keeps
 // its share of the requests.
-func TestASlowOneIsAskedLast(t *testing.T) {
+func TestSlowBackendServerGetsFewRequests(t *testing.T) {
 	f := newFleet(t, 3)
 	slow := f.hosts[0]
-	slow.does(func(w http.ResponseWriter, _ *http.Request) {
+	slow.setHandler(func(w http.ResponseWriter, _ *http.Request) {
 		time.Sleep(300 * time.Millisecond)
-		signed(w, http.StatusOK, "slow")
+		writeSigned(w, http.StatusOK, "slow")
 	})
 	// A suspected backend server is probed by one request at a time, whatever the load. Concurrent
 	// callers make the share of probes independent of the latency of the others.
 	const callers, each = 6, 10
-	f.await("the slow backend server to be suspected and receive few requests", func() bool {
+	f.waitUntil("the slow backend server to be suspected and receive few requests", func() bool {
 		before := slow.served.Load()
 		var all sync.WaitGroup
 		for range callers {
@@ -245,14 +245,14 @@
 	})
 }
 
-// TestADaemonThatIsBackKnowsWhoServes guards against a restarted daemon that reports ready before it can send requests
+// TestRestartedDaemonServesFirstRequests guards against a restarted daemon that reports ready before it can send requests
 // to the backend servers of other hosts.
-func TestADaemonThatIsBackKnowsWhoServes(t *testing.T) {
+func TestRestartedDaemonServesFirstRequests(t *testing.T) {
 	f := newFleet(t, 3)
 	for range 3 {
 		f.hosts[0].end()
 		f.hosts[0].start()
-		f.hosts[0].awaitReady()
+		f.hosts[0].waitReady()
 		for range 5 {
 			if status, body := f.hosts[0].get("/once/x"); status != http.StatusOK {
 				t.Fatalf("got status %d, body %q; want 200", status, body)
@@ -261,18 +261,18 @@
 	}
 }
 
-// TestAStoppingDaemonServesUntilCallersAreSentElsewhere guards against a stopping daemon that refuses new connections
+// TestStoppingDaemonServesWhileUnready guards against a stopping daemon that refuses new connections
 // before its callers have had time to notice that it is not ready.
-func TestAStoppingDaemonServesUntilCallersAreSentElsewhere(t *testing.T) {
+func TestStoppingDaemonServesWhileUnready(t *testing.T) {
 	f := newFleet(t, 2)
 	stopped := f.hosts[0]
 	stopped.end()
 	stopped.unready = 800 * time.Millisecond
 	stopped.start()
-	stopped.awaitReady()
-	stopped.begin("second")
+	stopped.waitReady()
+	stopped.startIncarnation("second")
 	go stopped.end()
-	f.await("the stopping daemon to report that it is not ready", func() bool { return !stopped.ready() })
+	f.waitUntil("the stopping daemon to report that it is not ready", func() bool { return !stopped.isReady() })
 	for end := time.Now().Add(stopped.unready / 2); time.Now().Before(end); {
 		http.DefaultClient.CloseIdleConnections()
 		if status, body := stopped.get("/once/x"); status != http.StatusOK {
@@ -281,9 +281,9 @@
 	}
 }
 
-// TestConnectionsWithoutARequestDoNotHoldAStop guards against a stop that waits for connections that callers and other
+// TestIdleConnectionsDoNotDelayStop guards against a stop that waits for connections that callers and other
 // daemons have opened in advance and not used.
-func TestConnectionsWithoutARequestDoNotHoldAStop(t *testing.T) {
+func TestIdleConnectionsDoNotDelayStop(t *testing.T) {
 	f := newFleet(t, 2)
 	stopped := f.hosts[0]
 	for _, port := range []string{"1001", "1002"} {
@@ -300,9 +300,9 @@
 	}
 }
 
-// TestWhatOthersWriteNamesNobody guards against forged check-ins, with an unknown state or service, that affect a
+// TestInvalidCheckInsAreRejected guards against forged check-ins, with an unknown state or service, that affect a
 // backend server of the same name or address.
-func TestWhatOthersWriteNamesNobody(t *testing.T) {
+func TestInvalidCheckInsAreRejected(t *testing.T) {
 	f := newFleet(t, 2)
 	h := f.hosts[1]
 	address := h.backend.Listener.Addr()
@@ -312,14 +312,14 @@
 		"i-empty": fmt.Sprintf(`{"address":"%s"}`, address),
 	}
 	for name, body := range foreign {
-		if status := h.tellOnce(http.MethodPut, name, body); status != http.StatusBadRequest {
+		if status := h.sendCheckInOnce(http.MethodPut, name, body); status != http.StatusBadRequest {
 			t.Errorf("check-in %s: got status %d, want 400", body, status)
 		}
 	}
-	if status := h.tellOnce(http.MethodPut, h.name, fmt.Sprintf(`{"service":"elsewhere","address":"%s","capacity":4,"state":"ready","call-seq":99}`, address)); status != http.StatusBadRequest {
+	if status := h.sendCheckInOnce(http.MethodPut, h.name, fmt.Sprintf(`{"service":"elsewhere","address":"%s","capacity":4,"state":"ready","call-seq":99}`, address)); status != http.StatusBadRequest {
 		t.Errorf("check-in of a running backend server with another service: got status %d, want 400", status)
 	}
-	if known := f.hosts[0].known(); known != 2 {
-		t.Fatalf("%d backend servers receive requests, want 2", known)
+	if reachable := f.hosts[0].reachable(); reachable != 2 {
+		t.Fatalf("%d backend servers receive requests, want 2", reachable)
 	}
 }
--- a/test/registered/shared_test.go
+++ b/test/registered/shared_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// TestFailuresThatManyShareSuspectFew guards against the suspicion of most backend servers of a service when a
+// TestSharedFailuresSuspectFew guards against the suspicion of most backend servers of a service when a
 // dependency fails and no daemon alone sends enough requests to see that all of them fail alike.
-func TestFailuresThatManyShareSuspectFew(t *testing.T) {
+func TestSharedFailuresSuspectFew(t *testing.T) {
 	const (
 		hosts     = 16
 		failing   = 0.3
@@ -19,22 +19,22 @@
 		length    = 4 * time.Second
 	)
 	f := newStore(t)
-	f.desire(1, "/twice/")
+	f.writeDesired(1, "/twice/")
 	for range hosts {
 		f.add("lookup").start()
 	}
-	f.stopTogether()
+	f.stopConcurrently()
 	for _, h := range f.hosts {
-		h.begin("first")
-		h.does(failsAtRandom(failing))
+		h.startIncarnation("first")
+		h.setHandler(randomFailures(failing))
 	}
 	for _, h := range f.hosts {
-		h.awaitReady()
+		h.waitReady()
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	var callers sync.WaitGroup
-	f.every(ctx, &callers, perSecond/2, func(h *host) { h.get("/once/x") })
-	f.every(ctx, &callers, perSecond/2, func(h *host) { h.get("/twice/x") })
+	f.callAtRate(ctx, &callers, perSecond/2, func(h *host) { h.get("/once/x") })
+	f.callAtRate(ctx, &callers, perSecond/2, func(h *host) { h.get("/twice/x") })
 	time.Sleep(length)
 	suspected := f.suspected()
 	cancel()
@@ -45,15 +45,15 @@
 	}
 }
 
-// failsAtRandom returns a handler that fails the given share of requests.
-func failsAtRandom(share float64) func(http.ResponseWriter, *http.Request) {
+// randomFailures returns a handler that fails the given share of requests.
+func randomFailures(share float64) func(http.ResponseWriter, *http.Request) {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		time.Sleep(10 * time.Millisecond)
 		if rand.Float64() < share {
-			signed(w, http.StatusInternalServerError, "a call failed")
+			writeSigned(w, http.StatusInternalServerError, "a call failed")
 			return
 		}
-		signed(w, http.StatusOK, "done")
+		writeSigned(w, http.StatusOK, "done")
 	}
 }
 
