--- a/test/soak/caller_test.go
+++ b/test/soak/caller_test.go
@@ -21,12 +21,12 @@
 // one for each request, with random pauses between. It does not use http.Client, which retries some requests
 // automatically and discards data that arrives before its request.
 type caller struct {
-	address  string // of a daemon, for callers
-	path     string
-	prefix   string // starts each key
-	random   *rand.Rand
-	restMost time.Duration
-	alone    bool // opens a connection for each request
+	address     string // of a daemon, for callers
+	path        string
+	prefix      string // starts each key
+	random      *rand.Rand
+	maxPause    time.Duration
+	newConnEach bool // opens a connection for each request
 
 	conn   net.Conn
 	reader *bufio.Reader
@@ -43,11 +43,11 @@
 		}
 		one := c.send(fmt.Sprintf("%s-%d", c.prefix, n), method)
 		samples = append(samples, one)
-		rest := time.Duration(c.random.Int64N(int64(c.restMost)))
+		pause := time.Duration(c.random.Int64N(int64(c.maxPause)))
 		if one.outcome == outcomeRefused {
-			rest = 20 * time.Millisecond
+			pause = 20 * time.Millisecond
 		}
-		wait.For(ctx, rest)
+		wait.For(ctx, pause)
 	}
 	return samples
 }
@@ -76,10 +76,10 @@
 		one.outcome, one.err = outcomeBroken, err.Error()
 		return one
 	}
-	if response.Close || c.alone {
+	if response.Close || c.newConnEach {
 		c.close()
 	}
-	one.outcome, one.err = judge(key, response, text), response.Header.Get(result.Header)
+	one.outcome, one.err = classify(key, response, text), response.Header.Get(result.Header)
 	return one
 }
 
@@ -97,7 +97,7 @@
 	request.Header.Set(backendserver.HeaderKey, key)
 	request.Header.Set(backendserver.HeaderWork, "10")
 	writeErr := request.Write(c.conn)
-	if err := c.conn.SetReadDeadline(time.Now().Add(answerLimit)); err != nil {
+	if err := c.conn.SetReadDeadline(time.Now().Add(responseTimeout)); err != nil {
 		return nil, "", err
 	}
 	response, err := http.ReadResponse(c.reader, request)
--- a/test/soak/evidence_test.go
+++ b/test/soak/evidence_test.go
@@ -30,9 +30,9 @@
 	return runs
 }
 
-// checkAnswers compares the callers' responses with the runs: a response belongs to its request and is complete, a
+// checkResponses compares the callers' responses with the runs: a response belongs to its request and is complete, a
 // request reported as not run was not run, and a non-idempotent request runs at most once.
-func checkAnswers(t *testing.T, samples []sample, runs map[string]int) {
+func checkResponses(t *testing.T, samples []sample, runs map[string]int) {
 	t.Helper()
 	counts := make(map[outcome]int)
 	for _, s := range samples {
@@ -52,7 +52,7 @@
 	t.Logf("%d requests: %v", len(samples), counts)
 	connected := len(samples) - counts[outcomeRefused]
 	if counts[outcomeOK] <= connected/2 {
-		t.Errorf("%d of %d on a connection were answered: too few to show anything", counts[outcomeOK], connected)
+		t.Errorf("%d of %d requests on a connection succeeded: too few to show anything", counts[outcomeOK], connected)
 	}
 }
 
--- a/test/soak/injector_test.go
+++ b/test/soak/injector_test.go
@@ -18,8 +18,8 @@
 	freezeFor = 1500 * time.Millisecond
 	// delayMillis is longer than the deadline, so that a delayed response exceeds it.
 	delayMillis = 1200
-	// answerBytes is enough for a few dozen responses before the connection is closed.
-	answerBytes = 5000
+	// responseBytes is enough for a few dozen responses before the connection is closed.
+	responseBytes = 5000
 )
 
 // injector injects faults with several concurrent workers. Each worker has its own targets.
@@ -28,10 +28,10 @@
 	workers int
 	ended   sync.WaitGroup
 
-	mu     sync.Mutex
-	counts map[string]int         // injected faults by kind
-	failed []error                // errors of faults that could not be injected
-	lost   []backendserver.Ledger // ledgers of killed backend servers
+	mu          sync.Mutex
+	counts      map[string]int         // injected faults by kind
+	failed      []error                // errors of faults that could not be injected
+	lostLedgers []backendserver.Ledger // ledgers of killed backend servers
 }
 
 // worker injects one fault after another.
@@ -87,14 +87,16 @@
 	w.counts[kind]++
 }
 
-// own returns a random index below count that only this worker uses.
-func (w worker) own(count int) int {
+// ownIndex returns a random index below count that only this worker uses.
+func (w worker) ownIndex(count int) int {
 	return w.number + w.workers*w.random.IntN((count-w.number+w.workers-1)/w.workers)
 }
 
-func (w worker) daemon() *harness.Daemon { return w.fleet.Daemons[w.own(len(w.fleet.Daemons))] }
+func (w worker) daemon() *harness.Daemon { return w.fleet.Daemons[w.ownIndex(len(w.fleet.Daemons))] }
 
-func (w worker) backend() *harness.Backend { return w.fleet.Backends[w.own(len(w.fleet.Backends))] }
+func (w worker) backend() *harness.Backend {
+	return w.fleet.Backends[w.ownIndex(len(w.fleet.Backends))]
+}
 
 func (w worker) freezeDaemon() error {
 	d := w.daemon()
@@ -106,19 +108,19 @@
 	return freeze(b.Stop, b.Continue)
 }
 
-func freeze(stop, goOn func() error) error {
+func freeze(stop, resume func() error) error {
 	if err := stop(); err != nil {
 		return err
 	}
 	time.Sleep(freezeFor)
-	return goOn()
+	return resume()
 }
 
 func (w worker) killDaemon() error {
 	d := w.daemon()
 	d.Kill()
 	time.Sleep(200 * time.Millisecond)
-	ctx, cancel := context.WithTimeout(context.Background(), stopWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	return d.Restart(ctx)
 }
@@ -134,7 +136,7 @@
 		return err
 	}
 	w.mu.Lock()
-	w.lost = append(w.lost, kept)
+	w.lostLedgers = append(w.lostLedgers, kept)
 	w.mu.Unlock()
 	b.Kill()
 	if err := b.Start(); err != nil {
@@ -150,7 +152,7 @@
 }
 
 func (w worker) limitAnswers() error {
-	return w.onLink(func(link string) error { return w.fleet.Faults.LimitData(link, harness.Answers, answerBytes) }, time.Second)
+	return w.onLink(func(link string) error { return w.fleet.Faults.LimitData(link, harness.Answers, responseBytes) }, time.Second)
 }
 
 func (w worker) delayAnswers() error {
--- a/test/soak/load_test.go
+++ b/test/soak/load_test.go
@@ -17,9 +17,9 @@
 	"github.com/tideliftd/tidelift/test/backendserver"
 )
 
-// answerLimit bounds the wait for a response. It is far above every deadline here, so that only a response
+// responseTimeout bounds the wait for a response. It is far above every deadline here, so that only a response
 // that is never sent exceeds it.
-const answerLimit = 40 * time.Second
+const responseTimeout = 40 * time.Second
 
 // outcome classifies the response to a request.
 type outcome string
@@ -56,15 +56,15 @@
 	workMillis, spread float64
 	// prefix starts each key.
 	prefix string
-	// alone opens a connection for each request.
-	alone bool
+	// newConnEach opens a connection for each request.
+	newConnEach bool
 }
 
 // run sends the stream until ctx ends and returns all samples, in no particular order.
 func (s stream) run(ctx context.Context) []sample {
-	transport := &http.Transport{MaxIdleConnsPerHost: 4096, DisableCompression: true, DisableKeepAlives: s.alone}
+	transport := &http.Transport{MaxIdleConnsPerHost: 4096, DisableCompression: true, DisableKeepAlives: s.newConnEach}
 	defer transport.CloseIdleConnections()
-	client := &http.Client{Transport: transport, Timeout: answerLimit}
+	client := &http.Client{Transport: transport, Timeout: responseTimeout}
 	var (
 		samples []sample
 		mu      sync.Mutex
@@ -107,7 +107,7 @@
 		one.outcome, one.err = outcomeBroken, err.Error()
 		return one
 	}
-	one.outcome, one.err = judge(one.key, response, string(text)), response.Header.Get(result.Header)
+	one.outcome, one.err = classify(one.key, response, string(text)), response.Header.Get(result.Header)
 	return one
 }
 
@@ -118,8 +118,8 @@
 	return outcomeBroken
 }
 
-// judge classifies a response that was received without an error.
-func judge(key string, response *http.Response, text string) outcome {
+// classify classifies a response that was received without an error.
+func classify(key string, response *http.Response, text string) outcome {
 	if number, _, ok := strings.Cut(response.Header.Get(result.Header), " "); ok {
 		code, err := strconv.Atoi(number)
 		if known, ok := result.ByNumber(code); err == nil && ok && known.Ran == result.RanNo {
--- a/test/soak/planned_test.go
+++ b/test/soak/planned_test.go
@@ -44,17 +44,17 @@
 		DataCentres: dataCentres,
 		HostsEach:   *hostsEach,
 		// The deadline is long, so that no request exceeds it on a busy machine.
-		Services: []harness.Service{{Name: "akten", Floor: 2, Servers: hosts, Slots: 20, Queue: 40, Deadline: stopWithin}},
+		Services: []harness.Service{{Name: "akten", Floor: 2, Servers: hosts, Slots: 20, Queue: 40, Deadline: stopTimeout}},
 	})
 	ctx, cancel := context.WithTimeout(t.Context(), length)
 	defer cancel()
-	work := &planned{fleet: f, revision: 1}
+	work := &plannedOperations{fleet: f, revision: 1}
 	var workersEnded sync.WaitGroup
 	for number := range workers {
-		w := plannedWorker{planned: work, t: t, number: number, workers: workers, random: rand.New(rand.NewPCG(seed, uint64(number)))}
+		w := plannedWorker{plannedOperations: work, t: t, number: number, workers: workers, random: rand.New(rand.NewPCG(seed, uint64(number)))}
 		workersEnded.Go(func() { w.run(ctx) })
 	}
-	samples := callWhile(ctx, f, seed)
+	samples := runCallers(ctx, f, seed)
 	workersEnded.Wait()
 	work.changes.Wait()
 	t.Logf("%d stops, %d signals, %d changes accepted", work.stops, work.signals, work.revision-1)
@@ -62,7 +62,7 @@
 		t.Error("no daemon was stopped or no change was accepted, so the test shows nothing")
 	}
 	runs := runsOf(t, f, nil)
-	checkAnswers(t, samples, runs)
+	checkResponses(t, samples, runs)
 	for _, s := range samples {
 		if s.outcome == outcomeBroken || s.outcome == outcomeIndeterminate {
 			t.Errorf("%s was cut off after %d runs: %s %s", s.key, runs[s.key], s.outcome, s.err)
@@ -71,9 +71,9 @@
 	checkRevisions(t, f, work.revision)
 }
 
-// TestHangUpInAPlannedStopEndsNothing guards against a daemon that is killed by SIGHUP during a planned stop, when
+// TestSIGHUPDuringPlannedStopIsIgnored guards against a daemon that is killed by SIGHUP during a planned stop, when
 // an operator's tool reloads settings and stops daemons in turn.
-func TestHangUpInAPlannedStopEndsNothing(t *testing.T) {
+func TestSIGHUPDuringPlannedStopIsIgnored(t *testing.T) {
 	f := start(t, harness.Spec{
 		DataCentres: []string{"rosenheim"},
 		HostsEach:   1,
@@ -109,13 +109,13 @@
 	}
 }
 
-// callWhile runs callers at every daemon until ctx ends and returns their samples.
-func callWhile(ctx context.Context, f *harness.Fleet, seed uint64) []sample {
+// runCallers runs callers at every daemon until ctx ends and returns their samples.
+func runCallers(ctx context.Context, f *harness.Fleet, seed uint64) []sample {
 	const (
-		keptEach   = 4
-		aloneEach  = 2
-		aloneRests = 40 * time.Millisecond // maximum pause in a fleet of fewDaemons
-		fewDaemons = 6
+		keptConnCallers = 4
+		newConnCallers  = 2
+		newConnMaxPause = 40 * time.Millisecond // maximum pause in a fleet of fewDaemons
+		fewDaemons      = 6
 	)
 	var (
 		all   []sample
@@ -131,12 +131,12 @@
 		})
 	}
 	for i, d := range f.Daemons {
-		for n := range keptEach + aloneEach {
+		for n := range keptConnCallers + newConnCallers {
 			c := &caller{address: d.Callers(), path: "/akten/x", prefix: fmt.Sprintf("c%d.%d", i, n), random: rand.New(rand.NewPCG(seed, uint64(1000*(i+1)+n)))}
-			c.alone = n >= keptEach
-			c.restMost = 10 * time.Millisecond << (2 * n) // 10 to 640 ms
-			if c.alone {
-				c.restMost = aloneRests * time.Duration(max(1, len(f.Daemons)/fewDaemons)) // keeps the total load constant
+			c.newConnEach = n >= keptConnCallers
+			c.maxPause = 10 * time.Millisecond << (2 * n) // 10 to 640 ms
+			if c.newConnEach {
+				c.maxPause = newConnMaxPause * time.Duration(max(1, len(f.Daemons)/fewDaemons)) // keeps the total load constant
 			}
 			call(c)
 		}
@@ -145,8 +145,8 @@
 	return all
 }
 
-// planned counts the operations on a fleet.
-type planned struct {
+// plannedOperations counts the operations on a fleet.
+type plannedOperations struct {
 	fleet   *harness.Fleet
 	changes sync.WaitGroup // changes that are made concurrently with stops
 
@@ -158,7 +158,7 @@
 
 // plannedWorker performs one planned operation after another. It stops and signals only its own daemons.
 type plannedWorker struct {
-	*planned
+	*plannedOperations
 	t       *testing.T
 	number  int
 	workers int
@@ -192,11 +192,11 @@
 		w.t.Error(err)
 		return
 	}
-	if !d.Wait(stopWithin) {
-		w.t.Errorf("daemon %s did not stop in %s", d.Name, stopWithin)
+	if !d.Wait(stopTimeout) {
+		w.t.Errorf("daemon %s did not stop in %s", d.Name, stopTimeout)
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), stopWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	if err := d.Restart(ctx); err != nil {
 		w.t.Error(err)
@@ -223,7 +223,7 @@
 	w.mu.Lock()
 	base := w.revision
 	w.mu.Unlock()
-	ctx, cancel := context.WithTimeout(context.Background(), stopWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	text := fmt.Sprintf("# change %d of worker %d\n%s", n, w.number, w.fleet.Declaration())
 	accepted, err := w.fleet.Apply(ctx, daemon, text, base, fmt.Sprintf("%d-%d", w.number, n))
@@ -239,7 +239,7 @@
 // a revision by an older one.
 func checkRevisions(t *testing.T, f *harness.Fleet, revision int64) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), stopWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	if err := f.WaitRevision(ctx, revision); err != nil {
 		t.Error(err)
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -29,17 +29,17 @@
 const (
 	// idempotent is the method of requests that may run more than once.
 	idempotent = http.MethodGet
-	// stopWithin bounds one stop or start of a daemon.
-	stopWithin = 20 * time.Second
+	// stopTimeout bounds one stop or start of a daemon.
+	stopTimeout = 20 * time.Second
 	// warmUp is the time in which the observers establish a latency baseline.
 	warmUp = 5 * time.Second
 )
 
-// keptSeeds are the seeds that CI runs.
-const keptSeeds = "1"
+// defaultSeeds are the seeds that CI runs.
+const defaultSeeds = "1"
 
 var (
-	seeds    = flag.String("seeds", keptSeeds, "the soaks' seeds, separated by commas")
+	seeds    = flag.String("seeds", defaultSeeds, "the soaks' seeds, separated by commas")
 	logs     = flag.String("logs", "", "a folder that keeps the daemons' logs")
 	programs harness.Programs
 )
@@ -100,7 +100,7 @@
 		t.Errorf("inject fault: %v", err)
 	}
 	t.Logf("faults: %v", faults.counts)
-	checkAnswers(t, samples, runsOf(t, f, faults.lost))
+	checkResponses(t, samples, runsOf(t, f, faults.lostLedgers))
 	checkFloor(t, f, reads)
 	checkFloor(t, f, payments)
 }
@@ -109,8 +109,8 @@
 // stall, a daemon is killed and lost control responses give each data centre a different view.
 func TestFloorHoldsWhereDataCentresDisagree(t *testing.T) {
 	const (
-		length = 18 * time.Second
-		sick   = 4
+		length    = 18 * time.Second
+		unhealthy = 4
 	)
 	lookup := harness.Service{Name: "lookup", Floor: 4, Servers: 6, Slots: 60, Queue: 60, Deadline: 1500 * time.Millisecond, Detection: "swift"}
 	f := start(t, harness.Spec{
@@ -128,22 +128,22 @@
 		})
 	}
 	injected := make(chan error, 1)
-	go func() { injected <- disagree(ctx, f, sick) }()
+	go func() { injected <- makeViewsDisagree(ctx, f, unhealthy) }()
 	samples := runAll(ctx, streams)
 	if err := <-injected; err != nil {
 		t.Fatal(err)
 	}
-	checkAnswers(t, samples, runsOf(t, f, nil))
+	checkResponses(t, samples, runsOf(t, f, nil))
 	if checkFloor(t, f, lookup) == 0 {
 		t.Error("no backend server was ejected, so the test shows nothing")
 	}
 }
 
-// disagree stalls one backend server after another, half a second apart, drops the responses of control calls
+// makeViewsDisagree stalls one backend server after another, half a second apart, drops the responses of control calls
 // for a few seconds, and restarts a daemon.
-func disagree(ctx context.Context, f *harness.Fleet, sick int) error {
+func makeViewsDisagree(ctx context.Context, f *harness.Fleet, unhealthy int) error {
 	wait.For(ctx, warmUp)
-	for _, b := range f.Backends[:sick] {
+	for _, b := range f.Backends[:unhealthy] {
 		if err := b.SetMode(backendserver.Mode{Stall: 1}); err != nil {
 			return err
 		}
@@ -165,7 +165,7 @@
 		}
 	}
 	f.Daemons[0].Kill()
-	starting, cancel := context.WithTimeout(context.Background(), stopWithin)
+	starting, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	return f.Daemons[0].Restart(starting)
 }
@@ -185,7 +185,7 @@
 	f.Platform.SetOutage(true)
 	replaceAll(t, f, "without")
 	f.Platform.SetOutage(false)
-	ctx, cancel := context.WithTimeout(context.Background(), stopWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	if _, err := f.Apply(ctx, 0, "# changed\n"+f.Declaration(), 1, "after the outage"); err != nil {
 		t.Fatal(err)
@@ -208,11 +208,11 @@
 	go func() { done <- load.run(ctx) }()
 	for _, d := range f.Daemons {
 		stopAsPlanned(t, d)
-		startAgain(t, d)
+		restart(t, d)
 		time.Sleep(500 * time.Millisecond)
 	}
 	cancel()
-	checkAnswers(t, <-done, runsOf(t, f, nil))
+	checkResponses(t, <-done, runsOf(t, f, nil))
 }
 
 // stopAsPlanned stops a daemon gracefully and waits until it has ended.
@@ -221,15 +221,15 @@
 	if err := d.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	if !d.Wait(stopWithin) {
-		t.Fatalf("daemon %s did not stop in %s", d.Name, stopWithin)
+	if !d.Wait(stopTimeout) {
+		t.Fatalf("daemon %s did not stop in %s", d.Name, stopTimeout)
 	}
 }
 
-// startAgain starts a stopped daemon, which has lost all state in memory.
-func startAgain(t *testing.T, d *harness.Daemon) {
+// restart starts a stopped daemon, which has lost all state in memory.
+func restart(t *testing.T, d *harness.Daemon) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), stopWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	if err := d.Restart(ctx); err != nil {
 		t.Fatal(err)
@@ -248,7 +248,7 @@
 	for number := range stops {
 		samples := stopAmongCallers(t, f, fmt.Sprintf("s%d", number))
 		runs := runsOf(t, f, nil)
-		checkAnswers(t, samples, runs)
+		checkResponses(t, samples, runs)
 		for _, s := range samples {
 			if s.outcome == outcomeBroken || s.outcome == outcomeIndeterminate {
 				t.Errorf("%s was cut off after %d runs: %s %s", s.key, runs[s.key], s.outcome, s.err)
@@ -271,7 +271,7 @@
 	for caller := range callers {
 		streams = append(streams, stream{
 			urls: []string{f.URL(0, "akten", "/x")}, method: idempotent, interval: 20 * time.Millisecond,
-			workMillis: 1, prefix: fmt.Sprintf("%s.%d", prefix, caller), alone: true,
+			workMillis: 1, prefix: fmt.Sprintf("%s.%d", prefix, caller), newConnEach: true,
 		})
 	}
 	done := make(chan []sample, 1)
@@ -280,6 +280,6 @@
 	stopAsPlanned(t, f.Daemons[0])
 	cancel()
 	samples := <-done
-	startAgain(t, f.Daemons[0])
+	restart(t, f.Daemons[0])
 	return samples
 }
