--- a/test/demo/main.go
+++ b/test/demo/main.go
@@ -97,7 +97,7 @@
 
 // tidelift runs the operators' command-line tool against a daemon.
 func tidelift(programs harness.Programs, d *harness.Daemon, arguments ...string) error {
-	all := append([]string{"--daemon", "http://" + d.Operators()}, arguments...)
+	all := append([]string{"--daemon", "http://" + d.OperatorsAddress()}, arguments...)
 	fmt.Printf("\n$ tidelift %v\n", arguments)
 	command := exec.Command(programs.Path("tidelift"), all...)
 	command.Stdout = os.Stdout
--- a/test/harness/backend.go
+++ b/test/harness/backend.go
@@ -17,32 +17,32 @@
 	Service Service
 	Host    *Daemon
 
-	fleet  *Fleet
-	number int // index in the fleet
-	place  int // index in the service
+	fleet        *Fleet
+	number       int // index in the fleet
+	serviceIndex int // index in the service
 }
 
-// Work returns the IP:port at which the backend server itself receives requests, behind any proxy.
-func (b *Backend) Work() string {
+// Address returns the IP:port at which the backend server itself receives requests, behind any proxy.
+func (b *Backend) Address() string {
 	if b.Service.Addresses != nil {
-		return b.Service.Addresses[b.place]
+		return b.Service.Addresses[b.serviceIndex]
 	}
-	return b.fleet.net.address(b.Host.number, portWork+b.number)
+	return b.fleet.net.address(b.Host.number, portBackend+b.number)
 }
 
-func (b *Backend) workProxy() string {
-	return b.fleet.net.address(b.Host.number, portWorkProxy+b.number)
+func (b *Backend) proxyAddress() string {
+	return b.fleet.net.address(b.Host.number, portBackendProxy+b.number)
 }
 
 // mode returns the IP:port at which the backend server's mode is set and its ledger is read.
 func (b *Backend) mode() string { return b.fleet.net.address(b.Host.number, portMode+b.number) }
 
-// declared returns the address to use in the declaration, which is the proxy's if there is one.
-func (b *Backend) declared() string {
+// declaredAddress returns the address to use in the declaration, which is the proxy's if there is one.
+func (b *Backend) declaredAddress() string {
 	if b.fleet.Spec.Proxied {
-		return b.workProxy()
+		return b.proxyAddress()
 	}
-	return b.Work()
+	return b.Address()
 }
 
 func (f *Fleet) startBackends() error {
@@ -53,7 +53,7 @@
 		if err := b.Start(); err != nil {
 			return err
 		}
-		f.atEnd(b.Kill)
+		f.onCleanUp(b.Kill)
 	}
 	return nil
 }
@@ -61,11 +61,11 @@
 // Start starts the backend server, or restarts it after it has ended, and waits
 // until it accepts connections.
 func (b *Backend) Start() error {
-	err := b.start(b.fleet, b.Name, "testbackend", "-work", b.Work(), "-control", b.mode())
+	err := b.start(b.fleet, b.Name, "testbackend", "-work", b.Address(), "-control", b.mode())
 	if err != nil {
 		return err
 	}
-	return WaitListening(b.Work())
+	return WaitListening(b.Address())
 }
 
 // SetMode sets the behaviour of the backend server.
--- a/test/harness/daemon.go
+++ b/test/harness/daemon.go
@@ -14,8 +14,8 @@
 	"github.com/tideliftd/tidelift/internal/operatorapi"
 )
 
-// pollEvery is the interval between checks of a condition that is waited for.
-const pollEvery = 20 * time.Millisecond
+// pollInterval is the interval between checks of a condition that is waited for.
+const pollInterval = 20 * time.Millisecond
 
 // Daemon is a tideliftd process.
 type Daemon struct {
@@ -27,17 +27,17 @@
 	number int
 }
 
-// Callers returns the IP:port for callers' requests.
-func (d *Daemon) Callers() string { return d.fleet.net.address(d.number, portCallers) }
+// CallersAddress returns the IP:port for callers' requests.
+func (d *Daemon) CallersAddress() string { return d.fleet.net.address(d.number, portCallers) }
 
-// Peers returns the IP:port for other daemons' requests.
-func (d *Daemon) Peers() string { return d.fleet.net.address(d.number, portPeers) }
+// PeersAddress returns the IP:port for other daemons' requests.
+func (d *Daemon) PeersAddress() string { return d.fleet.net.address(d.number, portPeers) }
 
-// Control returns the IP:port for control calls.
-func (d *Daemon) Control() string { return d.fleet.net.address(d.number, portControl) }
+// ControlAddress returns the IP:port for control calls.
+func (d *Daemon) ControlAddress() string { return d.fleet.net.address(d.number, portControl) }
 
-// Operators returns the IP:port of the operator API.
-func (d *Daemon) Operators() string { return d.fleet.net.address(d.number, portOperators) }
+// OperatorsAddress returns the IP:port of the operator API.
+func (d *Daemon) OperatorsAddress() string { return d.fleet.net.address(d.number, portOperators) }
 
 // peersFrom returns the address of the proxy for requests from the data centre of that number.
 func (d *Daemon) peersFrom(dataCentre int) string {
@@ -51,7 +51,7 @@
 
 // Client returns a client of the operator API.
 func (d *Daemon) Client() *operatorapi.Client {
-	client, err := operatorapi.NewClient("http://"+d.Operators(), operatorapi.WithClient(tokenClient{d.fleet.Spec.Token}))
+	client, err := operatorapi.NewClient("http://"+d.OperatorsAddress(), operatorapi.WithClient(tokenClient{d.fleet.Spec.Token}))
 	if err != nil {
 		panic(err) // unreachable: the address is well formed
 	}
@@ -75,7 +75,7 @@
 	var addresses []string
 	for i := 0; i < len(d.fleet.Daemons); i += d.fleet.Spec.HostsEach {
 		if other := d.fleet.Daemons[i]; other.DataCentre != d.DataCentre {
-			addresses = append(addresses, other.Control())
+			addresses = append(addresses, other.ControlAddress())
 		}
 	}
 	return "[" + strings.Join(addresses, ", ") + "]"
@@ -93,7 +93,7 @@
   address: http://%s
 seeds: %s
 first-start: true
-%s`, d.Name, d.DataCentre, d.Callers(), d.Peers(), d.Control(), d.Operators(), d.fleet.PlatformAddress(), d.seeds(), d.fleet.Spec.Settings)
+%s`, d.Name, d.DataCentre, d.CallersAddress(), d.PeersAddress(), d.ControlAddress(), d.OperatorsAddress(), d.fleet.PlatformAddress(), d.seeds(), d.fleet.Spec.Settings)
 }
 
 func (f *Fleet) startDaemon(d *Daemon) error {
@@ -123,7 +123,7 @@
 		select {
 		case <-ctx.Done():
 			return errors.Errorf("daemon %s: %v, last status %+v, last error %v", d.Name, ctx.Err(), status, err)
-		case <-time.After(pollEvery):
+		case <-time.After(pollInterval):
 		}
 	}
 }
--- a/test/harness/events.go
+++ b/test/harness/events.go
@@ -9,8 +9,8 @@
 	"github.com/go-faster/errors"
 )
 
-// Logged is an event in a daemon's log.
-type Logged struct {
+// LogEvent is an event in a daemon's log.
+type LogEvent struct {
 	Time          time.Time `json:"time"`
 	Event         int       `json:"event"`
 	Daemon        string    `json:"daemon"`
@@ -21,8 +21,8 @@
 }
 
 // Events returns the events that the daemons have logged, grouped by daemon.
-func (f *Fleet) Events() ([]Logged, error) {
-	var all []Logged
+func (f *Fleet) Events() ([]LogEvent, error) {
+	var all []LogEvent
 	for _, d := range f.Daemons {
 		events, err := readEvents(f.logName(d.Name))
 		if err != nil {
@@ -33,16 +33,16 @@
 	return all, nil
 }
 
-func readEvents(file string) ([]Logged, error) {
+func readEvents(file string) ([]LogEvent, error) {
 	log, err := os.Open(file)
 	if err != nil {
 		return nil, errors.Wrap(err, "open log")
 	}
 	defer func() { _ = log.Close() }()
-	var events []Logged
+	var events []LogEvent
 	lines := bufio.NewScanner(log)
 	for lines.Scan() {
-		var logged Logged
+		var logged LogEvent
 		if json.Unmarshal(lines.Bytes(), &logged) == nil && logged.Event != 0 {
 			events = append(events, logged)
 		}
--- a/test/harness/faults.go
+++ b/test/harness/faults.go
@@ -12,15 +12,15 @@
 	"github.com/rs/zerolog"
 )
 
-// Stream is the direction of data through a proxy.
-type Stream string
+// Direction is the direction of data through a proxy.
+type Direction string
 
 // The directions.
 const (
 	// Requests is the direction towards the server.
-	Requests Stream = "upstream"
-	// Answers is the direction back from the server.
-	Answers Stream = "downstream"
+	Requests Direction = "upstream"
+	// Responses is the direction back from the server.
+	Responses Direction = "downstream"
 )
 
 // Faults controls the fault-injecting proxies of a fleet. A link is the name of a proxy.
@@ -69,18 +69,18 @@
 func ControlLink(dataCentre, daemon string) string { return "control " + dataCentre + " " + daemon }
 
 // Cut drops all further data in that direction. Connections stay open.
-func (x *Faults) Cut(link string, stream Stream) error {
-	return x.toxic(link, fmt.Sprintf(`{"name":"cut-%s","type":"timeout","stream":"%s","attributes":{"timeout":0}}`, stream, stream))
+func (x *Faults) Cut(link string, direction Direction) error {
+	return x.toxic(link, fmt.Sprintf(`{"name":"cut-%s","type":"timeout","stream":"%s","attributes":{"timeout":0}}`, direction, direction))
 }
 
 // Delay delays data in that direction by the given number of milliseconds.
-func (x *Faults) Delay(link string, stream Stream, millis int) error {
-	return x.toxic(link, fmt.Sprintf(`{"name":"delay-%s","type":"latency","stream":"%s","attributes":{"latency":%d}}`, stream, stream, millis))
+func (x *Faults) Delay(link string, direction Direction, millis int) error {
+	return x.toxic(link, fmt.Sprintf(`{"name":"delay-%s","type":"latency","stream":"%s","attributes":{"latency":%d}}`, direction, direction, millis))
 }
 
 // LimitData closes each connection after the given number of bytes in that direction.
-func (x *Faults) LimitData(link string, stream Stream, bytes int) error {
-	return x.toxic(link, fmt.Sprintf(`{"name":"limit-%s","type":"limit_data","stream":"%s","attributes":{"bytes":%d}}`, stream, stream, bytes))
+func (x *Faults) LimitData(link string, direction Direction, bytes int) error {
+	return x.toxic(link, fmt.Sprintf(`{"name":"limit-%s","type":"limit_data","stream":"%s","attributes":{"bytes":%d}}`, direction, direction, bytes))
 }
 
 // Close closes the link's connections and refuses new ones.
@@ -139,7 +139,7 @@
 		return nil
 	}
 	for _, b := range f.Backends {
-		if err := f.Faults.add(BackendLink(b.Name), b.workProxy(), b.Work()); err != nil {
+		if err := f.Faults.add(BackendLink(b.Name), b.proxyAddress(), b.Address()); err != nil {
 			return err
 		}
 	}
@@ -156,10 +156,10 @@
 		if dataCentre == d.DataCentre {
 			continue
 		}
-		if err := f.Faults.add(PeerLink(dataCentre, d.Name), d.peersFrom(i), d.Peers()); err != nil {
+		if err := f.Faults.add(PeerLink(dataCentre, d.Name), d.peersFrom(i), d.PeersAddress()); err != nil {
 			return err
 		}
-		if err := f.Faults.add(ControlLink(dataCentre, d.Name), d.controlFrom(i), d.Control()); err != nil {
+		if err := f.Faults.add(ControlLink(dataCentre, d.Name), d.controlFrom(i), d.ControlAddress()); err != nil {
 			return err
 		}
 	}
--- a/test/harness/harness.go
+++ b/test/harness/harness.go
@@ -37,18 +37,18 @@
 
 // The ports of a daemon and of a backend server.
 const (
-	portCallers   = 7400
-	portPeers     = 7401
-	portControl   = 7402
-	portOperators = 7403
-	portPlatform  = 8500
-	portWork      = 9000
-	portWorkProxy = 9300
-	portMode      = 9600
+	portCallers      = 7400
+	portPeers        = 7401
+	portControl      = 7402
+	portOperators    = 7403
+	portPlatform     = 8500
+	portBackend      = 9000
+	portBackendProxy = 9300
+	portMode         = 9600
 )
 
-// readyWithin bounds the start of a fleet.
-const readyWithin = 30 * time.Second
+// startTimeout bounds the start of a fleet.
+const startTimeout = 30 * time.Second
 
 // Spec describes the fleet to start.
 type Spec struct {
@@ -109,7 +109,7 @@
 func Start(spec Spec) (*Fleet, func(), error) {
 	f := &Fleet{Spec: spec, Platform: standin.New()}
 	f.Faults = newFaults()
-	f.atEnd(f.Faults.close)
+	f.onCleanUp(f.Faults.close)
 	if err := f.start(); err != nil {
 		f.cleanUp()
 		return nil, nil, err
@@ -117,7 +117,7 @@
 	return f, f.cleanUp, nil
 }
 
-func (f *Fleet) atEnd(cleanUp func()) { f.cleanUps = append(f.cleanUps, cleanUp) }
+func (f *Fleet) onCleanUp(cleanUp func()) { f.cleanUps = append(f.cleanUps, cleanUp) }
 
 func (f *Fleet) cleanUp() {
 	for i := len(f.cleanUps) - 1; i >= 0; i-- {
@@ -140,7 +140,7 @@
 		if err := f.startDaemon(d); err != nil {
 			return err
 		}
-		f.atEnd(d.Kill)
+		f.onCleanUp(d.Kill)
 	}
 	return f.declare()
 }
@@ -150,9 +150,9 @@
 	if err != nil {
 		return errors.Wrap(err, "listen for the platform")
 	}
-	server := &http.Server{Handler: f.Platform.Handler(), ReadHeaderTimeout: readyWithin}
+	server := &http.Server{Handler: f.Platform.Handler(), ReadHeaderTimeout: startTimeout}
 	go func() { _ = server.Serve(listener) }()
-	f.atEnd(func() { _ = server.Close() })
+	f.onCleanUp(func() { _ = server.Close() })
 	return nil
 }
 
@@ -195,12 +195,12 @@
 		for n := range service.Servers {
 			host := hosts[next%len(hosts)]
 			f.Backends = append(f.Backends, &Backend{
-				Name:    fmt.Sprintf("%s/%s-%d", host.DataCentre, service.Name, n+1),
-				Service: service,
-				Host:    host,
-				fleet:   f,
-				number:  next,
-				place:   n,
+				Name:         fmt.Sprintf("%s/%s-%d", host.DataCentre, service.Name, n+1),
+				Service:      service,
+				Host:         host,
+				fleet:        f,
+				number:       next,
+				serviceIndex: n,
 			})
 			next++
 		}
@@ -223,7 +223,7 @@
 
 // declare applies the declaration and waits until it is in force at every daemon.
 func (f *Fleet) declare() error {
-	ctx, cancel := context.WithTimeout(context.Background(), readyWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
 	if err := f.waitFor(ctx, func(s *operatorapi.Status) bool { return s.Daemon != "" }); err != nil {
 		return err
@@ -261,7 +261,7 @@
 
 // URL returns the URL of a service's path at the daemon of that number.
 func (f *Fleet) URL(daemon int, service, path string) string {
-	return "http://" + f.Daemons[daemon].Callers() + "/" + service + path
+	return "http://" + f.Daemons[daemon].CallersAddress() + "/" + service + path
 }
 
 // Declaration returns the fleet's declaration as YAML.
@@ -270,8 +270,8 @@
 	b.WriteString("hosts:\n")
 	for _, d := range f.Daemons {
 		fmt.Fprintf(&b, "  - name: %s\n    data-centre: %s\n    peers: %s\n    control: %s\n",
-			d.Name, d.DataCentre, d.Peers(), d.Control())
-		f.writeViews(&b, d)
+			d.Name, d.DataCentre, d.PeersAddress(), d.ControlAddress())
+		f.writeProxies(&b, d)
 	}
 	b.WriteString("services:\n")
 	for _, s := range f.Spec.Services {
@@ -290,7 +290,7 @@
 	return b.String()
 }
 
-func (f *Fleet) writeViews(b *strings.Builder, d *Daemon) {
+func (f *Fleet) writeProxies(b *strings.Builder, d *Daemon) {
 	if !f.Spec.Proxied {
 		return
 	}
@@ -323,7 +323,7 @@
 		if backend.Service.Name != s.Name {
 			continue
 		}
-		fmt.Fprintf(b, "      - name: %s\n        host: %s\n        address: %s\n", backend.Name, backend.Host.Name, backend.declared())
+		fmt.Fprintf(b, "      - name: %s\n        host: %s\n        address: %s\n", backend.Name, backend.Host.Name, backend.declaredAddress())
 		if s.Slots > 0 {
 			fmt.Fprintf(b, "        slots: %d\n", s.Slots)
 		}
--- a/test/harness/network_test.go
+++ b/test/harness/network_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// TestFleetsOfOneMachineNeverMeet guards against two fleets with the same addresses when processes with neighbouring
+// TestFleetsOnOneMachineHaveDistinctAddresses guards against two fleets with the same addresses when processes with neighbouring
 // ids derive the same range.
-func TestFleetsOfOneMachineNeverMeet(t *testing.T) {
+func TestFleetsOnOneMachineHaveDistinctAddresses(t *testing.T) {
 	number := fleets.Load()
 	first, second := &Fleet{}, &Fleet{}
 	for _, f := range []*Fleet{first, second} {
--- a/test/harness/process.go
+++ b/test/harness/process.go
@@ -55,16 +55,16 @@
 	return p.cmd.Process.Signal(signal)
 }
 
-// stopWithin bounds the wait until all threads of a process are stopped after SIGSTOP.
-const stopWithin = 10 * time.Second
+// suspendTimeout bounds the wait until all threads of a process are stopped after SIGSTOP.
+const suspendTimeout = 10 * time.Second
 
-// Stop suspends the process with SIGSTOP, as a paused host would, and waits until all its threads are
+// Suspend suspends the process with SIGSTOP, as a paused host would, and waits until all its threads are
 // stopped: on a busy machine they continue to run for a while after the signal.
-func (p *process) Stop() error {
+func (p *process) Suspend() error {
 	if err := p.Signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
-	for end := time.Now().Add(stopWithin); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(suspendTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		stopped, err := allStopped(p.Pid())
 		if err != nil {
 			return errors.Wrap(err, "read thread states")
@@ -73,7 +73,7 @@
 			return nil
 		}
 	}
-	return errors.Errorf("process %d still has running threads %s after SIGSTOP", p.Pid(), stopWithin)
+	return errors.Errorf("process %d still has running threads %s after SIGSTOP", p.Pid(), suspendTimeout)
 }
 
 // allStopped reports whether every thread of the process is stopped.
@@ -96,8 +96,8 @@
 	return len(files) > 0, nil
 }
 
-// Continue resumes a suspended process.
-func (p *process) Continue() error { return p.Signal(syscall.SIGCONT) }
+// Resume resumes a suspended process.
+func (p *process) Resume() error { return p.Signal(syscall.SIGCONT) }
 
 // Wait waits until the process has ended and reports whether it ended in time.
 func (p *process) Wait(within time.Duration) bool {
@@ -118,7 +118,7 @@
 // Kill kills the process and waits until it has ended.
 func (p *process) Kill() {
 	if p.Signal(syscall.SIGKILL) == nil {
-		p.Wait(readyWithin)
+		p.Wait(startTimeout)
 	}
 }
 
@@ -131,13 +131,13 @@
 
 // WaitListening waits until the address accepts connections.
 func WaitListening(address string) error {
-	end := time.Now().Add(readyWithin)
+	end := time.Now().Add(startTimeout)
 	for time.Now().Before(end) {
 		conn, err := net.DialTimeout("tcp", address, time.Second)
 		if err == nil {
 			return conn.Close()
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 	return errors.Errorf("nothing listens on %s", address)
 }
--- a/test/hops/hops_test.go
+++ b/test/hops/hops_test.go
@@ -96,7 +96,7 @@
 		b.Fatal(err)
 	}
 	b.Cleanup(cleanUp)
-	work := f.Backends[1].Work()
+	work := f.Backends[1].Address()
 	second, secondPid := startBareHop(b, work)
 	first, firstPid := startBareHop(b, second)
 	for _, w := range []way{
--- a/test/integration/gray_test.go
+++ b/test/integration/gray_test.go
@@ -107,10 +107,10 @@
 
 func TestMetricsCountEachReason(t *testing.T) {
 	f := start(t, lookup(""))
-	get(t, "http://"+f.Daemons[0].Callers()+"/unknown")
+	get(t, "http://"+f.Daemons[0].CallersAddress()+"/unknown")
 	end := time.Now().Add(waitTimeout)
 	for time.Now().Before(end) {
-		response, err := http.Get("http://" + f.Daemons[0].Operators() + "/metrics")
+		response, err := http.Get("http://" + f.Daemons[0].OperatorsAddress() + "/metrics")
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/test/integration/http_test.go
+++ b/test/integration/http_test.go
@@ -116,7 +116,7 @@
 		if got := response.Header.Get("X-Private") + response.Header.Get("Tidelift-Result"); got != "" {
 			t.Fatalf("caller received internal headers: %q", got)
 		}
-		if got := response.Header.Get("X-Seen"); got != "|127.0.0.1|"+f.Daemons[0].Callers()+"||" {
+		if got := response.Header.Get("X-Seen"); got != "|127.0.0.1|"+f.Daemons[0].CallersAddress()+"||" {
 			t.Fatalf("backend server received headers %q", got)
 		}
 	})
@@ -287,7 +287,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			if got := sendRaw(t, f.Daemons[0].Callers(), test.send); !strings.HasPrefix(got, test.want) {
+			if got := sendRaw(t, f.Daemons[0].CallersAddress(), test.send); !strings.HasPrefix(got, test.want) {
 				t.Fatalf("got response %.200s", got)
 			}
 		})
@@ -300,7 +300,7 @@
 func TestSlowRequestBodyTimesOut(t *testing.T) {
 	f := startWithHandler(t, func(_ http.ResponseWriter, r *http.Request) { _, _ = io.Copy(io.Discard, r.Body) })
 	began := time.Now()
-	answer := sendRaw(t, f.Daemons[0].Callers(), "POST /antraege/x HTTP/1.1\r\nHost: a\r\nX-Request-Timeout-Ms: 300\r\nContent-Length: 10\r\n\r\nabc")
+	answer := sendRaw(t, f.Daemons[0].CallersAddress(), "POST /antraege/x HTTP/1.1\r\nHost: a\r\nX-Request-Timeout-Ms: 300\r\nContent-Length: 10\r\n\r\nabc")
 	if !strings.HasPrefix(answer, "50") || time.Since(began) > waitTimeout {
 		t.Fatalf("after %s: got response %q, want a 50x status", time.Since(began), answer)
 	}
--- a/test/integration/keys_test.go
+++ b/test/integration/keys_test.go
@@ -128,14 +128,14 @@
 			"with TLS older than 1.3": {InsecureSkipVerify: true, MaxVersion: tls.VersionTLS12},
 		} {
 			client := &http.Client{Transport: &http.Transport{TLSClientConfig: config}}
-			for _, address := range []string{f.Daemons[1].Peers(), f.Daemons[1].Control()} {
+			for _, address := range []string{f.Daemons[1].PeersAddress(), f.Daemons[1].ControlAddress()} {
 				if response, err := client.Get("https://" + address + "/"); err == nil {
 					_ = response.Body.Close()
 					t.Errorf("client %s was accepted by %s with status %d", name, address, response.StatusCode)
 				}
 			}
 		}
-		if response, err := http.Get("http://" + f.Daemons[1].Peers() + "/"); err == nil {
+		if response, err := http.Get("http://" + f.Daemons[1].PeersAddress() + "/"); err == nil {
 			_ = response.Body.Close()
 			if response.StatusCode < http.StatusBadRequest {
 				t.Errorf("request without TLS got status %d", response.StatusCode)
--- a/test/integration/once_test.go
+++ b/test/integration/once_test.go
@@ -103,7 +103,7 @@
 	f := start(t, payments())
 	before := sendPayments(f, 2, 20, "before")
 	frozen := f.Backends[0].Host
-	if err := frozen.Stop(); err != nil {
+	if err := frozen.Suspend(); err != nil {
 		t.Fatal(err)
 	}
 	during := sendPayments(f, 2, 20, "during")
--- a/test/session/session_test.go
+++ b/test/session/session_test.go
@@ -71,8 +71,8 @@
 				return err
 			}
 			env.Defer(cleanUp)
-			env.Setenv("TIDELIFT_DAEMON", "http://"+f.Daemons[0].Operators())
-			env.Setenv("CALLERS", f.Daemons[0].Callers())
+			env.Setenv("TIDELIFT_DAEMON", "http://"+f.Daemons[0].OperatorsAddress())
+			env.Setenv("CALLERS", f.Daemons[0].CallersAddress())
 			env.Setenv("USER", "erzsi")
 			return os.WriteFile(env.WorkDir+"/fleet.yaml", []byte(f.Declaration()), 0o600)
 		},
--- a/test/soak/evidence_test.go
+++ b/test/soak/evidence_test.go
@@ -74,8 +74,8 @@
 
 // leastServing returns the smallest number of backend servers of a service that were not ejected at the same time,
 // and the number of ejections, by the sidecars' logs.
-func leastServing(events []harness.Logged, s harness.Service) (least, ejections int) {
-	slices.SortStableFunc(events, func(a, b harness.Logged) int { return a.Time.Compare(b.Time) })
+func leastServing(events []harness.LogEvent, s harness.Service) (least, ejections int) {
+	slices.SortStableFunc(events, func(a, b harness.LogEvent) int { return a.Time.Compare(b.Time) })
 	ejected := make(map[string]string) // daemon by backend server
 	least = s.Servers
 	for _, e := range events {
--- a/test/soak/injector_test.go
+++ b/test/soak/injector_test.go
@@ -61,7 +61,7 @@
 		{"freeze-daemon", w.freezeDaemon},
 		{"kill-daemon", w.killDaemon},
 		{"freeze-backend", w.freezeBackend},
-		{"cut-answers", w.cut(harness.Answers)},
+		{"cut-answers", w.cut(harness.Responses)},
 		{"cut-requests", w.cut(harness.Requests)},
 		{"limit-answers", w.limitAnswers},
 		{"delay-answers", w.delayAnswers},
@@ -100,12 +100,12 @@
 
 func (w worker) freezeDaemon() error {
 	d := w.daemon()
-	return freeze(d.Stop, d.Continue)
+	return freeze(d.Suspend, d.Resume)
 }
 
 func (w worker) freezeBackend() error {
 	b := w.backend()
-	return freeze(b.Stop, b.Continue)
+	return freeze(b.Suspend, b.Resume)
 }
 
 func freeze(stop, resume func() error) error {
@@ -145,18 +145,18 @@
 	return w.fleet.Faults.Open(harness.BackendLink(b.Name))
 }
 
-func (w worker) cut(stream harness.Stream) func() error {
+func (w worker) cut(stream harness.Direction) func() error {
 	return func() error {
 		return w.onLink(func(link string) error { return w.fleet.Faults.Cut(link, stream) }, time.Second)
 	}
 }
 
 func (w worker) limitAnswers() error {
-	return w.onLink(func(link string) error { return w.fleet.Faults.LimitData(link, harness.Answers, responseBytes) }, time.Second)
+	return w.onLink(func(link string) error { return w.fleet.Faults.LimitData(link, harness.Responses, responseBytes) }, time.Second)
 }
 
 func (w worker) delayAnswers() error {
-	return w.onLink(func(link string) error { return w.fleet.Faults.Delay(link, harness.Answers, delayMillis) }, 1500*time.Millisecond)
+	return w.onLink(func(link string) error { return w.fleet.Faults.Delay(link, harness.Responses, delayMillis) }, 1500*time.Millisecond)
 }
 
 // onLink injects a fault into the link of a backend server, or into one between two data centres, and
--- a/test/soak/planned_test.go
+++ b/test/soak/planned_test.go
@@ -104,7 +104,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !slices.ContainsFunc(events, func(e harness.Logged) bool { return e.Event == event.DaemonStopped.Number }) {
+	if !slices.ContainsFunc(events, func(e harness.LogEvent) bool { return e.Event == event.DaemonStopped.Number }) {
 		t.Error("the daemon did not log the end of its planned stop")
 	}
 }
@@ -132,7 +132,7 @@
 	}
 	for i, d := range f.Daemons {
 		for n := range keptConnCallers + newConnCallers {
-			c := &caller{address: d.Callers(), path: "/akten/x", prefix: fmt.Sprintf("c%d.%d", i, n), random: rand.New(rand.NewPCG(seed, uint64(1000*(i+1)+n)))}
+			c := &caller{address: d.CallersAddress(), path: "/akten/x", prefix: fmt.Sprintf("c%d.%d", i, n), random: rand.New(rand.NewPCG(seed, uint64(1000*(i+1)+n)))}
 			c.newConnEach = n >= keptConnCallers
 			c.maxPause = 10 * time.Millisecond << (2 * n) // 10 to 640 ms
 			if c.newConnEach {
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -154,7 +154,7 @@
 		links = append(links, harness.ControlLink(f.Spec.DataCentres[(i+1)%len(f.Daemons)], d.Name))
 	}
 	for _, link := range links {
-		if err := f.Faults.Cut(link, harness.Answers); err != nil {
+		if err := f.Faults.Cut(link, harness.Responses); err != nil {
 			return err
 		}
 	}
