--- a/test/standin/faults.go
+++ b/test/standin/faults.go
@@ -18,29 +18,29 @@
 // SetOutage makes the stand-in close the connection of every call without a response, including those of
 // waiting watches.
 func (s *Standin) SetOutage(on bool) {
-	s.set(func(f *faults) { f.outage = on })
+	s.setFaults(func(f *faults) { f.outage = on })
 }
 
 // SetLoseResponses makes the stand-in apply writes to keys whose names contain the text and close their connections
 // without a response. An empty text switches this off.
 func (s *Standin) SetLoseResponses(text string) {
-	s.set(func(f *faults) { f.loseAnswers = text })
+	s.setFaults(func(f *faults) { f.loseAnswers = text })
 }
 
 // SetWriteLimit makes the stand-in refuse writes after the given number. A negative number removes the limit.
 func (s *Standin) SetWriteLimit(writes int) {
-	s.set(func(f *faults) { f.limited, f.writesLeft = writes >= 0, writes })
+	s.setFaults(func(f *faults) { f.limited, f.writesLeft = writes >= 0, writes })
 }
 
-func (s *Standin) set(change func(*faults)) {
+func (s *Standin) setFaults(change func(*faults)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(&s.faults)
-	s.wake()
+	s.wakeWatches()
 }
 
-// begin counts a call and returns the faults that apply to it.
-func (s *Standin) begin(r *http.Request) (f faults, refused bool) {
+// beginCall counts a call and returns the faults that apply to it.
+func (s *Standin) beginCall(r *http.Request) (f faults, refused bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
@@ -63,7 +63,7 @@
 // withFaults returns a handler that applies the faults to calls of the API.
 func (s *Standin) withFaults(api http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		f, refused := s.begin(r)
+		f, refused := s.beginCall(r)
 		if f.outage {
 			panic(http.ErrAbortHandler)
 		}
--- a/test/standin/standin.go
+++ b/test/standin/standin.go
@@ -30,16 +30,16 @@
 
 // Standin is an in-memory key-value store. It is safe for concurrent use.
 type Standin struct {
-	mu       sync.Mutex
-	revision int64
-	items    map[string]item
-	history  []item
-	forgot   int64 // last revision that is no longer in the history
-	leases   map[int64]lease
-	moved    chan struct{} // closed and replaced at each change
-	faults   faults
-	calls    int64
-	bytes    int64
+	mu        sync.Mutex
+	revision  int64
+	items     map[string]item
+	history   []item
+	compacted int64 // last revision that is no longer in the history
+	leases    map[int64]lease
+	changed   chan struct{} // closed and replaced at each change
+	faults    faults
+	calls     int64
+	bytes     int64
 }
 
 // item is the protocol's representation of a key.
@@ -63,7 +63,7 @@
 		revision: 1,
 		items:    make(map[string]item),
 		leases:   make(map[int64]lease),
-		moved:    make(chan struct{}),
+		changed:  make(chan struct{}),
 	}
 }
 
@@ -73,14 +73,14 @@
 	mux.HandleFunc("GET /-/kv-key", s.serveKey)
 	mux.HandleFunc("GET /-/kv-range", s.serveRange)
 	mux.HandleFunc("GET /-/kv-watch", s.serveWatch)
-	mux.HandleFunc("POST /-/kv-txn", s.serveCommit)
+	mux.HandleFunc("POST /-/kv-txn", s.serveTransaction)
 	mux.HandleFunc("POST /-/kv-lease", s.serveGrant)
 	mux.HandleFunc("POST /-/kv-keep/{lease}", s.serveRenew)
 	mux.HandleFunc("DELETE /-/kv-lease-end/{lease}", s.serveRevoke)
 	return s.withFaults(mux)
 }
 
-func answer(w http.ResponseWriter, status int, body any) {
+func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(body)
@@ -89,13 +89,13 @@
 func (s *Standin) serveKey(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire(time.Now())
+	s.removeExpired(time.Now())
 	found, ok := s.items[r.URL.Query().Get("key")]
 	if !ok {
 		http.Error(w, "no such key", http.StatusNotFound)
 		return
 	}
-	answer(w, http.StatusOK, struct {
+	writeJSON(w, http.StatusOK, struct {
 		item
 		StoreRevision int64 `json:"store-revision"`
 	}{found, s.revision})
@@ -105,7 +105,7 @@
 	const pageSize = 100
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire(time.Now())
+	s.removeExpired(time.Now())
 	query := r.URL.Query()
 	found := []item{}
 	for _, one := range s.items {
@@ -118,7 +118,7 @@
 	if more {
 		found = found[:pageSize]
 	}
-	answer(w, http.StatusOK, struct {
+	writeJSON(w, http.StatusOK, struct {
 		Items         []item `json:"items"`
 		More          bool   `json:"more-pages"`
 		StoreRevision int64  `json:"store-revision"`
@@ -139,7 +139,7 @@
 		http.Error(w, "history is gone", http.StatusGone)
 		return
 	}
-	answer(w, http.StatusOK, struct {
+	writeJSON(w, http.StatusOK, struct {
 		Events        []item `json:"events"`
 		StoreRevision int64  `json:"store-revision"`
 	}{events, revision})
@@ -151,12 +151,12 @@
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		events, revision, moved, ok := s.since(prefix, after)
+		events, revision, changed, ok := s.eventsSince(prefix, after)
 		if !ok || len(events) > 0 {
 			return events, revision, ok
 		}
 		select {
-		case <-moved:
+		case <-changed:
 		case <-timer.C:
 			return events, revision, true
 		case <-ctx.Done():
@@ -165,11 +165,11 @@
 	}
 }
 
-func (s *Standin) since(prefix string, after int64) (events []item, revision int64, moved chan struct{}, ok bool) {
+func (s *Standin) eventsSince(prefix string, after int64) (events []item, revision int64, changed chan struct{}, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire(time.Now())
-	if after < s.forgot {
+	s.removeExpired(time.Now())
+	if after < s.compacted {
 		return nil, 0, nil, false
 	}
 	events = []item{}
@@ -178,11 +178,11 @@
 			events = append(events, one)
 		}
 	}
-	return events, s.revision, s.moved, true
+	return events, s.revision, s.changed, true
 }
 
-// change is the protocol's representation of a transaction.
-type change struct {
+// transaction is the protocol's representation of a transaction.
+type transaction struct {
 	Expect []struct {
 		Key      string `json:"key"`
 		Revision int64  `json:"revision"`
@@ -195,28 +195,28 @@
 	Remove []string `json:"remove"`
 }
 
-func (s *Standin) serveCommit(w http.ResponseWriter, r *http.Request) {
-	var c change
+func (s *Standin) serveTransaction(w http.ResponseWriter, r *http.Request) {
+	var c transaction
 	if err := json.NewDecoder(r.Body).Decode(&c); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire(time.Now())
-	status := s.refusal(c)
+	s.removeExpired(time.Now())
+	status := s.checkTransaction(c)
 	if status != http.StatusOK {
-		answer(w, status, struct{}{})
+		writeJSON(w, status, struct{}{})
 		return
 	}
 	s.apply(c)
-	answer(w, http.StatusOK, struct {
+	writeJSON(w, http.StatusOK, struct {
 		Revision int64 `json:"revision"`
 	}{s.revision})
 }
 
-// refusal returns the status of a refused transaction, or 200.
-func (s *Standin) refusal(c change) int {
+// checkTransaction returns the status of a refused transaction, or 200.
+func (s *Standin) checkTransaction(c transaction) int {
 	for _, e := range c.Expect {
 		if s.items[e.Key].Revision != e.Revision {
 			return http.StatusPreconditionFailed
@@ -233,7 +233,7 @@
 	return http.StatusOK
 }
 
-func (s *Standin) apply(c change) {
+func (s *Standin) apply(c transaction) {
 	s.revision++
 	for _, p := range c.Puts {
 		created := s.items[p.Key].Created
@@ -247,7 +247,7 @@
 	for _, key := range c.Remove {
 		s.remove(key)
 	}
-	s.wake()
+	s.wakeWatches()
 }
 
 func (s *Standin) remove(key string) {
@@ -258,10 +258,10 @@
 	s.history = append(s.history, item{Key: key, Revision: s.revision, Tombstone: true})
 }
 
-// wake wakes all waiting watches.
-func (s *Standin) wake() {
-	close(s.moved)
-	s.moved = make(chan struct{})
+// wakeWatches wakes all waiting watches.
+func (s *Standin) wakeWatches() {
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
 func (s *Standin) serveGrant(w http.ResponseWriter, r *http.Request) {
@@ -277,7 +277,7 @@
 	s.revision++
 	ttl := time.Duration(body.TTL * float64(time.Second))
 	s.leases[s.revision] = lease{ttl: ttl, expires: time.Now().Add(ttl)}
-	answer(w, http.StatusOK, struct {
+	writeJSON(w, http.StatusOK, struct {
 		Lease int64   `json:"lease"`
 		TTL   float64 `json:"ttl-s"`
 	}{s.revision, body.TTL})
@@ -287,15 +287,15 @@
 	id, _ := strconv.ParseInt(r.PathValue("lease"), 10, 64)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire(time.Now())
+	s.removeExpired(time.Now())
 	held, ok := s.leases[id]
 	if !ok {
-		answer(w, http.StatusNotFound, struct{}{})
+		writeJSON(w, http.StatusNotFound, struct{}{})
 		return
 	}
 	held.expires = time.Now().Add(held.ttl)
 	s.leases[id] = held
-	answer(w, http.StatusOK, struct {
+	writeJSON(w, http.StatusOK, struct {
 		TTL float64 `json:"ttl-s"`
 	}{held.ttl.Seconds()})
 }
@@ -305,23 +305,23 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, ok := s.leases[id]; !ok {
-		answer(w, http.StatusNotFound, struct{}{})
+		writeJSON(w, http.StatusNotFound, struct{}{})
 		return
 	}
-	s.lapse(id)
-	answer(w, http.StatusOK, struct{}{})
+	s.removeLease(id)
+	writeJSON(w, http.StatusOK, struct{}{})
 }
 
-// expire removes expired leases and their keys.
-func (s *Standin) expire(now time.Time) {
+// removeExpired removes expired leases and their keys.
+func (s *Standin) removeExpired(now time.Time) {
 	for id, held := range s.leases {
 		if now.After(held.expires) {
-			s.lapse(id)
+			s.removeLease(id)
 		}
 	}
 }
 
-func (s *Standin) lapse(id int64) {
+func (s *Standin) removeLease(id int64) {
 	delete(s.leases, id)
 	s.revision++
 	for key, one := range s.items {
@@ -329,7 +329,7 @@
 			s.remove(key)
 		}
 	}
-	s.wake()
+	s.wakeWatches()
 }
 
 // ExpireLeases expires every lease.
@@ -337,7 +337,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id := range s.leases {
-		s.lapse(id)
+		s.removeLease(id)
 	}
 }
 
@@ -346,8 +346,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history = nil
-	s.forgot = s.revision
-	s.wake()
+	s.compacted = s.revision
+	s.wakeWatches()
 }
 
 // Calls returns the number of calls. A waiting watch counts as one.
@@ -368,7 +368,7 @@
 func (s *Standin) Write(key string, data []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var c change
+	var c transaction
 	c.Puts = append(c.Puts, struct {
 		Key   string `json:"key"`
 		Value []byte `json:"value"`
