--- a/test/hops/hops_test.go
+++ b/test/hops/hops_test.go
@@ -27,20 +27,20 @@
 )
 
 const (
-	// variableTarget is the environment variable with the address that a bare hop forwards to. The test
+	// envTarget is the environment variable with the address that a bare hop forwards to. The test
 	// binary runs as a bare hop if it is set.
-	variableTarget = "BARE_HOP_TARGET"
-	// variableListen is the environment variable with the address that a bare hop listens on.
-	variableListen = "BARE_HOP_LISTEN"
+	envTarget = "BARE_HOP_TARGET"
+	// envListen is the environment variable with the address that a bare hop listens on.
+	envListen = "BARE_HOP_LISTEN"
 	// processors is the GOMAXPROCS of a bare hop, the same as a daemon's default.
 	processors = 2
-	// readyWithin bounds the start of a bare hop.
-	readyWithin = 10 * time.Second
+	// startTimeout bounds the start of a bare hop.
+	startTimeout = 10 * time.Second
 )
 
 func TestMain(m *testing.M) {
-	if target := os.Getenv(variableTarget); target != "" {
-		serveBareHop(os.Getenv(variableListen), target)
+	if target := os.Getenv(envTarget); target != "" {
+		serveBareHop(os.Getenv(envListen), target)
 	}
 	os.Exit(m.Run())
 }
@@ -49,7 +49,7 @@
 func serveBareHop(listen, target string) {
 	runtime.GOMAXPROCS(processors)
 	transport := &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 1024}
-	pass := func(w http.ResponseWriter, r *http.Request) {
+	forward := func(w http.ResponseWriter, r *http.Request) {
 		out := r.Clone(r.Context())
 		out.URL.Scheme, out.URL.Host, out.RequestURI = "http", target, ""
 		response, err := transport.RoundTrip(out)
@@ -64,11 +64,11 @@
 		w.WriteHeader(response.StatusCode)
 		_, _ = io.Copy(w, response.Body)
 	}
-	log.Fatal((&http.Server{Addr: listen, Handler: http.HandlerFunc(pass), ReadHeaderTimeout: readyWithin}).ListenAndServe())
+	log.Fatal((&http.Server{Addr: listen, Handler: http.HandlerFunc(forward), ReadHeaderTimeout: startTimeout}).ListenAndServe())
 }
 
-// way is a route to the backend server.
-type way struct {
+// path is a route to the backend server.
+type path struct {
 	name string
 	url  string
 	pids []int // processes of the hops
@@ -99,7 +99,7 @@
 	work := f.Backends[1].Address()
 	second, secondPid := startBareHop(b, work)
 	first, firstPid := startBareHop(b, second)
-	for _, w := range []way{
+	for _, w := range []path{
 		{name: "direct", url: "http://" + work + "/lookup/x"},
 		{name: "bare", url: "http://" + first + "/lookup/x", pids: []int{firstPid, secondPid}},
 		{name: "daemons", url: f.URL(0, "lookup", "/x"), pids: []int{f.Daemons[0].Pid(), f.Daemons[1].Pid()}},
@@ -118,7 +118,7 @@
 	address = free.Addr().String()
 	_ = free.Close()
 	hop := exec.Command(os.Args[0])
-	hop.Env = append(os.Environ(), variableTarget+"="+target, variableListen+"="+address)
+	hop.Env = append(os.Environ(), envTarget+"="+target, envListen+"="+address)
 	hop.Stderr = os.Stderr
 	if err := hop.Start(); err != nil {
 		b.Fatal(err)
@@ -133,38 +133,38 @@
 	return address, hop.Process.Pid
 }
 
-func (w way) measure(b *testing.B) {
+func (w path) measure(b *testing.B) {
 	client := &http.Client{Transport: &http.Transport{DisableCompression: true}}
 	defer client.CloseIdleConnections()
 	for range 500 { // warm up connections and caches
-		if err := ask(client, w.url); err != nil {
+		if err := get(client, w.url); err != nil {
 			b.Fatal(err)
 		}
 	}
-	took := make([]time.Duration, 0, b.N)
+	latencies := make([]time.Duration, 0, b.N)
 	before, err := harness.ProcessorTimes(w.pids)
 	if err != nil {
 		b.Fatal(err)
 	}
 	for b.Loop() {
 		began := time.Now()
-		if err := ask(client, w.url); err != nil {
+		if err := get(client, w.url); err != nil {
 			b.Fatal(err)
 		}
-		took = append(took, time.Since(began))
+		latencies = append(latencies, time.Since(began))
 	}
 	after, err := harness.ProcessorTimes(w.pids)
 	if err != nil {
 		b.Fatal(err)
 	}
-	slices.Sort(took)
-	b.ReportMetric(float64(took[len(took)/2].Microseconds()), "p50-us")
-	b.ReportMetric(float64(took[len(took)*99/100].Microseconds()), "p99-us")
-	b.ReportMetric(float64((after-before).Microseconds())/float64(len(took)), "hops-cpu-us/op")
+	slices.Sort(latencies)
+	b.ReportMetric(float64(latencies[len(latencies)/2].Microseconds()), "p50-us")
+	b.ReportMetric(float64(latencies[len(latencies)*99/100].Microseconds()), "p99-us")
+	b.ReportMetric(float64((after-before).Microseconds())/float64(len(latencies)), "hops-cpu-us/op")
 }
 
-// ask sends one request and reads the response.
-func ask(client *http.Client, url string) error {
+// get sends one request and reads the response.
+func get(client *http.Client, url string) error {
 	response, err := client.Get(url)
 	if err != nil {
 		return err
