--- a/test/capacity/declaration.go
+++ b/test/capacity/declaration.go
@@ -23,8 +23,8 @@
 	hosts, services, servers, routes int
 }
 
-// full is the largest size that the design supports.
-var full = size{hosts: 4600, services: 1000, servers: 43_000, routes: 27_000}
+// fullSize is the largest size that the design supports.
+var fullSize = size{hosts: 4600, services: 1000, servers: 43_000, routes: 27_000}
 
 func (s size) part(n int) size {
 	return size{hosts: s.hosts / n, services: s.services / n, servers: s.servers / n, routes: s.routes / n}
@@ -57,13 +57,13 @@
 
 // loadFigures are the costs of loading a declaration in one daemon.
 type loadFigures struct {
-	size     size
-	bytes    int
-	parse    time.Duration
-	take     time.Duration // putting a changed declaration in force, without parsing
-	heapMB   float64
-	findNs   float64
-	goroutes int
+	size        size
+	bytes       int
+	parse       time.Duration
+	apply       time.Duration // putting a changed declaration in force, without parsing
+	heapMB      float64
+	findRouteNs float64
+	goroutines  int
 }
 
 func measureLoads() (string, error) {
@@ -71,13 +71,13 @@
 	b.WriteString("| hosts | services | backend servers | routes | YAML | parse and check | put in force | heap | goroutines | find a route |\n")
 	b.WriteString("|---|---|---|---|---|---|---|---|---|---|\n")
 	for _, part := range []int{8, 4, 2, 1} {
-		f, err := measureLoad(full.part(part))
+		f, err := measureLoad(fullSize.part(part))
 		if err != nil {
 			return "", err
 		}
 		row := fmt.Sprintf("| %d | %d | %d | %d | %.1f MB | %d ms | %d ms | %.0f MB | %d | %.0f ns |\n",
 			f.size.hosts, f.size.services, f.size.servers, f.size.routes, float64(f.bytes)/(1<<20),
-			f.parse.Milliseconds(), f.take.Milliseconds(), f.heapMB, f.goroutes, f.findNs)
+			f.parse.Milliseconds(), f.apply.Milliseconds(), f.heapMB, f.goroutines, f.findRouteNs)
 		fmt.Print(row)
 		b.WriteString(row)
 	}
@@ -110,10 +110,10 @@
 	began = time.Now()
 	card.Reconfigure(index)
 	in.Reconfigure(index)
-	f.take = time.Since(began)
-	f.goroutes = runtime.NumGoroutine()
+	f.apply = time.Since(began)
+	f.goroutines = runtime.NumGoroutine()
 	f.heapMB = heap() - before
-	f.findNs = findRoute(declaration)
+	f.findRouteNs = findRoute(declaration)
 	runtime.KeepAlive(text)
 	return f, nil
 }
--- a/test/capacity/fleets.go
+++ b/test/capacity/fleets.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// restFor is how long an idle fleet is measured.
-	restFor = 10 * time.Second
+	// idleFor is how long an idle fleet is measured.
+	idleFor = 10 * time.Second
 	// changes is the number of changes that are applied in sequence.
 	changes = 20
-	// bound limits the wait for a change to be in force.
-	bound = 30 * time.Second
+	// changeTimeout limits the wait for a change to be in force.
+	changeTimeout = 30 * time.Second
 )
 
 // fleetFigures are the costs of a fleet of daemons when idle and for changes.
 type fleetFigures struct {
 	daemons       int
-	restCalls     float64 // platform calls per second
+	idleCalls     float64 // platform calls per second
 	changeCalls   float64 // platform calls per change
 	changeBytes   float64 // bytes of the platform's responses, per change and daemon
-	restCPU       float64 // percent of a core, per daemon
+	idleCPU       float64 // percent of a core, per daemon
 	residentMB    float64
 	inForceMillis float64 // mean time from accepted to in force everywhere
 	worstMillis   float64
@@ -45,7 +45,7 @@
 			return "", err
 		}
 		row := fmt.Sprintf("| %d | %.2f | %.0f | %.0f | %.2f%% | %.0f MB | %.0f ms | %.0f ms |\n",
-			f.daemons, f.restCalls, f.changeCalls, f.changeBytes, f.restCPU, f.residentMB, f.inForceMillis, f.worstMillis)
+			f.daemons, f.idleCalls, f.changeCalls, f.changeBytes, f.idleCPU, f.residentMB, f.inForceMillis, f.worstMillis)
 		fmt.Print(row)
 		b.WriteString(row)
 	}
@@ -64,34 +64,34 @@
 		return figures, err
 	}
 	defer cleanUp()
-	if err := figures.atRest(f); err != nil {
+	if err := figures.measureIdle(f); err != nil {
 		return figures, err
 	}
-	return figures, figures.change(f)
+	return figures, figures.measureChanges(f)
 }
 
-func (x *fleetFigures) atRest(f *harness.Fleet) error {
+func (x *fleetFigures) measureIdle(f *harness.Fleet) error {
 	used, err := f.ProcessorTime()
 	if err != nil {
 		return err
 	}
 	calls := f.Platform.Calls()
-	time.Sleep(restFor)
+	time.Sleep(idleFor)
 	after, err := f.ProcessorTime()
 	if err != nil {
 		return err
 	}
-	x.restCalls = float64(f.Platform.Calls()-calls) / restFor.Seconds()
-	x.restCPU = 100 * (after - used).Seconds() / restFor.Seconds() / float64(x.daemons)
+	x.idleCalls = float64(f.Platform.Calls()-calls) / idleFor.Seconds()
+	x.idleCPU = 100 * (after - used).Seconds() / idleFor.Seconds() / float64(x.daemons)
 	x.residentMB, err = f.Daemons[0].ResidentMB()
 	return err
 }
 
-func (x *fleetFigures) change(f *harness.Fleet) error {
+func (x *fleetFigures) measureChanges(f *harness.Fleet) error {
 	calls, bytes := f.Platform.Calls(), f.Platform.Bytes()
 	text := f.Declaration()
 	for n := range changes {
-		ctx, cancel := context.WithTimeout(context.Background(), bound)
+		ctx, cancel := context.WithTimeout(context.Background(), changeTimeout)
 		defer cancel()
 		base := int64(n + 1)
 		if _, err := f.Apply(ctx, n%x.daemons, fmt.Sprintf("# change %d\n%s", n, text), base, fmt.Sprint("change-", n)); err != nil {
