--- a/test/ablate/main.go
+++ b/test/ablate/main.go
@@ -54,7 +54,7 @@
 	if c.Args().Len() == 0 {
 		return errors.New("no day given: want at least one as an argument")
 	}
-	player, err := bench.PlayerOf(c)
+	player, err := bench.PlayerFromFlags(c)
 	if err != nil {
 		return err
 	}
@@ -72,7 +72,7 @@
 		if err != nil {
 			return err
 		}
-		fmt.Println(bench.Line(string(m), bench.Pairs(interleave(with, without))))
+		fmt.Println(bench.FormatLine(string(m), bench.Pairs(interleave(with, without))))
 	}
 	return nil
 }
@@ -95,9 +95,9 @@
 	if err := copyTo(ctx, dir, off); err != nil {
 		return nil, err
 	}
-	outcomes := player.PlayAll(ctx, bench.PlaysOf(c, "ablation, off: "+string(off), dir), c.Int("jobs"))
+	outcomes := player.PlayAll(ctx, bench.PlaysFromFlags(c, "ablation, off: "+string(off), dir), c.Int("jobs"))
 	for _, o := range outcomes {
-		if trouble := o.Trouble(); trouble != "" {
+		if trouble := o.FailureText(); trouble != "" {
 			fmt.Printf("off %q: %s seed %d: %s\n", off, o.Play.Day, o.Play.Seed, trouble)
 		}
 	}
--- a/test/bench/bench.go
+++ b/test/bench/bench.go
@@ -65,9 +65,9 @@
 	Err error
 }
 
-// Trouble describes why a play is not successful: it failed, broke rules or had a fault. It
+// FailureText describes why a play is not successful: it failed, broke rules or had a fault. It
 // returns an empty string for a successful play.
-func (o Outcome) Trouble() string {
+func (o Outcome) FailureText() string {
 	switch {
 	case o.Err != nil:
 		return "not played: " + o.Err.Error()
@@ -81,12 +81,12 @@
 // the same order.
 func (p Player) PlayAll(ctx context.Context, plays []Play, jobs int) []Outcome {
 	outcomes := make([]Outcome, len(plays))
-	turns := make(chan struct{}, max(1, jobs))
+	slots := make(chan struct{}, max(1, jobs))
 	var wg sync.WaitGroup
 	for i, play := range plays {
-		turns <- struct{}{}
+		slots <- struct{}{}
 		wg.Go(func() {
-			defer func() { <-turns }()
+			defer func() { <-slots }()
 			report, err := p.play(ctx, play)
 			outcomes[i] = Outcome{Play: play, Report: report, Err: err}
 		})
@@ -97,18 +97,18 @@
 
 // play runs the bench and reads its report.
 func (p Player) play(ctx context.Context, play Play) (Report, error) {
-	target, err := os.CreateTemp("", "day-*.json")
+	reportFile, err := os.CreateTemp("", "day-*.json")
 	if err != nil {
 		return Report{}, errors.Wrap(err, "create report file")
 	}
-	defer func() { _ = os.Remove(target.Name()) }()
-	_ = target.Close() // the bench writes to it by name
-	command := exec.CommandContext(ctx, p.Program, p.arguments(play, target.Name())...)
+	defer func() { _ = os.Remove(reportFile.Name()) }()
+	_ = reportFile.Close() // the bench writes to it by name
+	command := exec.CommandContext(ctx, p.Program, p.arguments(play, reportFile.Name())...)
 	command.Dir = play.Dir
 	if output, err := command.CombinedOutput(); err != nil {
 		return Report{}, errors.Wrapf(err, "play %s: %s", play.Day, lastLine(output))
 	}
-	data, err := os.ReadFile(target.Name())
+	data, err := os.ReadFile(reportFile.Name())
 	if err != nil {
 		return Report{}, errors.Wrap(err, "read report")
 	}
--- a/test/bench/flags.go
+++ b/test/bench/flags.go
@@ -31,14 +31,14 @@
 	return &cli.IntSliceFlag{Name: "seeds", Usage: "the seeds of each day", Value: []int{1, 2, 3}}
 }
 
-// PlayerOf returns the player that the command's flags select.
-func PlayerOf(c *cli.Command) (Player, error) {
+// PlayerFromFlags returns the player that the command's flags select.
+func PlayerFromFlags(c *cli.Command) (Player, error) {
 	return NewPlayer(c.String("bench"), c.String("site"))
 }
 
-// PlaysOf returns the plays of every day in the command's arguments with every seed in every
+// PlaysFromFlags returns the plays of every day in the command's arguments with every seed in every
 // folder. The plays of the same day and seed are adjacent.
-func PlaysOf(c *cli.Command, why string, dirs ...string) []Play {
+func PlaysFromFlags(c *cli.Command, why string, dirs ...string) []Play {
 	days, seeds := c.Args().Slice(), c.IntSlice("seeds")
 	plays := make([]Play, 0, len(days)*len(seeds)*len(dirs))
 	for _, day := range days {
--- a/test/bench/pairs.go
+++ b/test/bench/pairs.go
@@ -25,8 +25,8 @@
 	return pairs
 }
 
-// OfDay returns the pairs of one day.
-func OfDay(pairs []Pair, day string) []Pair {
+// FilterByDay returns the pairs of one day.
+func FilterByDay(pairs []Pair, day string) []Pair {
 	var found []Pair
 	for _, p := range pairs {
 		if p.Before.Play.Day == day {
@@ -45,27 +45,27 @@
 // bytes returns the price of bytes between data centres.
 func bytes(r Report) float64 {
 	for _, p := range r.Prices {
-		if p.Of == bytesPrice {
+		if p.Name == bytesPrice {
 			return p.Worth
 		}
 	}
 	return 0
 }
 
-// Line formats a line of the table for some pairs: the mean difference of the second play from
+// FormatLine formats a line of the table for some pairs: the mean difference of the second play from
 // the first and its standard error, for the worth, the share of requests served and the price
 // of bytes between data centres.
-func Line(name string, pairs []Pair) string {
+func FormatLine(name string, pairs []Pair) string {
 	return fmt.Sprintf("%-14s %3d pairs  worth %s  served %s  bytes %s", name, len(pairs),
-		difference(pairs, worth), difference(pairs, served), difference(pairs, bytes))
+		formatDifference(pairs, worth), formatDifference(pairs, served), formatDifference(pairs, bytes))
 }
 
-// difference formats the means of both plays, the mean change and its standard error.
-func difference(pairs []Pair, of figure) string {
+// formatDifference formats the means of both plays, the mean change and its standard error.
+func formatDifference(pairs []Pair, value figure) string {
 	differences := make([]float64, 0, len(pairs))
 	before, after := 0.0, 0.0
 	for _, p := range pairs {
-		b, a := of(p.Before.Report), of(p.After.Report)
+		b, a := value(p.Before.Report), value(p.After.Report)
 		before += b / float64(len(pairs))
 		after += a / float64(len(pairs))
 		differences = append(differences, a-b)
--- a/test/bench/pairs_test.go
+++ b/test/bench/pairs_test.go
@@ -17,12 +17,12 @@
 	}
 }
 
-func TestPairLeavesOutWhatWasNotPlayed(t *testing.T) {
+func TestPairsOmitFailedPlays(t *testing.T) {
 	day := func(name string, err error) Outcome {
 		return Outcome{Play: Play{Day: name}, Err: err}
 	}
 	pairs := Pairs([]Outcome{day("a", nil), day("a", nil), day("b", nil), day("b", errors.New("lost"))})
-	if len(pairs) != 1 || len(OfDay(pairs, "a")) != 1 || len(OfDay(pairs, "b")) != 0 {
+	if len(pairs) != 1 || len(FilterByDay(pairs, "a")) != 1 || len(FilterByDay(pairs, "b")) != 0 {
 		t.Fatalf("got %d pairs, want only that of day a", len(pairs))
 	}
 }
--- a/test/bench/report.go
+++ b/test/bench/report.go
@@ -37,7 +37,7 @@
 
 // Price is a deduction from the score.
 type Price struct {
-	Of    string
+	Name  string
 	Worth float64
 }
 
@@ -83,5 +83,5 @@
 	if !isName || !isWorth {
 		return Price{}, errors.Errorf("parse price %v: want a name, an amount and a worth", row)
 	}
-	return Price{Of: of, Worth: worth}, nil
+	return Price{Name: of, Worth: worth}, nil
 }
--- a/test/compare/main.go
+++ b/test/compare/main.go
@@ -51,19 +51,19 @@
 	if len(days) == 0 {
 		return errors.New("no day given: want at least one as an argument")
 	}
-	player, err := bench.PlayerOf(c)
+	player, err := bench.PlayerFromFlags(c)
 	if err != nil {
 		return err
 	}
-	plays := bench.PlaysOf(c, c.String("why"), c.String("before"), c.String("after"))
+	plays := bench.PlaysFromFlags(c, c.String("why"), c.String("before"), c.String("after"))
 	outcomes := player.PlayAll(ctx, plays, c.Int("jobs"))
 	pairs := bench.Pairs(outcomes)
 	for _, day := range days {
-		fmt.Println(bench.Line(day, bench.OfDay(pairs, day)))
+		fmt.Println(bench.FormatLine(day, bench.FilterByDay(pairs, day)))
 	}
-	fmt.Println(bench.Line("all", pairs))
+	fmt.Println(bench.FormatLine("all", pairs))
 	for _, o := range outcomes {
-		if trouble := o.Trouble(); trouble != "" {
+		if trouble := o.FailureText(); trouble != "" {
 			fmt.Printf("%s seed %d in %s: %s\n", o.Play.Day, o.Play.Seed, o.Play.Dir, trouble)
 		}
 	}
--- a/test/days/main.go
+++ b/test/days/main.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		return err
 	}
-	player, err := bench.PlayerOf(c)
+	player, err := bench.PlayerFromFlags(c)
 	if err != nil {
 		return err
 	}
@@ -67,7 +67,7 @@
 	bad := 0
 	for _, o := range outcomes {
 		fmt.Println(line(o))
-		if o.Trouble() != "" {
+		if o.FailureText() != "" {
 			bad++
 		}
 	}
--- a/test/days/main_test.go
+++ b/test/days/main_test.go
@@ -16,7 +16,7 @@
 		t.Fatal(err)
 	}
 	o := bench.Outcome{Play: bench.Play{Day: "some-day"}, Report: r}
-	if o.Trouble() == "" {
+	if o.FailureText() == "" {
 		t.Fatal("day with broken rules is reported as successful")
 	}
 	text := line(o)
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if (bench.Outcome{Report: r}).Trouble() == "" {
+	if (bench.Outcome{Report: r}).FailureText() == "" {
 		t.Fatal("day with a fault is reported as successful")
 	}
 }
