--- a/test/days/main.go
+++ b/test/days/main.go
@@ -32,10 +32,10 @@
 const (
 	// daysDir is the folder of the days, relative to the root of the repository, where the bench runs.
 	daysDir = "test/days/days"
-	// dayEnding is the file name extension of a day.
-	dayEnding = ".toml"
-	// daysAtATime is the default number of concurrent plays.
-	daysAtATime = 4
+	// dayExt is the file name extension of a day.
+	dayExt = ".toml"
+	// defaultJobs is the default number of concurrent plays.
+	defaultJobs = 4
 )
 
 func main() { bench.Main(command()) }
@@ -44,7 +44,7 @@
 	return &cli.Command{
 		Name:   "days",
 		Usage:  "plays this project's days on the users' bench",
-		Flags:  bench.Flags(daysAtATime),
+		Flags:  bench.Flags(defaultJobs),
 		Action: run,
 	}
 }
@@ -64,15 +64,15 @@
 		plays = append(plays, bench.Play{Day: file})
 	}
 	outcomes := player.PlayAll(ctx, plays, c.Int("jobs"))
-	bad := 0
+	failed := 0
 	for _, o := range outcomes {
-		fmt.Println(line(o))
+		fmt.Println(formatLine(o))
 		if o.FailureText() != "" {
-			bad++
+			failed++
 		}
 	}
-	if bad > 0 {
-		return errors.Errorf("%d of %d days failed or broke rules", bad, len(outcomes))
+	if failed > 0 {
+		return errors.Errorf("%d of %d days failed or broke rules", failed, len(outcomes))
 	}
 	return nil
 }
@@ -80,7 +80,7 @@
 // dayFiles returns the files of the named days, or of all days if there are no names.
 func dayFiles(names []string) ([]string, error) {
 	if len(names) == 0 {
-		files, err := filepath.Glob(filepath.Join(daysDir, "*"+dayEnding))
+		files, err := filepath.Glob(filepath.Join(daysDir, "*"+dayExt))
 		if err != nil {
 			return nil, errors.Wrap(err, "list days")
 		}
@@ -88,7 +88,7 @@
 	}
 	files := make([]string, 0, len(names))
 	for _, name := range names {
-		files = append(files, filepath.Join(daysDir, strings.TrimSuffix(name, dayEnding)+dayEnding))
+		files = append(files, filepath.Join(daysDir, strings.TrimSuffix(name, dayExt)+dayExt))
 	}
 	return files, nil
 }
--- a/test/days/main_test.go
+++ b/test/days/main_test.go
@@ -19,7 +19,7 @@
 	if o.FailureText() == "" {
 		t.Fatal("day with broken rules is reported as successful")
 	}
-	text := line(o)
+	text := formatLine(o)
 	for _, want := range []string{"some-day", "broken GONE LOST", "served 0.900", "worth 0.500", "bytes 0.030, probes 0.001"} {
 		if !strings.Contains(text, want) {
 			t.Errorf("missing %q in line %q", want, text)
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestAFaultIsNotGood(t *testing.T) {
+func TestFaultIsFailure(t *testing.T) {
 	r, err := bench.ParseReport([]byte(`{"fault":"a process ended"}`))
 	if err != nil {
 		t.Fatal(err)
@@ -37,8 +37,8 @@
 	}
 }
 
-// TestEachDaySaysWhatItIsFor guards against day files without a description or with a name other than the file's.
-func TestEachDaySaysWhatItIsFor(t *testing.T) {
+// TestDayFilesHaveDescriptionAndName guards against day files without a description or with a name other than the file's.
+func TestDayFilesHaveDescriptionAndName(t *testing.T) {
 	files, err := filepath.Glob("days/*.toml")
 	if err != nil || len(files) == 0 {
 		t.Fatalf("%d days, %v", len(files), err)
