--- a/test/ablate/main.go
+++ b/test/ablate/main.go
@@ -27,8 +27,8 @@
 )
 
 const (
-	// daysAtATime is the default number of concurrent plays.
-	daysAtATime = 8
+	// defaultJobs is the default number of concurrent plays.
+	defaultJobs = 8
 	// settingsFile is the template of the daemons' settings.
 	settingsFile = "deploy/settings.yaml"
 	// journal is the folder to which the bench writes an entry for each play.
@@ -41,7 +41,7 @@
 	return &cli.Command{
 		Name:  "ablate",
 		Usage: "plays days with each mechanism disabled and prints the differences",
-		Flags: append(bench.Flags(daysAtATime),
+		Flags: append(bench.Flags(defaultJobs),
 			bench.SeedsFlag(),
 			&cli.StringSliceFlag{Name: "off", Usage: "the mechanisms to disable; all by default"},
 		),
@@ -92,20 +92,20 @@
 
 // playIn plays all days in a clone with the mechanism disabled. If off is empty, all are enabled.
 func playIn(ctx context.Context, c *cli.Command, player bench.Player, dir string, off experiment.Mechanism) ([]bench.Outcome, error) {
-	if err := copyTo(ctx, dir, off); err != nil {
+	if err := cloneWithout(ctx, dir, off); err != nil {
 		return nil, err
 	}
 	outcomes := player.PlayAll(ctx, bench.PlaysFromFlags(c, "ablation, off: "+string(off), dir), c.Int("jobs"))
 	for _, o := range outcomes {
-		if trouble := o.FailureText(); trouble != "" {
-			fmt.Printf("off %q: %s seed %d: %s\n", off, o.Play.Day, o.Play.Seed, trouble)
+		if failure := o.FailureText(); failure != "" {
+			fmt.Printf("off %q: %s seed %d: %s\n", off, o.Play.Day, o.Play.Seed, failure)
 		}
 	}
-	return outcomes, keepJournal(dir)
+	return outcomes, copyJournal(dir)
 }
 
-// copyTo clones the current commit into the folder and disables the mechanism in its settings.
-func copyTo(ctx context.Context, dir string, off experiment.Mechanism) error {
+// cloneWithout clones the current commit into the folder and disables the mechanism in its settings.
+func cloneWithout(ctx context.Context, dir string, off experiment.Mechanism) error {
 	if out, err := exec.CommandContext(ctx, "git", "clone", "--quiet", ".", dir).CombinedOutput(); err != nil {
 		return errors.Wrapf(err, "clone repository: %s", out)
 	}
@@ -124,17 +124,17 @@
 	return nil
 }
 
-// keepJournal copies the new journal entries of a clone into this repository.
-func keepJournal(dir string) error {
-	copied := os.DirFS(dir)
-	return fs.WalkDir(copied, journal, func(path string, e fs.DirEntry, err error) error {
+// copyJournal copies the new journal entries of a clone into this repository.
+func copyJournal(dir string) error {
+	clone := os.DirFS(dir)
+	return fs.WalkDir(clone, journal, func(path string, e fs.DirEntry, err error) error {
 		if err != nil {
 			return errors.Wrap(err, "read the clone's journal")
 		}
 		if _, err := os.Stat(path); err == nil || e.IsDir() {
 			return nil
 		}
-		data, err := fs.ReadFile(copied, path)
+		data, err := fs.ReadFile(clone, path)
 		if err != nil {
 			return errors.Wrap(err, "read journal entry")
 		}
--- a/test/ablate/main_test.go
+++ b/test/ablate/main_test.go
@@ -11,11 +11,11 @@
 	"github.com/tideliftd/tidelift/test/bench"
 )
 
-// TestACopyDiffersByTheMechanism guards against a clone in which the mechanism stays enabled.
-func TestACopyDiffersByTheMechanism(t *testing.T) {
+// TestCloneDisablesMechanism guards against a clone in which the mechanism stays enabled.
+func TestCloneDisablesMechanism(t *testing.T) {
 	t.Chdir("../..")
 	dir := filepath.Join(t.TempDir(), "copy")
-	if err := copyTo(context.Background(), dir, experiment.Hedges); err != nil {
+	if err := cloneWithout(context.Background(), dir, experiment.Hedges); err != nil {
 		t.Fatal(err)
 	}
 	data, err := os.ReadFile(filepath.Join(dir, settingsFile))
@@ -24,7 +24,7 @@
 	}
 }
 
-func TestPlaysStandSideBySide(t *testing.T) {
+func TestInterleave(t *testing.T) {
 	day := func(name string) bench.Outcome { return bench.Outcome{Play: bench.Play{Day: name}} }
 	all := interleave([]bench.Outcome{day("a"), day("b")}, []bench.Outcome{day("a without"), day("b without")})
 	pairs := bench.Pairs(all)
