--- a/test/compare/main.go
+++ b/test/compare/main.go
@@ -26,8 +26,8 @@
 	"github.com/tideliftd/tidelift/test/bench"
 )
 
-// daysAtATime is the default number of concurrent plays.
-const daysAtATime = 8
+// defaultJobs is the default number of concurrent plays.
+const defaultJobs = 8
 
 func main() { bench.Main(command()) }
 
@@ -35,7 +35,7 @@
 	return &cli.Command{
 		Name:  "compare",
 		Usage: "plays days with two builds and prints the difference",
-		Flags: append(bench.Flags(daysAtATime),
+		Flags: append(bench.Flags(defaultJobs),
 			&cli.StringFlag{Name: "before", Usage: "the first checkout", Required: true},
 			&cli.StringFlag{Name: "after", Usage: "the second checkout", Required: true},
 			bench.SeedsFlag(),
@@ -63,8 +63,8 @@
 	}
 	fmt.Println(bench.FormatLine("all", pairs))
 	for _, o := range outcomes {
-		if trouble := o.FailureText(); trouble != "" {
-			fmt.Printf("%s seed %d in %s: %s\n", o.Play.Day, o.Play.Seed, o.Play.Dir, trouble)
+		if failure := o.FailureText(); failure != "" {
+			fmt.Printf("%s seed %d in %s: %s\n", o.Play.Day, o.Play.Seed, o.Play.Dir, failure)
 		}
 	}
 	return nil
