--- a/test/demo/main.go
+++ b/test/demo/main.go
@@ -17,12 +17,12 @@
 )
 
 const (
-	rate        = 120
-	workMillis  = "25"
-	settleFor   = 3 * time.Second
-	grayFor     = 4 * time.Second
-	recoverFor  = 12 * time.Second
-	sickBackend = 0
+	rate             = 120
+	workMillis       = "25"
+	warmUpFor        = 3 * time.Second
+	stallFor         = 4 * time.Second
+	recoverFor       = 12 * time.Second
+	unhealthyBackend = 0
 )
 
 func main() {
@@ -33,7 +33,7 @@
 }
 
 func run() error {
-	say("building the programs")
+	printStep("building the programs")
 	programs, remove, err := harness.Build()
 	if err != nil {
 		return err
@@ -52,51 +52,51 @@
 		return err
 	}
 	defer cleanUp()
-	say("%d daemons and %d backend servers are running; callers send %d searches a second", len(f.Daemons), len(f.Backends), rate)
+	printStep("%d daemons and %d backend servers are running; callers send %d searches a second", len(f.Daemons), len(f.Backends), rate)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	callers := newCallers(f)
 	go callers.run(ctx)
-	return show(f, programs, callers)
+	return runScenario(f, programs, callers)
 }
 
-func show(f *harness.Fleet, programs harness.Programs, callers *callers) error {
-	sick := f.Backends[sickBackend]
-	ask := func(arguments ...string) error { return tidelift(programs, sick.Host, arguments...) }
-	time.Sleep(settleFor)
-	if err := ask("show", "services"); err != nil {
+func runScenario(f *harness.Fleet, programs harness.Programs, callers *callers) error {
+	unhealthy := f.Backends[unhealthyBackend]
+	runCommand := func(arguments ...string) error { return runTidelift(programs, unhealthy.Host, arguments...) }
+	time.Sleep(warmUpFor)
+	if err := runCommand("show", "services"); err != nil {
 		return err
 	}
 	callers.report()
-	say("%s stalls: its health check still succeeds, but it answers no requests", sick.Name)
-	if err := sick.SetMode(backendserver.Mode{Stall: 1}); err != nil {
+	printStep("%s stalls: its health check still succeeds, but it answers no requests", unhealthy.Name)
+	if err := unhealthy.SetMode(backendserver.Mode{Stall: 1}); err != nil {
 		return err
 	}
-	time.Sleep(grayFor)
-	if err := ask("show", "backend-servers", "lookup"); err != nil {
+	time.Sleep(stallFor)
+	if err := runCommand("show", "backend-servers", "lookup"); err != nil {
 		return err
 	}
-	if err := ask("why", sick.Name); err != nil {
+	if err := runCommand("why", unhealthy.Name); err != nil {
 		return err
 	}
 	callers.report()
-	say("%s recovers; a few real requests have to confirm it", sick.Name)
-	if err := sick.SetMode(backendserver.Mode{}); err != nil {
+	printStep("%s recovers; a few real requests have to confirm it", unhealthy.Name)
+	if err := unhealthy.SetMode(backendserver.Mode{}); err != nil {
 		return err
 	}
 	time.Sleep(recoverFor)
-	if err := ask("show", "backend-servers", "lookup"); err != nil {
+	if err := runCommand("show", "backend-servers", "lookup"); err != nil {
 		return err
 	}
 	callers.report()
-	say("done; stopping everything")
+	printStep("done; stopping everything")
 	return nil
 }
 
-func say(format string, args ...any) { fmt.Printf("\n# "+format+"\n", args...) }
+func printStep(format string, args ...any) { fmt.Printf("\n# "+format+"\n", args...) }
 
-// tidelift runs the operators' command-line tool against a daemon.
-func tidelift(programs harness.Programs, d *harness.Daemon, arguments ...string) error {
+// runTidelift runs the operators' command-line tool against a daemon.
+func runTidelift(programs harness.Programs, d *harness.Daemon, arguments ...string) error {
 	all := append([]string{"--daemon", "http://" + d.OperatorsAddress()}, arguments...)
 	fmt.Printf("\n$ tidelift %v\n", arguments)
 	command := exec.Command(programs.Path("tidelift"), all...)
@@ -150,5 +150,5 @@
 
 // report prints the results of the searches since the previous report.
 func (c *callers) report() {
-	say("searches since the previous report: %d answered, %d failed", c.answered.Swap(0), c.failed.Swap(0))
+	printStep("searches since the previous report: %d answered, %d failed", c.answered.Swap(0), c.failed.Swap(0))
 }
