--- a/test/docs/docs_test.go
+++ b/test/docs/docs_test.go
@@ -15,9 +15,9 @@
 	"github.com/tideliftd/tidelift/internal/settings"
 )
 
-// hold compares the part of a page between its markers with the wanted text.
+// checkPart compares the part of a page between its markers with the wanted text.
 // If UPDATE_GOLDEN is set, it updates the page instead.
-func hold(t *testing.T, page, part, want string) {
+func checkPart(t *testing.T, page, part, want string) {
 	t.Helper()
 	file := "../../docs/" + page
 	data, err := os.ReadFile(file)
@@ -48,7 +48,7 @@
 		fmt.Fprintf(&b, "| %d | `%s` | %d | %s | %s |\n", c.Number, c.Name, c.Status, c.Ran, c.Meaning)
 	}
 	b.WriteString("\n")
-	hold(t, "RESULT-CODES.md", "codes", b.String())
+	checkPart(t, "RESULT-CODES.md", "codes", b.String())
 }
 
 func TestResultCodesAreUnique(t *testing.T) {
@@ -75,15 +75,15 @@
 		fmt.Fprintf(&b, "| %d | %s | %s | %s |\n", e.Number, strings.ToLower(e.Level.String()), e.Message, e.Meaning)
 	}
 	b.WriteString("\n")
-	hold(t, "EVENTS.md", "events", b.String())
+	checkPart(t, "EVENTS.md", "events", b.String())
 }
 
 func TestConfiguration(t *testing.T) {
-	hold(t, "CONFIGURATION.md", "settings", fieldTable(reflect.TypeOf(settings.Settings{})))
-	hold(t, "CONFIGURATION.md", "declaration", fieldTable(reflect.TypeOf(fleet.Declaration{})))
+	checkPart(t, "CONFIGURATION.md", "settings", fieldTable(reflect.TypeOf(settings.Settings{})))
+	checkPart(t, "CONFIGURATION.md", "declaration", fieldTable(reflect.TypeOf(fleet.Declaration{})))
 }
 
-var described = regexp.MustCompile(`description=(.*)$`)
+var descriptionTag = regexp.MustCompile(`description=(.*)$`)
 
 func fieldTable(t reflect.Type) string {
 	var b strings.Builder
@@ -97,7 +97,7 @@
 	for field := range t.Fields() {
 		name := path + field.Tag.Get("yaml")
 		text := ""
-		if found := described.FindStringSubmatch(field.Tag.Get("jsonschema")); found != nil {
+		if found := descriptionTag.FindStringSubmatch(field.Tag.Get("jsonschema")); found != nil {
 			text = found[1]
 		}
 		fmt.Fprintf(b, "| `%s` | %s | %s |\n", name, kind(field.Type), text)
