--- a/test/session/session_test.go
+++ b/test/session/session_test.go
@@ -30,7 +30,7 @@
 
 // TestCatalogue runs the sessions of the library catalogue customer, each with its own fleet.
 func TestCatalogue(t *testing.T) {
-	runWith(t, "testdata/catalogue", harness.Spec{
+	runWithFleet(t, "testdata/catalogue", harness.Spec{
 		DataCentres: []string{"angyalfold", "csepel", "obuda"},
 		HostsEach:   1,
 		Services: []harness.Service{
@@ -42,7 +42,7 @@
 
 // TestPlanning runs the sessions of the planning co-operative, each with its own fleet.
 func TestPlanning(t *testing.T) {
-	runWith(t, "testdata/planning", harness.Spec{
+	runWithFleet(t, "testdata/planning", harness.Spec{
 		DataCentres: []string{"muenchen-nord", "muenchen-sued", "rosenheim", "weilheim"},
 		HostsEach:   1,
 		Services: []harness.Service{
@@ -52,7 +52,7 @@
 	})
 }
 
-func runWith(t *testing.T, dir string, spec harness.Spec) {
+func runWithFleet(t *testing.T, dir string, spec harness.Spec) {
 	t.Helper()
 	programs, remove, err := harness.Build()
 	if err != nil {
@@ -64,9 +64,9 @@
 		Dir:           dir,
 		UpdateScripts: os.Getenv("UPDATE_GOLDEN") != "",
 		Setup: func(env *testscript.Env) error {
-			own := spec
-			own.Dir = env.WorkDir
-			f, cleanUp, err := harness.Start(own)
+			fleetSpec := spec
+			fleetSpec.Dir = env.WorkDir
+			f, cleanUp, err := harness.Start(fleetSpec)
 			if err != nil {
 				return err
 			}
