--- a/test/backendserver/backendserver.go
+++ b/test/backendserver/backendserver.go
@@ -54,11 +54,11 @@
 	return &Server{ledger: Ledger{Runs: make(map[string]int)}}
 }
 
-// Work returns a handler that serves requests.
-func (s *Server) Work() http.Handler { return http.HandlerFunc(s.work) }
+// RequestHandler returns a handler that serves requests.
+func (s *Server) RequestHandler() http.Handler { return http.HandlerFunc(s.work) }
 
-// Control returns a handler that serves GET /ledger and PUT /mode.
-func (s *Server) Control() http.Handler {
+// ControlHandler returns a handler that serves GET /ledger and PUT /mode.
+func (s *Server) ControlHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /ledger", s.serveLedger)
 	mux.HandleFunc("PUT /mode", s.serveMode)
@@ -70,7 +70,7 @@
 		return // the request was truncated, so it is not run
 	}
 	key := r.Header.Get(HeaderKey)
-	mode := s.begin(key)
+	mode := s.recordRun(key)
 	if rand.Float64() < mode.Stall {
 		<-r.Context().Done()
 		return
@@ -90,8 +90,8 @@
 	return time.Duration(millis * float64(time.Millisecond))
 }
 
-// begin records a run and returns the mode that applies to it.
-func (s *Server) begin(key string) Mode {
+// recordRun records a run and returns the mode that applies to it.
+func (s *Server) recordRun(key string) Mode {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if key != "" {
--- a/test/cmd/testbackend/main.go
+++ b/test/cmd/testbackend/main.go
@@ -17,8 +17,8 @@
 	control := flag.String("control", "127.0.0.1:0", "address to listen on for control calls")
 	flag.Parse()
 	b := backendserver.New()
-	go serve(*control, b.Control())
-	serve(*work, b.Work())
+	go serve(*control, b.ControlHandler())
+	serve(*work, b.RequestHandler())
 }
 
 func serve(address string, handler http.Handler) {
