--- a/test/bench/pairs_test.go
+++ b/test/bench/pairs_test.go
@@ -13,16 +13,16 @@
 		t.Fatalf("mean %v, standard error %v", mean, standardError)
 	}
 	if _, one := meanOf([]float64{1}); !math.IsNaN(one) {
-		t.Fatalf("standard error of one value: %v", one)
+		t.Fatalf("standard error of one value is %v, want NaN", one)
 	}
 }
 
-func TestPairLeavesOutWhatWasNotPlayed(t *testing.T) {
+func TestPairsOmitFailedPlays(t *testing.T) {
 	day := func(name string, err error) Outcome {
 		return Outcome{Play: Play{Day: name}, Err: err}
 	}
 	pairs := Pairs([]Outcome{day("a", nil), day("a", nil), day("b", nil), day("b", errors.New("lost"))})
-	if len(pairs) != 1 || len(OfDay(pairs, "a")) != 1 || len(OfDay(pairs, "b")) != 0 {
-		t.Fatalf("%d pairs", len(pairs))
+	if len(pairs) != 1 || len(FilterByDay(pairs, "a")) != 1 || len(FilterByDay(pairs, "b")) != 0 {
+		t.Fatalf("got %d pairs, want only that of day a", len(pairs))
 	}
 }
--- a/test/days/main.go
+++ b/test/days/main.go
@@ -1,21 +1,20 @@
-// Command days plays days of our own on the users' bench and prints what became of
-// them.
+// Command days plays this project's days on the users' bench and prints their results.
 //
 // # Usage
 //
 //	go run ./test/days --bench PATH --site FILE [--jobs 4] [DAY ...]
 //
-// A day is a TOML file in test/days/days, whose first line says what it is for. Without
-// names all are played. The bench is the users' own program, and the site one of their
-// files; neither is part of this repository, so that CI does not run this. The words
-// inside the files are the bench's.
+// A day is a TOML file in test/days/days whose first line describes its purpose. Without
+// names, all days are played. The bench is the users' own program, and the site one of
+// their files; neither is part of this repository, so that CI does not run this command.
+// The bench defines the format of the files.
 //
-// The table has a line a day: the rules that were broken, the share of requests that
-// was served, the worth and the two largest prices. The exit status is 1 if a rule was
-// broken or a process ended by itself, or if a day could not be played.
+// The table has one line for each day: the broken rules, the share of requests that were
+// served, the worth and the two largest prices. The exit status is 1 if a rule was broken,
+// a process ended unexpectedly or a day could not be played.
 //
-// main.go reads the flags and finds the days, table.go prints what became of them; package
-// bench plays them.
+// main.go reads the flags and finds the days, and table.go formats the results; package
+// bench runs the plays.
 package main
 
 import (
@@ -31,12 +30,12 @@
 )
 
 const (
-	// daysDir holds the days, seen from the root of the repository, where the bench runs.
+	// daysDir is the folder of the days, relative to the root of the repository, where the bench runs.
 	daysDir = "test/days/days"
-	// dayEnding is what the name of a day's file ends with.
-	dayEnding = ".toml"
-	// daysAtATime is how many days are played at a time unless said otherwise.
-	daysAtATime = 4
+	// dayExt is the file name extension of a day.
+	dayExt = ".toml"
+	// defaultJobs is the default number of concurrent plays.
+	defaultJobs = 4
 )
 
 func main() { bench.Main(command()) }
@@ -44,8 +43,8 @@
 func command() *cli.Command {
 	return &cli.Command{
 		Name:   "days",
-		Usage:  "plays days of our own on the users' bench",
-		Flags:  bench.Flags(daysAtATime),
+		Usage:  "plays this project's days on the users' bench",
+		Flags:  bench.Flags(defaultJobs),
 		Action: run,
 	}
 }
@@ -56,7 +55,7 @@
 	if err != nil {
 		return err
 	}
-	player, err := bench.PlayerOf(c)
+	player, err := bench.PlayerFromFlags(c)
 	if err != nil {
 		return err
 	}
@@ -65,23 +64,23 @@
 		plays = append(plays, bench.Play{Day: file})
 	}
 	outcomes := player.PlayAll(ctx, plays, c.Int("jobs"))
-	bad := 0
+	failed := 0
 	for _, o := range outcomes {
-		fmt.Println(line(o))
-		if o.Trouble() != "" {
-			bad++
+		fmt.Println(formatLine(o))
+		if o.FailureText() != "" {
+			failed++
 		}
 	}
-	if bad > 0 {
-		return errors.Errorf("%d of %d days are not as they should be", bad, len(outcomes))
+	if failed > 0 {
+		return errors.Errorf("%d of %d days failed or broke rules", failed, len(outcomes))
 	}
 	return nil
 }
 
-// dayFiles returns the files of the days named, or of all.
+// dayFiles returns the files of the named days, or of all days if there are no names.
 func dayFiles(names []string) ([]string, error) {
 	if len(names) == 0 {
-		files, err := filepath.Glob(filepath.Join(daysDir, "*"+dayEnding))
+		files, err := filepath.Glob(filepath.Join(daysDir, "*"+dayExt))
 		if err != nil {
 			return nil, errors.Wrap(err, "list days")
 		}
@@ -89,7 +88,7 @@
 	}
 	files := make([]string, 0, len(names))
 	for _, name := range names {
-		files = append(files, filepath.Join(daysDir, strings.TrimSuffix(name, dayEnding)+dayEnding))
+		files = append(files, filepath.Join(daysDir, strings.TrimSuffix(name, dayExt)+dayExt))
 	}
 	return files, nil
 }
--- a/test/demo/main.go
+++ b/test/demo/main.go
@@ -1,6 +1,6 @@
-// Command demo shows tidelift at work: it starts real daemons on loopback
-// addresses, turns one backend server gray, and shows that its traffic goes
-// elsewhere, why, and how it comes back. It ends everything it started.
+// Command demo demonstrates tidelift. It starts real daemons on loopback
+// addresses, stalls one backend server, and shows how the daemons eject it, why,
+// and how they return it to service. It stops everything that it started.
 package main
 
 import (
@@ -17,12 +17,12 @@
 )
 
 const (
-	rate        = 120
-	workMillis  = "25"
-	settleFor   = 3 * time.Second
-	grayFor     = 4 * time.Second
-	recoverFor  = 12 * time.Second
-	sickBackend = 0
+	rate             = 120
+	workMillis       = "25"
+	warmUpFor        = 3 * time.Second
+	stallFor         = 4 * time.Second
+	recoverFor       = 12 * time.Second
+	unhealthyBackend = 0
 )
 
 func main() {
@@ -33,7 +33,7 @@
 }
 
 func run() error {
-	say("building the programs")
+	printStep("building the programs")
 	programs, remove, err := harness.Build()
 	if err != nil {
 		return err
@@ -52,52 +52,52 @@
 		return err
 	}
 	defer cleanUp()
-	say("%d daemons and %d backend servers run; librarians search %d times a second", len(f.Daemons), len(f.Backends), rate)
+	printStep("%d daemons and %d backend servers are running; callers send %d searches a second", len(f.Daemons), len(f.Backends), rate)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	callers := newCallers(f)
 	go callers.run(ctx)
-	return show(f, programs, callers)
+	return runScenario(f, programs, callers)
 }
 
-func show(f *harness.Fleet, programs harness.Programs, callers *callers) error {
-	sick := f.Backends[sickBackend]
-	ask := func(arguments ...string) error { return tidelift(programs, sick.Host, arguments...) }
-	time.Sleep(settleFor)
-	if err := ask("show", "services"); err != nil {
+func runScenario(f *harness.Fleet, programs harness.Programs, callers *callers) error {
+	unhealthy := f.Backends[unhealthyBackend]
+	runCommand := func(arguments ...string) error { return runTidelift(programs, unhealthy.Host, arguments...) }
+	time.Sleep(warmUpFor)
+	if err := runCommand("show", "services"); err != nil {
 		return err
 	}
 	callers.report()
-	say("%s turns gray: its health check stays green, its requests are never answered", sick.Name)
-	if err := sick.SetMode(backendserver.Mode{Stall: 1}); err != nil {
+	printStep("%s stalls: its health check still succeeds, but it answers no requests", unhealthy.Name)
+	if err := unhealthy.SetMode(backendserver.Mode{Stall: 1}); err != nil {
 		return err
 	}
-	time.Sleep(grayFor)
-	if err := ask("show", "backend-servers", "lookup"); err != nil {
+	time.Sleep(stallFor)
+	if err := runCommand("show", "backend-servers", "lookup"); err != nil {
 		return err
 	}
-	if err := ask("why", sick.Name); err != nil {
+	if err := runCommand("why", unhealthy.Name); err != nil {
 		return err
 	}
 	callers.report()
-	say("%s recovers; a few real requests have to show it", sick.Name)
-	if err := sick.SetMode(backendserver.Mode{}); err != nil {
+	printStep("%s recovers; a few real requests have to confirm it", unhealthy.Name)
+	if err := unhealthy.SetMode(backendserver.Mode{}); err != nil {
 		return err
 	}
 	time.Sleep(recoverFor)
-	if err := ask("show", "backend-servers", "lookup"); err != nil {
+	if err := runCommand("show", "backend-servers", "lookup"); err != nil {
 		return err
 	}
 	callers.report()
-	say("done; everything started is ended")
+	printStep("done; stopping everything")
 	return nil
 }
 
-func say(format string, args ...any) { fmt.Printf("\n# "+format+"\n", args...) }
+func printStep(format string, args ...any) { fmt.Printf("\n# "+format+"\n", args...) }
 
-// tidelift runs the operators' command line against a daemon.
-func tidelift(programs harness.Programs, d *harness.Daemon, arguments ...string) error {
-	all := append([]string{"--daemon", "http://" + d.Operators()}, arguments...)
+// runTidelift runs the operators' command-line tool against a daemon.
+func runTidelift(programs harness.Programs, d *harness.Daemon, arguments ...string) error {
+	all := append([]string{"--daemon", "http://" + d.OperatorsAddress()}, arguments...)
 	fmt.Printf("\n$ tidelift %v\n", arguments)
 	command := exec.Command(programs.Path("tidelift"), all...)
 	command.Stdout = os.Stdout
@@ -105,7 +105,7 @@
 	return command.Run()
 }
 
-// callers search at a steady rate, in turn at each daemon.
+// callers sends searches at a constant rate to each daemon in turn.
 type callers struct {
 	fleet    *harness.Fleet
 	client   *http.Client
@@ -148,7 +148,7 @@
 	c.failed.Add(1)
 }
 
-// report says how the searches went since the last report.
+// report prints the results of the searches since the previous report.
 func (c *callers) report() {
-	say("searches since the last look: %d answered, %d failed", c.answered.Swap(0), c.failed.Swap(0))
+	printStep("searches since the previous report: %d answered, %d failed", c.answered.Swap(0), c.failed.Swap(0))
 }
--- a/test/harness/backend.go
+++ b/test/harness/backend.go
@@ -10,38 +10,39 @@
 	"github.com/tideliftd/tidelift/test/backendserver"
 )
 
-// Backend is one backend server.
+// Backend is a backend server process, or the address of one that the test runs itself.
 type Backend struct {
 	process
 	Name    string
 	Service Service
 	Host    *Daemon
 
-	fleet  *Fleet
-	number int // in the fleet
-	place  int // in the service
+	fleet        *Fleet
+	number       int // index in the fleet
+	serviceIndex int // index in the service
 }
 
-// Work returns the IP:port where it takes requests, past any proxy.
-func (b *Backend) Work() string {
+// Address returns the IP:port at which the backend server itself receives requests, behind any proxy.
+func (b *Backend) Address() string {
 	if b.Service.Addresses != nil {
-		return b.Service.Addresses[b.place]
+		return b.Service.Addresses[b.serviceIndex]
 	}
-	return b.fleet.net.address(b.Host.number, portWork+b.number)
+	return b.fleet.net.address(b.Host.number, portBackend+b.number)
 }
 
-func (b *Backend) workProxy() string {
-	return b.fleet.net.address(b.Host.number, portWorkProxy+b.number)
+func (b *Backend) proxyAddress() string {
+	return b.fleet.net.address(b.Host.number, portBackendProxy+b.number)
 }
 
+// mode returns the IP:port at which the backend server's mode is set and its ledger is read.
 func (b *Backend) mode() string { return b.fleet.net.address(b.Host.number, portMode+b.number) }
 
-// declared returns the address that the declaration gives.
-func (b *Backend) declared() string {
+// declaredAddress returns the address to use in the declaration, which is the proxy's if there is one.
+func (b *Backend) declaredAddress() string {
 	if b.fleet.Spec.Proxied {
-		return b.workProxy()
+		return b.proxyAddress()
 	}
-	return b.Work()
+	return b.Address()
 }
 
 func (f *Fleet) startBackends() error {
@@ -52,22 +53,22 @@
 		if err := b.Start(); err != nil {
 			return err
 		}
-		f.atEnd(b.Kill)
+		f.onCleanUp(b.Kill)
 	}
 	return nil
 }
 
-// Start starts the backend server, also again after it has ended, and waits
-// until it takes connections.
+// Start starts the backend server, or restarts it after it has ended, and waits
+// until it accepts connections.
 func (b *Backend) Start() error {
-	err := b.start(b.fleet, b.Name, "testbackend", "-work", b.Work(), "-control", b.mode())
+	err := b.start(b.fleet, b.Name, "testbackend", "-work", b.Address(), "-control", b.mode())
 	if err != nil {
 		return err
 	}
-	return WaitListening(b.Work())
+	return WaitListening(b.Address())
 }
 
-// SetMode makes the backend server behave so.
+// SetMode sets the behaviour of the backend server.
 func (b *Backend) SetMode(mode backendserver.Mode) error {
 	data, err := json.Marshal(mode)
 	if err != nil {
@@ -75,7 +76,7 @@
 	}
 	request, err := http.NewRequest(http.MethodPut, "http://"+b.mode()+"/mode", bytes.NewReader(data))
 	if err != nil {
-		return errors.Wrap(err, "make request")
+		return errors.Wrap(err, "create request")
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
@@ -84,7 +85,7 @@
 	return response.Body.Close()
 }
 
-// Ledger returns what the backend server has run since its start.
+// Ledger returns the runs of the backend server since its start.
 func (b *Backend) Ledger() (backendserver.Ledger, error) {
 	var ledger backendserver.Ledger
 	response, err := http.Get("http://" + b.mode() + "/ledger")
--- a/test/harness/faults.go
+++ b/test/harness/faults.go
@@ -12,18 +12,18 @@
 	"github.com/rs/zerolog"
 )
 
-// Stream is a direction through a proxy.
-type Stream string
+// Direction is the direction of data through a proxy.
+type Direction string
 
 // The directions.
 const (
-	// Requests go towards the server.
-	Requests Stream = "upstream"
-	// Answers come back from it.
-	Answers Stream = "downstream"
+	// Requests is the direction towards the server.
+	Requests Direction = "upstream"
+	// Responses is the direction back from the server.
+	Responses Direction = "downstream"
 )
 
-// Faults are the fault-injecting proxies of a fleet.
+// Faults controls the fault-injecting proxies of a fleet. A link is the name of a proxy.
 type Faults struct {
 	server *toxiproxy.ApiServer
 
@@ -58,39 +58,39 @@
 	}
 }
 
-// BackendLink names the proxy before a backend server.
+// BackendLink returns the name of the proxy in front of a backend server.
 func BackendLink(backend string) string { return "work " + backend }
 
-// PeerLink names the proxy before a daemon for requests from a data centre.
+// PeerLink returns the name of the proxy in front of a daemon for requests from a data centre.
 func PeerLink(dataCentre, daemon string) string { return "peers " + dataCentre + " " + daemon }
 
-// ControlLink names the proxy before a daemon for control calls from a data
-// centre.
+// ControlLink returns the name of the proxy in front of a daemon for control calls from a
+// data centre.
 func ControlLink(dataCentre, daemon string) string { return "control " + dataCentre + " " + daemon }
 
-// Cut lets nothing more through in that direction; the connection stays open.
-func (x *Faults) Cut(link string, stream Stream) error {
-	return x.toxic(link, fmt.Sprintf(`{"name":"cut-%s","type":"timeout","stream":"%s","attributes":{"timeout":0}}`, stream, stream))
+// Cut drops all further data in that direction. Connections stay open.
+func (x *Faults) Cut(link string, direction Direction) error {
+	return x.toxic(link, fmt.Sprintf(`{"name":"cut-%s","type":"timeout","stream":"%s","attributes":{"timeout":0}}`, direction, direction))
 }
 
-// Delay adds milliseconds to each piece in that direction.
-func (x *Faults) Delay(link string, stream Stream, millis int) error {
-	return x.toxic(link, fmt.Sprintf(`{"name":"delay-%s","type":"latency","stream":"%s","attributes":{"latency":%d}}`, stream, stream, millis))
+// Delay delays data in that direction by the given number of milliseconds.
+func (x *Faults) Delay(link string, direction Direction, millis int) error {
+	return x.toxic(link, fmt.Sprintf(`{"name":"delay-%s","type":"latency","stream":"%s","attributes":{"latency":%d}}`, direction, direction, millis))
 }
 
-// LimitData closes each connection after so many bytes in that direction.
-func (x *Faults) LimitData(link string, stream Stream, bytes int) error {
-	return x.toxic(link, fmt.Sprintf(`{"name":"limit-%s","type":"limit_data","stream":"%s","attributes":{"bytes":%d}}`, stream, stream, bytes))
+// LimitData closes each connection after the given number of bytes in that direction.
+func (x *Faults) LimitData(link string, direction Direction, bytes int) error {
+	return x.toxic(link, fmt.Sprintf(`{"name":"limit-%s","type":"limit_data","stream":"%s","attributes":{"bytes":%d}}`, direction, direction, bytes))
 }
 
-// Close ends the link's connections and takes no new ones.
+// Close closes the link's connections and refuses new ones.
 func (x *Faults) Close(link string) {
 	if proxy, err := x.proxy(link); err == nil {
 		proxy.Stop()
 	}
 }
 
-// Open takes connections again after Close.
+// Open accepts connections again after Close.
 func (x *Faults) Open(link string) error {
 	proxy, err := x.proxy(link)
 	if err != nil {
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// Heal takes every fault off the link.
+// Heal removes all faults from the link.
 func (x *Faults) Heal(link string) error {
 	proxy, err := x.proxy(link)
 	if err != nil {
@@ -133,13 +133,13 @@
 	return proxy, nil
 }
 
-// startProxies puts a proxy on each link, if the fleet is to have them.
+// startProxies starts a proxy for each link if Spec.Proxied is set.
 func (f *Fleet) startProxies() error {
 	if !f.Spec.Proxied {
 		return nil
 	}
 	for _, b := range f.Backends {
-		if err := f.Faults.add(BackendLink(b.Name), b.workProxy(), b.Work()); err != nil {
+		if err := f.Faults.add(BackendLink(b.Name), b.proxyAddress(), b.Address()); err != nil {
 			return err
 		}
 	}
@@ -156,10 +156,10 @@
 		if dataCentre == d.DataCentre {
 			continue
 		}
-		if err := f.Faults.add(PeerLink(dataCentre, d.Name), d.peersFrom(i), d.Peers()); err != nil {
+		if err := f.Faults.add(PeerLink(dataCentre, d.Name), d.peersFrom(i), d.PeersAddress()); err != nil {
 			return err
 		}
-		if err := f.Faults.add(ControlLink(dataCentre, d.Name), d.controlFrom(i), d.Control()); err != nil {
+		if err := f.Faults.add(ControlLink(dataCentre, d.Name), d.controlFrom(i), d.ControlAddress()); err != nil {
 			return err
 		}
 	}
--- a/test/harness/process.go
+++ b/test/harness/process.go
@@ -14,7 +14,7 @@
 	"github.com/go-faster/errors"
 )
 
-// process is a program that was started.
+// process is a started program.
 type process struct {
 	mu    sync.Mutex
 	cmd   *exec.Cmd
@@ -50,30 +50,30 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
-		return errors.New("process was not started")
+		return errors.New("signal a process that was not started")
 	}
 	return p.cmd.Process.Signal(signal)
 }
 
-// stopWithin bounds the wait for a signalled process to stand still.
-const stopWithin = 10 * time.Second
+// suspendTimeout bounds the wait until all threads of a process are stopped after SIGSTOP.
+const suspendTimeout = 10 * time.Second
 
-// Stop makes the process stand still, as a paused host does, and returns once it does:
-// on a busy machine its threads run on for a while after the signal.
-func (p *process) Stop() error {
+// Suspend suspends the process with SIGSTOP, as a paused host would, and waits until all its threads are
+// stopped: on a busy machine they continue to run for a while after the signal.
+func (p *process) Suspend() error {
 	if err := p.Signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
-	for end := time.Now().Add(stopWithin); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(suspendTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		stopped, err := allStopped(p.Pid())
 		if err != nil {
-			return errors.Wrap(err, "look whether the process stands still")
+			return errors.Wrap(err, "read thread states")
 		}
 		if stopped {
 			return nil
 		}
 	}
-	return errors.Errorf("process %d does not stand still within %s", p.Pid(), stopWithin)
+	return errors.Errorf("process %d still has running threads %s after SIGSTOP", p.Pid(), suspendTimeout)
 }
 
 // allStopped reports whether every thread of the process is stopped.
@@ -87,7 +87,7 @@
 		if err != nil {
 			return false, err
 		}
-		// The state stands after the name, which is in parentheses.
+		// The state follows the name, which is in parentheses.
 		_, rest, _ := strings.Cut(string(data), ") ")
 		if !strings.HasPrefix(rest, "T") {
 			return false, nil
@@ -96,10 +96,10 @@
 	return len(files) > 0, nil
 }
 
-// Continue lets it go on.
-func (p *process) Continue() error { return p.Signal(syscall.SIGCONT) }
+// Resume resumes a suspended process.
+func (p *process) Resume() error { return p.Signal(syscall.SIGCONT) }
 
-// Wait waits until the process has ended and reports whether it did in time.
+// Wait waits until the process has ended and reports whether it ended in time.
 func (p *process) Wait(within time.Duration) bool {
 	p.mu.Lock()
 	ended := p.ended
@@ -115,29 +115,29 @@
 	}
 }
 
-// Kill ends the process at once.
+// Kill kills the process and waits until it has ended.
 func (p *process) Kill() {
 	if p.Signal(syscall.SIGKILL) == nil {
-		p.Wait(readyWithin)
+		p.Wait(startTimeout)
 	}
 }
 
-// Pid returns the process's number.
+// Pid returns the process id.
 func (p *process) Pid() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd.Process.Pid
 }
 
-// WaitListening waits until the address takes connections.
+// WaitListening waits until the address accepts connections.
 func WaitListening(address string) error {
-	end := time.Now().Add(readyWithin)
+	end := time.Now().Add(startTimeout)
 	for time.Now().Before(end) {
 		conn, err := net.DialTimeout("tcp", address, time.Second)
 		if err == nil {
 			return conn.Close()
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 	return errors.Errorf("nothing listens on %s", address)
 }
--- a/test/hops/hops_test.go
+++ b/test/hops/hops_test.go
@@ -1,8 +1,8 @@
-// Package hops measures what two daemons add to a request, against two hops that decide
-// nothing.
+// Package hops measures the overhead of two daemons on a request, compared with two bare hops: reverse
+// proxies that only forward.
 //
-// It relies on test/harness for the daemons and the backend server, and starts its own test
-// binary again for each bare hop, so that every hop is a process of its own.
+// The daemons and the backend server are started by test/harness. Each bare hop is a separate process of
+// the test binary.
 //
 // # Usage
 //
@@ -27,29 +27,29 @@
 )
 
 const (
-	// variableTarget names what a bare hop passes requests on to. The test binary is a
-	// bare hop where it is set.
-	variableTarget = "BARE_HOP_TARGET"
-	// variableListen names where a bare hop takes requests.
-	variableListen = "BARE_HOP_LISTEN"
-	// processors is how many a bare hop uses at once, as a daemon does by default.
+	// envTarget is the environment variable with the address that a bare hop forwards to. The test
+	// binary runs as a bare hop if it is set.
+	envTarget = "BARE_HOP_TARGET"
+	// envListen is the environment variable with the address that a bare hop listens on.
+	envListen = "BARE_HOP_LISTEN"
+	// processors is the GOMAXPROCS of a bare hop, the same as a daemon's default.
 	processors = 2
-	// readyWithin bounds the start of a bare hop.
-	readyWithin = 10 * time.Second
+	// startTimeout bounds the start of a bare hop.
+	startTimeout = 10 * time.Second
 )
 
 func TestMain(m *testing.M) {
-	if target := os.Getenv(variableTarget); target != "" {
-		serveBareHop(os.Getenv(variableListen), target)
+	if target := os.Getenv(envTarget); target != "" {
+		serveBareHop(os.Getenv(envListen), target)
 	}
 	os.Exit(m.Run())
 }
 
-// serveBareHop passes each request on to one address: the least that a hop by net/http costs.
+// serveBareHop forwards all requests to one address, as the baseline of a hop with net/http.
 func serveBareHop(listen, target string) {
 	runtime.GOMAXPROCS(processors)
 	transport := &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 1024}
-	pass := func(w http.ResponseWriter, r *http.Request) {
+	forward := func(w http.ResponseWriter, r *http.Request) {
 		out := r.Clone(r.Context())
 		out.URL.Scheme, out.URL.Host, out.RequestURI = "http", target, ""
 		response, err := transport.RoundTrip(out)
@@ -64,25 +64,19 @@
 		w.WriteHeader(response.StatusCode)
 		_, _ = io.Copy(w, response.Body)
 	}
-	log.Fatal((&http.Server{Addr: listen, Handler: http.HandlerFunc(pass), ReadHeaderTimeout: readyWithin}).ListenAndServe())
+	log.Fatal((&http.Server{Addr: listen, Handler: http.HandlerFunc(forward), ReadHeaderTimeout: startTimeout}).ListenAndServe())
 }
 
-// way is one way to the backend server.
-type way struct {
+// path is a route to the backend server.
+type path struct {
 	name string
 	url  string
-	pids []int // of the processes on the way
+	pids []int // processes of the hops
 }
 
-// BenchmarkHops sends one request after another, on a connection that stays open, to a backend
-// server that answers at once: directly, over two bare hops and over two daemons. For each way
-// it reports the median and the 99th percentile of the answers' times, and the processor time
-// of the hops a request.
-//
-// Source: six runs of 20,000 requests each, on a machine of ten processors beside other work
-// (a load of 39), medians: 84 us directly, 288 us over two bare hops, 748 us over two daemons;
-// at the 99th percentile 0.4, 1.8 and 4.1 ms; processor time of the hops 267 and 712 us a
-// request. Not measured: the same on an idle machine.
+// BenchmarkHops sends sequential requests on a kept connection to a backend server that responds immediately:
+// directly, over two bare hops and over two daemons. For each path it reports the median and the 99th percentile
+// of the latency, and the hops' processor time per request.
 func BenchmarkHops(b *testing.B) {
 	programs, remove, err := harness.Build()
 	if err != nil {
@@ -102,10 +96,10 @@
 		b.Fatal(err)
 	}
 	b.Cleanup(cleanUp)
-	work := f.Backends[1].Work()
+	work := f.Backends[1].Address()
 	second, secondPid := startBareHop(b, work)
 	first, firstPid := startBareHop(b, second)
-	for _, w := range []way{
+	for _, w := range []path{
 		{name: "direct", url: "http://" + work + "/lookup/x"},
 		{name: "bare", url: "http://" + first + "/lookup/x", pids: []int{firstPid, secondPid}},
 		{name: "daemons", url: f.URL(0, "lookup", "/x"), pids: []int{f.Daemons[0].Pid(), f.Daemons[1].Pid()}},
@@ -114,8 +108,7 @@
 	}
 }
 
-// startBareHop starts a bare hop on a free port and returns where it takes requests and its
-// process.
+// startBareHop starts a bare hop on a free port and returns its address and process id.
 func startBareHop(b *testing.B, target string) (address string, pid int) {
 	b.Helper()
 	free, err := net.Listen("tcp", "127.0.0.1:0")
@@ -125,7 +118,7 @@
 	address = free.Addr().String()
 	_ = free.Close()
 	hop := exec.Command(os.Args[0])
-	hop.Env = append(os.Environ(), variableTarget+"="+target, variableListen+"="+address)
+	hop.Env = append(os.Environ(), envTarget+"="+target, envListen+"="+address)
 	hop.Stderr = os.Stderr
 	if err := hop.Start(); err != nil {
 		b.Fatal(err)
@@ -140,38 +133,38 @@
 	return address, hop.Process.Pid
 }
 
-func (w way) measure(b *testing.B) {
+func (w path) measure(b *testing.B) {
 	client := &http.Client{Transport: &http.Transport{DisableCompression: true}}
 	defer client.CloseIdleConnections()
-	for range 500 { // until connections are open and code is in the caches
-		if err := ask(client, w.url); err != nil {
+	for range 500 { // warm up connections and caches
+		if err := get(client, w.url); err != nil {
 			b.Fatal(err)
 		}
 	}
-	took := make([]time.Duration, 0, b.N)
+	latencies := make([]time.Duration, 0, b.N)
 	before, err := harness.ProcessorTimes(w.pids)
 	if err != nil {
 		b.Fatal(err)
 	}
 	for b.Loop() {
 		began := time.Now()
-		if err := ask(client, w.url); err != nil {
+		if err := get(client, w.url); err != nil {
 			b.Fatal(err)
 		}
-		took = append(took, time.Since(began))
+		latencies = append(latencies, time.Since(began))
 	}
 	after, err := harness.ProcessorTimes(w.pids)
 	if err != nil {
 		b.Fatal(err)
 	}
-	slices.Sort(took)
-	b.ReportMetric(float64(took[len(took)/2].Microseconds()), "p50-us")
-	b.ReportMetric(float64(took[len(took)*99/100].Microseconds()), "p99-us")
-	b.ReportMetric(float64((after-before).Microseconds())/float64(len(took)), "hops-cpu-us/op")
+	slices.Sort(latencies)
+	b.ReportMetric(float64(latencies[len(latencies)/2].Microseconds()), "p50-us")
+	b.ReportMetric(float64(latencies[len(latencies)*99/100].Microseconds()), "p99-us")
+	b.ReportMetric(float64((after-before).Microseconds())/float64(len(latencies)), "hops-cpu-us/op")
 }
 
-// ask sends one request and reads its answer.
-func ask(client *http.Client, url string) error {
+// get sends one request and reads the response.
+func get(client *http.Client, url string) error {
 	response, err := client.Get(url)
 	if err != nil {
 		return err
@@ -181,7 +174,7 @@
 		return err
 	}
 	if response.StatusCode != http.StatusOK {
-		return errors.Errorf("%s answered %d", url, response.StatusCode)
+		return errors.Errorf("%s returned status %d", url, response.StatusCode)
 	}
 	return nil
 }
--- a/test/session/session_test.go
+++ b/test/session/session_test.go
@@ -23,15 +23,14 @@
 	})
 }
 
-// TestWithoutDaemon runs the sessions that need none.
+// TestWithoutDaemon runs the sessions that need no daemon.
 func TestWithoutDaemon(t *testing.T) {
 	testscript.Run(t, testscript.Params{Dir: "testdata/alone", UpdateScripts: os.Getenv("UPDATE_GOLDEN") != ""})
 }
 
-// TestCatalogue runs the sessions of the library catalogue firm, each against a
-// fleet of its own.
+// TestCatalogue runs the sessions of the library catalogue customer, each with its own fleet.
 func TestCatalogue(t *testing.T) {
-	runWith(t, "testdata/catalogue", harness.Spec{
+	runWithFleet(t, "testdata/catalogue", harness.Spec{
 		DataCentres: []string{"angyalfold", "csepel", "obuda"},
 		HostsEach:   1,
 		Services: []harness.Service{
@@ -41,9 +40,9 @@
 	})
 }
 
-// TestPlanning runs the sessions of the planning co-operative.
+// TestPlanning runs the sessions of the planning co-operative, each with its own fleet.
 func TestPlanning(t *testing.T) {
-	runWith(t, "testdata/planning", harness.Spec{
+	runWithFleet(t, "testdata/planning", harness.Spec{
 		DataCentres: []string{"muenchen-nord", "muenchen-sued", "rosenheim", "weilheim"},
 		HostsEach:   1,
 		Services: []harness.Service{
@@ -53,7 +52,7 @@
 	})
 }
 
-func runWith(t *testing.T, dir string, spec harness.Spec) {
+func runWithFleet(t *testing.T, dir string, spec harness.Spec) {
 	t.Helper()
 	programs, remove, err := harness.Build()
 	if err != nil {
@@ -65,15 +64,15 @@
 		Dir:           dir,
 		UpdateScripts: os.Getenv("UPDATE_GOLDEN") != "",
 		Setup: func(env *testscript.Env) error {
-			own := spec
-			own.Dir = env.WorkDir
-			f, cleanUp, err := harness.Start(own)
+			fleetSpec := spec
+			fleetSpec.Dir = env.WorkDir
+			f, cleanUp, err := harness.Start(fleetSpec)
 			if err != nil {
 				return err
 			}
 			env.Defer(cleanUp)
-			env.Setenv("TIDELIFT_DAEMON", "http://"+f.Daemons[0].Operators())
-			env.Setenv("CALLERS", f.Daemons[0].Callers())
+			env.Setenv("TIDELIFT_DAEMON", "http://"+f.Daemons[0].OperatorsAddress())
+			env.Setenv("CALLERS", f.Daemons[0].CallersAddress())
 			env.Setenv("USER", "erzsi")
 			return os.WriteFile(env.WorkDir+"/fleet.yaml", []byte(f.Declaration()), 0o600)
 		},
--- a/test/soak/injector_test.go
+++ b/test/soak/injector_test.go
@@ -14,36 +14,34 @@
 )
 
 const (
-	// freezeFor is longer than the services' deadline of a second and than a reservation
-	// lives.
+	// freezeFor is longer than the services' deadline of 1 s and the lifetime of a reservation.
 	freezeFor = 1500 * time.Millisecond
-	// delayMillis is longer than the deadline, so that a delayed answer comes too late.
+	// delayMillis is longer than the deadline, so that a delayed response exceeds it.
 	delayMillis = 1200
-	// answerBytes lets some dozens of answers through before the connection closes.
-	answerBytes = 5000
+	// responseBytes is enough for a few dozen responses before the connection is closed.
+	responseBytes = 5000
 )
 
-// injector injects one kind of fault after another, with several workers several at
-// once. Each worker keeps to targets of its own.
+// injector injects faults with several concurrent workers. Each worker has its own targets.
 type injector struct {
 	fleet   *harness.Fleet
 	workers int
 	ended   sync.WaitGroup
 
-	mu     sync.Mutex
-	counts map[string]int         // of faults, by kind
-	failed []error                // faults that could not be injected
-	lost   []backendserver.Ledger // of backend servers that were killed
+	mu          sync.Mutex
+	counts      map[string]int         // injected faults by kind
+	failed      []error                // errors of faults that could not be injected
+	lostLedgers []backendserver.Ledger // ledgers of killed backend servers
 }
 
-// worker is one of those that inject faults.
+// worker injects one fault after another.
 type worker struct {
 	*injector
 	number int
 	random *rand.Rand
 }
 
-// startInjector injects faults from two seconds on until ctx ends.
+// startInjector starts the workers, which inject faults after a delay of 2 s until ctx ends.
 func startInjector(ctx context.Context, f *harness.Fleet, seed uint64, workers int) *injector {
 	h := &injector{fleet: f, workers: workers, counts: make(map[string]int)}
 	for number := range workers {
@@ -63,7 +61,7 @@
 		{"freeze-daemon", w.freezeDaemon},
 		{"kill-daemon", w.killDaemon},
 		{"freeze-backend", w.freezeBackend},
-		{"cut-answers", w.cut(harness.Answers)},
+		{"cut-answers", w.cut(harness.Responses)},
 		{"cut-requests", w.cut(harness.Requests)},
 		{"limit-answers", w.limitAnswers},
 		{"delay-answers", w.delayAnswers},
@@ -78,7 +76,7 @@
 	}
 }
 
-// record counts a fault, or keeps why it could not be injected.
+// record counts a fault, or keeps the error if it could not be injected.
 func (w worker) record(kind string, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -89,44 +87,46 @@
 	w.counts[kind]++
 }
 
-// own returns a place below count that only this worker uses.
-func (w worker) own(count int) int {
+// ownIndex returns a random index below count that only this worker uses.
+func (w worker) ownIndex(count int) int {
 	return w.number + w.workers*w.random.IntN((count-w.number+w.workers-1)/w.workers)
 }
 
-func (w worker) daemon() *harness.Daemon { return w.fleet.Daemons[w.own(len(w.fleet.Daemons))] }
+func (w worker) daemon() *harness.Daemon { return w.fleet.Daemons[w.ownIndex(len(w.fleet.Daemons))] }
 
-func (w worker) backend() *harness.Backend { return w.fleet.Backends[w.own(len(w.fleet.Backends))] }
+func (w worker) backend() *harness.Backend {
+	return w.fleet.Backends[w.ownIndex(len(w.fleet.Backends))]
+}
 
 func (w worker) freezeDaemon() error {
 	d := w.daemon()
-	return freeze(d.Stop, d.Continue)
+	return freeze(d.Suspend, d.Resume)
 }
 
 func (w worker) freezeBackend() error {
 	b := w.backend()
-	return freeze(b.Stop, b.Continue)
+	return freeze(b.Suspend, b.Resume)
 }
 
-func freeze(stop, goOn func() error) error {
+func freeze(stop, resume func() error) error {
 	if err := stop(); err != nil {
 		return err
 	}
 	time.Sleep(freezeFor)
-	return goOn()
+	return resume()
 }
 
 func (w worker) killDaemon() error {
 	d := w.daemon()
 	d.Kill()
 	time.Sleep(200 * time.Millisecond)
-	ctx, cancel := context.WithTimeout(context.Background(), stopWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	return d.Restart(ctx)
 }
 
-// killBackend reads the ledger of a backend server that stands still, so that
-// nothing is run between the reading and the kill.
+// killBackend kills and restarts a backend server. It closes the backend server's link before it reads the
+// ledger, so that nothing is run between the reading and the kill.
 func (w worker) killBackend() error {
 	b := w.backend()
 	w.fleet.Faults.Close(harness.BackendLink(b.Name))
@@ -136,7 +136,7 @@
 		return err
 	}
 	w.mu.Lock()
-	w.lost = append(w.lost, kept)
+	w.lostLedgers = append(w.lostLedgers, kept)
 	w.mu.Unlock()
 	b.Kill()
 	if err := b.Start(); err != nil {
@@ -145,22 +145,22 @@
 	return w.fleet.Faults.Open(harness.BackendLink(b.Name))
 }
 
-func (w worker) cut(stream harness.Stream) func() error {
+func (w worker) cut(stream harness.Direction) func() error {
 	return func() error {
 		return w.onLink(func(link string) error { return w.fleet.Faults.Cut(link, stream) }, time.Second)
 	}
 }
 
 func (w worker) limitAnswers() error {
-	return w.onLink(func(link string) error { return w.fleet.Faults.LimitData(link, harness.Answers, answerBytes) }, time.Second)
+	return w.onLink(func(link string) error { return w.fleet.Faults.LimitData(link, harness.Responses, responseBytes) }, time.Second)
 }
 
 func (w worker) delayAnswers() error {
-	return w.onLink(func(link string) error { return w.fleet.Faults.Delay(link, harness.Answers, delayMillis) }, 1500*time.Millisecond)
+	return w.onLink(func(link string) error { return w.fleet.Faults.Delay(link, harness.Responses, delayMillis) }, 1500*time.Millisecond)
 }
 
-// onLink injects faults to a backend server's link, or to that between two data
-// centres, for a while.
+// onLink injects a fault into the link of a backend server, or into one between two data centres, and
+// removes it after length.
 func (w worker) onLink(do func(link string) error, length time.Duration) error {
 	link := harness.BackendLink(w.backend().Name)
 	if w.random.IntN(2) == 0 {
--- a/test/soak/planned_test.go
+++ b/test/soak/planned_test.go
@@ -21,9 +21,8 @@
 
 var hostsEach = flag.Int("hosts", 2, "hosts of each data centre in the soak of planned work")
 
-// TestPlannedWorkCutsNothing stops and starts daemons, has their settings read again and changes the declaration,
-// in series that a seed draws and that overlap, while callers keep connections or open one for each request.
-// Nothing that a caller sent is cut, and what was accepted is in force everywhere and stays.
+// TestPlannedWorkCutsNothing guards against requests that are cut off, and accepted declarations that are lost or
+// reverted, by overlapping stops, reloads and changes that the seed draws.
 func TestPlannedWorkCutsNothing(t *testing.T) {
 	for text := range strings.SplitSeq(*seeds, ",") {
 		seed, err := strconv.ParseUint(text, 10, 64)
@@ -44,37 +43,37 @@
 	f := start(t, harness.Spec{
 		DataCentres: dataCentres,
 		HostsEach:   *hostsEach,
-		// No request runs into this deadline because the machine is busy.
-		Services: []harness.Service{{Name: "akten", Floor: 2, Servers: hosts, Slots: 20, Queue: 40, Deadline: stopWithin}},
+		// The deadline is long, so that no request exceeds it on a busy machine.
+		Services: []harness.Service{{Name: "akten", Floor: 2, Servers: hosts, Slots: 20, Queue: 40, Deadline: stopTimeout}},
 	})
 	ctx, cancel := context.WithTimeout(t.Context(), length)
 	defer cancel()
-	work := &planned{fleet: f, revision: 1}
+	work := &plannedOperations{fleet: f, revision: 1}
 	var workersEnded sync.WaitGroup
 	for number := range workers {
-		w := plannedWorker{planned: work, t: t, number: number, workers: workers, random: rand.New(rand.NewPCG(seed, uint64(number)))}
+		w := plannedWorker{plannedOperations: work, t: t, number: number, workers: workers, random: rand.New(rand.NewPCG(seed, uint64(number)))}
 		workersEnded.Go(func() { w.run(ctx) })
 	}
-	samples := callWhile(ctx, f, seed)
+	samples := runCallers(ctx, f, seed)
 	workersEnded.Wait()
 	work.changes.Wait()
 	t.Logf("%d stops, %d signals, %d changes accepted", work.stops, work.signals, work.revision-1)
 	if work.stops == 0 || work.revision == 1 {
-		t.Error("no stop or no change, so that nothing is shown")
+		t.Error("no daemon was stopped or no change was accepted, so the test shows nothing")
 	}
 	runs := runsOf(t, f, nil)
-	checkAnswers(t, samples, runs)
+	checkResponses(t, samples, runs)
 	for _, s := range samples {
 		if s.outcome == outcomeBroken || s.outcome == outcomeIndeterminate {
-			t.Errorf("%s was cut, having run %d times: %s %s", s.key, runs[s.key], s.outcome, s.err)
+			t.Errorf("%s was cut off after %d runs: %s %s", s.key, runs[s.key], s.outcome, s.err)
 		}
 	}
 	checkRevisions(t, f, work.revision)
 }
 
-// TestHangUpInAPlannedStopEndsNothing guards against a daemon that SIGHUP ends while it stops as planned: whoever
-// replaces settings and stops daemons in series sends both.
-func TestHangUpInAPlannedStopEndsNothing(t *testing.T) {
+// TestSIGHUPDuringPlannedStopIsIgnored guards against a daemon that is killed by SIGHUP during a planned stop, when
+// an operator's tool reloads settings and stops daemons in turn.
+func TestSIGHUPDuringPlannedStopIsIgnored(t *testing.T) {
 	f := start(t, harness.Spec{
 		DataCentres: []string{"rosenheim"},
 		HostsEach:   1,
@@ -92,31 +91,31 @@
 	}
 	for !d.Wait(50 * time.Millisecond) {
 		if err := d.Signal(syscall.SIGHUP); err != nil {
-			t.Log(err) // it has just ended
+			t.Log(err) // the daemon has just ended
 		}
 	}
 	cancel()
 	for _, s := range <-done {
 		if s.outcome != outcomeOK && s.outcome != outcomeNotRun && s.outcome != outcomeRefused {
-			t.Errorf("%s was cut: %s %s", s.key, s.outcome, s.err)
+			t.Errorf("%s was cut off: %s %s", s.key, s.outcome, s.err)
 		}
 	}
 	events, err := f.Events()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !slices.ContainsFunc(events, func(e harness.Logged) bool { return e.Event == event.DaemonStopped.Number }) {
-		t.Error("the daemon did not end by itself")
+	if !slices.ContainsFunc(events, func(e harness.LogEvent) bool { return e.Event == event.DaemonStopped.Number }) {
+		t.Error("the daemon did not log the end of its planned stop")
 	}
 }
 
-// callWhile returns what became of the requests of all callers until ctx ends.
-func callWhile(ctx context.Context, f *harness.Fleet, seed uint64) []sample {
+// runCallers runs callers at every daemon until ctx ends and returns their samples.
+func runCallers(ctx context.Context, f *harness.Fleet, seed uint64) []sample {
 	const (
-		keptEach   = 4
-		aloneEach  = 2
-		aloneRests = 40 * time.Millisecond // at most, in a fleet of fewDaemons
-		fewDaemons = 6
+		keptConnCallers = 4
+		newConnCallers  = 2
+		newConnMaxPause = 40 * time.Millisecond // maximum pause in a fleet of fewDaemons
+		fewDaemons      = 6
 	)
 	var (
 		all   []sample
@@ -132,12 +131,12 @@
 		})
 	}
 	for i, d := range f.Daemons {
-		for n := range keptEach + aloneEach {
-			c := &caller{address: d.Callers(), path: "/akten/x", prefix: fmt.Sprintf("c%d.%d", i, n), random: rand.New(rand.NewPCG(seed, uint64(1000*(i+1)+n)))}
-			c.alone = n >= keptEach
-			c.restMost = 10 * time.Millisecond << (2 * n) // 10 to 640 ms
-			if c.alone {
-				c.restMost = aloneRests * time.Duration(max(1, len(f.Daemons)/fewDaemons)) // so that the whole load stays the same
+		for n := range keptConnCallers + newConnCallers {
+			c := &caller{address: d.CallersAddress(), path: "/akten/x", prefix: fmt.Sprintf("c%d.%d", i, n), random: rand.New(rand.NewPCG(seed, uint64(1000*(i+1)+n)))}
+			c.newConnEach = n >= keptConnCallers
+			c.maxPause = 10 * time.Millisecond << (2 * n) // 10 to 640 ms
+			if c.newConnEach {
+				c.maxPause = newConnMaxPause * time.Duration(max(1, len(f.Daemons)/fewDaemons)) // keeps the total load constant
 			}
 			call(c)
 		}
@@ -146,20 +145,20 @@
 	return all
 }
 
-// planned is what was done to a fleet.
-type planned struct {
+// plannedOperations counts the operations on a fleet.
+type plannedOperations struct {
 	fleet   *harness.Fleet
-	changes sync.WaitGroup // that are made beside stops
+	changes sync.WaitGroup // changes that are made concurrently with stops
 
 	mu       sync.Mutex
-	revision int64 // the highest that was accepted
+	revision int64 // highest accepted revision
 	stops    int
 	signals  int
 }
 
-// plannedWorker does one thing after another to daemons of its own.
+// plannedWorker performs one planned operation after another. It stops and signals only its own daemons.
 type plannedWorker struct {
-	*planned
+	*plannedOperations
 	t       *testing.T
 	number  int
 	workers int
@@ -187,17 +186,17 @@
 	}
 }
 
-// stop stops the daemon as planned and starts it again.
+// stop stops the daemon gracefully and restarts it.
 func (w plannedWorker) stop(d *harness.Daemon) {
 	if err := d.Signal(syscall.SIGTERM); err != nil {
 		w.t.Error(err)
 		return
 	}
-	if !d.Wait(stopWithin) {
-		w.t.Errorf("daemon %s did not stop in %s", d.Name, stopWithin)
+	if !d.Wait(stopTimeout) {
+		w.t.Errorf("daemon %s did not stop in %s", d.Name, stopTimeout)
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), stopWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	if err := d.Restart(ctx); err != nil {
 		w.t.Error(err)
@@ -207,7 +206,7 @@
 	w.stops++
 }
 
-// signal has the daemon read its settings again.
+// signal makes the daemon reload its settings.
 func (w plannedWorker) signal(d *harness.Daemon) {
 	if err := d.Signal(syscall.SIGHUP); err != nil {
 		w.t.Error(err)
@@ -218,13 +217,13 @@
 	w.signals++
 }
 
-// change applies a change through the daemon of that number. One that is refused, since that daemon stops or another
-// change came first, is not made again.
+// change applies a change through the daemon of that number. A change that is refused because the daemon is stopping
+// or another change was first is not retried.
 func (w plannedWorker) change(n, daemon int) {
 	w.mu.Lock()
 	base := w.revision
 	w.mu.Unlock()
-	ctx, cancel := context.WithTimeout(context.Background(), stopWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	text := fmt.Sprintf("# change %d of worker %d\n%s", n, w.number, w.fleet.Declaration())
 	accepted, err := w.fleet.Apply(ctx, daemon, text, base, fmt.Sprintf("%d-%d", w.number, n))
@@ -236,11 +235,11 @@
 	w.revision = max(w.revision, accepted.Revision)
 }
 
-// checkRevisions waits until the revision is in force everywhere, and fails if a daemon ever took an older one for
-// a newer.
+// checkRevisions fails the test if the revision is not in force at every daemon in time, or if a daemon ever replaced
+// a revision by an older one.
 func checkRevisions(t *testing.T, f *harness.Fleet, revision int64) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), stopWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	if err := f.WaitRevision(ctx, revision); err != nil {
 		t.Error(err)
